--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -9,32 +9,34 @@
 namespace meadowthread {
 namespace {
 
-// The rate at which a queue empties is taken over about this time.
+// Time constant of the average of a queue's service rate.
 constexpr double kRateWindowMs = 10'000.0;
-// Below this many takes in the window the rate says nothing.
-constexpr double kRateKnown = 3.0;
-constexpr std::int64_t kLeastRetryMs = 1'000;
-constexpr std::int64_t kMostRetryMs = 60'000;
-// Times to come back are spread over this part of their base and upward.
-constexpr double kSpreadFrom = 0.5;
-// Work whose cost is not known counts as this many tokens.
-constexpr std::int64_t kUnknownCost = 512;
-
-// Emptied lanes remembered before those that count no more are dropped.
-constexpr std::size_t kMostAhead = 1'024;
-
-std::size_t LevelOf(Urgency urgency) {
+// With fewer items served within the window, the rate is unreliable.
+constexpr double kMinServedForRate = 3.0;
+constexpr std::int64_t kMinRetryMs = 1'000;
+constexpr std::int64_t kMaxRetryMs = 60'000;
+// Retry-After times are the base time multiplied by a random factor from this
+// value up to one above it.
+constexpr double kMinJitterFactor = 0.5;
+// Cost of work whose expected tokens are not known.
+constexpr std::int64_t kDefaultCostTokens = 512;
+
+// Above this size, start tags that the virtual clock has already passed are
+// erased.
+constexpr std::size_t kMaxSavedStartTags = 1'024;
+
+std::size_t LevelIndex(Urgency urgency) {
   return static_cast<std::size_t>(urgency);
 }
 
-std::int64_t CostOf(const WorkItem& work) {
-  return work.expected_tokens > 0 ? work.expected_tokens : kUnknownCost;
+std::int64_t CostInTokens(const WorkItem& work) {
+  return work.expected_tokens > 0 ? work.expected_tokens : kDefaultCostTokens;
 }
 
-double Unit(std::uint64_t random) {
+double UnitInterval(std::uint64_t random) {
   constexpr double kScale = 0x1.0p-53;
-  constexpr int kDropped = 11;
-  return static_cast<double>(random >> kDropped) * kScale;
+  constexpr int kDiscardedBits = 11;
+  return static_cast<double>(random >> kDiscardedBits) * kScale;
 }
 
 }  // namespace
@@ -59,30 +61,30 @@
 
 AdmissionQueue::AdmissionQueue(AdmissionOptions options) : options(options) {}
 
-// -------------------------------------------------------------------- taking
+// ---------------------------------------------------------------- admission
 
-AdmissionAnswer AdmissionQueue::Offer(const WorkItem& work,
+AdmissionResult AdmissionQueue::Offer(const WorkItem& work,
                                       CapacityProbe& probe, std::int64_t now_ms,
                                       std::uint64_t random) {
-  AdmissionAnswer answer;
+  AdmissionResult result;
   const bool late = work.deadline_ms > 0 && work.deadline_ms <= now_ms;
-  if (!late && this->NothingAhead(work.urgency) && probe.Fits(work)) {
-    NoteTaken(this->levels[LevelOf(work.urgency)], now_ms);
-    answer.verdict = AdmissionVerdict::kAdmitted;
-    return answer;
+  if (!late && this->IsEmptyUpTo(work.urgency) && probe.Fits(work)) {
+    RecordServed(this->levels[LevelIndex(work.urgency)], now_ms);
+    result.verdict = AdmissionVerdict::kAdmitted;
+    return result;
   }
-  answer.reason = this->WhyNotQueued(work, now_ms);
-  if (answer.reason != RefusalReason::kNone) {
-    answer.retry_after_ms = this->RetryAfterMs(work.urgency, now_ms, random);
-    return answer;
+  result.reason = this->WhyNotQueued(work, now_ms);
+  if (result.reason != RefusalReason::kNone) {
+    result.retry_after_ms = this->RetryAfterMs(work.urgency, now_ms, random);
+    return result;
   }
   this->Enqueue(work);
-  answer.verdict = AdmissionVerdict::kQueued;
-  return answer;
+  result.verdict = AdmissionVerdict::kQueued;
+  return result;
 }
 
-bool AdmissionQueue::NothingAhead(Urgency urgency) const {
-  for (std::size_t i = 0; i <= LevelOf(urgency); ++i) {
+bool AdmissionQueue::IsEmptyUpTo(Urgency urgency) const {
+  for (std::size_t i = 0; i <= LevelIndex(urgency); ++i) {
     if (this->levels[i].size > 0) {
       return false;
     }
@@ -92,18 +94,18 @@
 
 RefusalReason AdmissionQueue::WhyNotQueued(const WorkItem& work,
                                            std::int64_t now_ms) const {
-  const std::size_t level = LevelOf(work.urgency);
-  const std::size_t most = this->options.max_queued[level];
+  const std::size_t level = LevelIndex(work.urgency);
+  const std::size_t limit = this->options.max_queued[level];
   const std::size_t size = this->levels[level].size;
   if (work.deadline_ms > 0 && work.deadline_ms <= now_ms) {
     return RefusalReason::kDeadlinePassed;
   }
-  if (size >= most) {
+  if (size >= limit) {
     return RefusalReason::kQueueFull;
   }
-  const auto share = static_cast<std::size_t>(static_cast<double>(most) *
+  const auto share = static_cast<std::size_t>(static_cast<double>(limit) *
                                               this->options.workspace_share);
-  if (size * 2 >= most &&
+  if (size * 2 >= limit &&
       this->QueuedOf(work.urgency, work.workspace) >= share) {
     return RefusalReason::kWorkspaceShare;
   }
@@ -118,152 +120,155 @@
 }
 
 void AdmissionQueue::Enqueue(const WorkItem& work) {
-  Level& level = this->levels[LevelOf(work.urgency)];
+  UrgencyLevel& level = this->levels[LevelIndex(work.urgency)];
   ++level.size;
-  for (Lane& lane : level.lanes) {
-    if (lane.workspace == work.workspace) {
-      lane.items.push_back(work);
+  for (Flow& flow : level.flows) {
+    if (flow.workspace == work.workspace) {
+      flow.items.push_back(work);
       return;
     }
   }
-  Lane lane;
-  lane.workspace = work.workspace;
-  lane.start = level.virtual_now;
-  const auto found = level.ahead.find(work.workspace);
-  if (found != level.ahead.end()) {
-    // What it was served beyond its turn before it emptied still counts.
-    lane.start = std::max(lane.start, found->second);
-    level.ahead.erase(found);
+  Flow flow;
+  flow.workspace = work.workspace;
+  flow.start_tag = level.virtual_time;
+  const auto found = level.saved_start_tags.find(work.workspace);
+  if (found != level.saved_start_tags.end()) {
+    // A workspace that was served ahead of its turn before its queue ran empty
+    // still has to wait for the others to catch up.
+    flow.start_tag = std::max(flow.start_tag, found->second);
+    level.saved_start_tags.erase(found);
   }
-  lane.items.push_back(work);
-  level.lanes.push_back(std::move(lane));
+  flow.items.push_back(work);
+  level.flows.push_back(std::move(flow));
 }
 
 std::optional<WorkItem> AdmissionQueue::Next(CapacityProbe& probe,
                                              std::int64_t now_ms) {
-  for (Level& level : this->levels) {
-    std::optional<WorkItem> work = this->NextOf(level, probe);
+  for (UrgencyLevel& level : this->levels) {
+    std::optional<WorkItem> work = this->NextInLevel(level, probe);
     if (work.has_value()) {
-      NoteTaken(level, now_ms);
+      RecordServed(level, now_ms);
       return work;
     }
   }
   return std::nullopt;
 }
 
-std::optional<WorkItem> AdmissionQueue::NextOf(Level& level,
-                                               CapacityProbe& probe) const {
-  const Lane* const starved = StarvedLane(level, this->options.max_bypass);
-  for (const std::size_t at : TurnOrder(level)) {
-    Lane& lane = level.lanes[at];
-    const WorkItem& head = lane.items.front();
-    const bool held_back = starved != nullptr && starved != &lane &&
+std::optional<WorkItem> AdmissionQueue::NextInLevel(
+    UrgencyLevel& level, CapacityProbe& probe) const {
+  const Flow* const starved = StarvedFlow(level, this->options.max_bypass);
+  for (const std::size_t at : ServiceOrder(level)) {
+    Flow& flow = level.flows[at];
+    const WorkItem& head = flow.items.front();
+    const bool must_wait = starved != nullptr && starved != &flow &&
                            starved->items.front().model == head.model;
-    if (held_back) {
+    if (must_wait) {
       continue;
     }
     if (probe.Fits(head)) {
-      return TakeHead(level, lane);
+      return PopHead(level, flow);
     }
-    ++lane.bypassed;
+    ++flow.bypass_count;
   }
   return std::nullopt;
 }
 
-std::vector<std::size_t> AdmissionQueue::TurnOrder(const Level& level) {
-  std::vector<std::size_t> order(level.lanes.size());
+std::vector<std::size_t> AdmissionQueue::ServiceOrder(
+    const UrgencyLevel& level) {
+  std::vector<std::size_t> order(level.flows.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(),
                    [&](std::size_t a, std::size_t b) {
-                     return level.lanes[a].start < level.lanes[b].start;
+                     return level.flows[a].start_tag < level.flows[b].start_tag;
                    });
   return order;
 }
 
-const AdmissionQueue::Lane* AdmissionQueue::StarvedLane(const Level& level,
-                                                        int max_bypass) {
-  for (const Lane& lane : level.lanes) {
-    if (lane.bypassed > max_bypass) {
-      return &lane;
+const AdmissionQueue::Flow* AdmissionQueue::StarvedFlow(
+    const UrgencyLevel& level, int max_bypass) {
+  for (const Flow& flow : level.flows) {
+    if (flow.bypass_count > max_bypass) {
+      return &flow;
     }
   }
   return nullptr;
 }
 
-WorkItem AdmissionQueue::TakeHead(Level& level, Lane& lane) {
-  WorkItem work = std::move(lane.items.front());
-  lane.items.pop_front();
-  lane.bypassed = 0;
-  level.virtual_now = std::max(level.virtual_now, lane.start);
-  lane.start += CostOf(work);
+WorkItem AdmissionQueue::PopHead(UrgencyLevel& level, Flow& flow) {
+  WorkItem work = std::move(flow.items.front());
+  flow.items.pop_front();
+  flow.bypass_count = 0;
+  level.virtual_time = std::max(level.virtual_time, flow.start_tag);
+  flow.start_tag += CostInTokens(work);
   --level.size;
-  DropEmptyLanes(level);
+  RemoveEmptyFlows(level);
   return work;
 }
 
-void AdmissionQueue::DropEmptyLanes(Level& level) {
-  for (const Lane& lane : level.lanes) {
-    if (lane.items.empty() && lane.start > level.virtual_now) {
-      level.ahead[lane.workspace] = lane.start;
+void AdmissionQueue::RemoveEmptyFlows(UrgencyLevel& level) {
+  for (const Flow& flow : level.flows) {
+    if (flow.items.empty() && flow.start_tag > level.virtual_time) {
+      level.saved_start_tags[flow.workspace] = flow.start_tag;
     }
   }
-  std::erase_if(level.lanes,
-                [](const Lane& lane) { return lane.items.empty(); });
-  if (level.ahead.size() > kMostAhead) {
-    absl::erase_if(level.ahead, [&](const auto& entry) {
-      return entry.second <= level.virtual_now;
+  std::erase_if(level.flows,
+                [](const Flow& flow) { return flow.items.empty(); });
+  if (level.saved_start_tags.size() > kMaxSavedStartTags) {
+    absl::erase_if(level.saved_start_tags, [&](const auto& entry) {
+      return entry.second <= level.virtual_time;
     });
   }
 }
 
-// ----------------------------------------------------------------- giving up
+// ------------------------------------------------------------------- expiry
 
 std::vector<GivenUp> AdmissionQueue::Expire(std::int64_t now_ms,
                                             std::uint64_t random) {
-  std::vector<GivenUp> given_up;
-  std::mt19937_64 spread(random);
-  for (Level& level : this->levels) {
-    for (Lane& lane : level.lanes) {
+  std::vector<GivenUp> expired;
+  std::mt19937_64 jitter(random);
+  for (UrgencyLevel& level : this->levels) {
+    for (Flow& flow : level.flows) {
       std::deque<WorkItem> kept;
-      for (WorkItem& work : lane.items) {
-        const RefusalReason reason = this->WhyGiveUp(work, now_ms);
+      for (WorkItem& work : flow.items) {
+        const RefusalReason reason = this->WhyExpired(work, now_ms);
         if (reason == RefusalReason::kNone) {
           kept.push_back(std::move(work));
           continue;
         }
         --level.size;
         const std::int64_t retry =
-            this->RetryAfterMs(work.urgency, now_ms, spread());
-        given_up.push_back({std::move(work), reason, retry});
+            this->RetryAfterMs(work.urgency, now_ms, jitter());
+        expired.push_back({std::move(work), reason, retry});
       }
-      lane.items = std::move(kept);
+      flow.items = std::move(kept);
     }
-    DropEmptyLanes(level);
+    RemoveEmptyFlows(level);
   }
-  return given_up;
+  return expired;
 }
 
-RefusalReason AdmissionQueue::WhyGiveUp(const WorkItem& work,
-                                        std::int64_t now_ms) const {
+RefusalReason AdmissionQueue::WhyExpired(const WorkItem& work,
+                                         std::int64_t now_ms) const {
   if (work.deadline_ms > 0 && work.deadline_ms <= now_ms) {
     return RefusalReason::kDeadlinePassed;
   }
-  const std::int64_t most = this->options.max_wait_ms[LevelOf(work.urgency)];
-  if (now_ms - work.arrived_ms > most) {
+  const std::int64_t limit =
+      this->options.max_wait_ms[LevelIndex(work.urgency)];
+  if (now_ms - work.arrived_ms > limit) {
     return RefusalReason::kWaitedTooLong;
   }
   return RefusalReason::kNone;
 }
 
 bool AdmissionQueue::Remove(std::string_view request) {
-  for (Level& level : this->levels) {
-    for (Lane& lane : level.lanes) {
-      const auto removed = std::erase_if(lane.items, [&](const WorkItem& work) {
+  for (UrgencyLevel& level : this->levels) {
+    for (Flow& flow : level.flows) {
+      const auto removed = std::erase_if(flow.items, [&](const WorkItem& work) {
         return work.request == request;
       });
       if (removed > 0) {
         level.size -= removed;
-        DropEmptyLanes(level);
+        RemoveEmptyFlows(level);
         return true;
       }
     }
@@ -271,17 +276,17 @@
   return false;
 }
 
-// ------------------------------------------------------------------- reading
+// ------------------------------------------------------------------ queries
 
 std::size_t AdmissionQueue::Queued(Urgency urgency) const {
-  return this->levels[LevelOf(urgency)].size;
+  return this->levels[LevelIndex(urgency)].size;
 }
 
 std::size_t AdmissionQueue::QueuedOf(Urgency urgency,
                                      std::string_view workspace) const {
-  for (const Lane& lane : this->levels[LevelOf(urgency)].lanes) {
-    if (lane.workspace == workspace) {
-      return lane.items.size();
+  for (const Flow& flow : this->levels[LevelIndex(urgency)].flows) {
+    if (flow.workspace == workspace) {
+      return flow.items.size();
     }
   }
   return 0;
@@ -289,28 +294,30 @@
 
 std::int64_t AdmissionQueue::ExpectedWaitMs(Urgency urgency,
                                             std::int64_t now_ms) const {
-  const Level& level = this->levels[LevelOf(urgency)];
-  const auto since = static_cast<double>(now_ms - level.taken_ms);
-  const double taken = level.taken * std::exp(-since / kRateWindowMs);
-  if (level.size == 0 || taken < kRateKnown) {
+  const UrgencyLevel& level = this->levels[LevelIndex(urgency)];
+  const auto since = static_cast<double>(now_ms - level.served_ms);
+  const double recently_served =
+      level.recently_served * std::exp(-since / kRateWindowMs);
+  if (level.size == 0 || recently_served < kMinServedForRate) {
     return 0;
   }
-  const double per_ms = taken / kRateWindowMs;
+  const double per_ms = recently_served / kRateWindowMs;
   return static_cast<std::int64_t>(static_cast<double>(level.size) / per_ms);
 }
 
-void AdmissionQueue::NoteTaken(Level& level, std::int64_t now_ms) {
-  const auto since = static_cast<double>(now_ms - level.taken_ms);
-  level.taken = level.taken * std::exp(-since / kRateWindowMs) + 1.0;
-  level.taken_ms = now_ms;
+void AdmissionQueue::RecordServed(UrgencyLevel& level, std::int64_t now_ms) {
+  const auto since = static_cast<double>(now_ms - level.served_ms);
+  level.recently_served =
+      level.recently_served * std::exp(-since / kRateWindowMs) + 1.0;
+  level.served_ms = now_ms;
 }
 
 std::int64_t AdmissionQueue::RetryAfterMs(Urgency urgency, std::int64_t now_ms,
                                           std::uint64_t random) const {
   const std::int64_t base = std::clamp(this->ExpectedWaitMs(urgency, now_ms),
-                                       kLeastRetryMs, kMostRetryMs);
-  // Spread, so that the refused do not all come back together.
-  const double factor = kSpreadFrom + Unit(random);
+                                       kMinRetryMs, kMaxRetryMs);
+  // Jitter keeps refused callers from retrying all at the same time.
+  const double factor = kMinJitterFactor + UnitInterval(random);
   return static_cast<std::int64_t>(static_cast<double>(base) * factor);
 }
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -15,111 +15,131 @@
 
 namespace meadowthread {
 
-/// @brief What became of an offered piece of work.
+/// @brief Outcome of offering work to the admission queue.
 enum class AdmissionVerdict { kAdmitted, kQueued, kRefused };
 
-/// @brief Why work was refused or given up.
+/// @brief Why work was refused or removed from the queue.
 enum class RefusalReason {
   kNone,
-  kQueueFull,        ///< the queue for its urgency is full
-  kWorkspaceShare,   ///< its workspace has more than its share queued
-  kDeadlinePassed,   ///< its deadline came while it waited
-  kDeadlineTooNear,  ///< it would not be reached before its deadline
-  kWaitedTooLong,    ///< it waited as long as its urgency may
+  kQueueFull,  ///< the queue of its urgency is full
+  /// its workspace already holds its maximum share of the queue
+  kWorkspaceShare,
+  kDeadlinePassed,   ///< its deadline passed, on arrival or while it was queued
+  kDeadlineTooNear,  ///< its deadline would pass before its expected start
+  /// it was queued for the longest time that its urgency allows
+  kWaitedTooLong,
 };
 
 /// @brief The reason's name in log lines.
 std::string_view RefusalReasonName(RefusalReason reason);
 
-/// @brief The answer to an offer.
-struct AdmissionAnswer {
+/// @brief Result of AdmissionQueue::Offer.
+struct AdmissionResult {
   AdmissionVerdict verdict = AdmissionVerdict::kRefused;
   RefusalReason reason = RefusalReason::kNone;
-  std::int64_t retry_after_ms = 0;  ///< spread, where refused
+  std::int64_t retry_after_ms = 0;  ///< with random jitter; set if refused
 };
 
-/// @brief Queued work that was given up on.
+/// @brief Queued work that was removed without having been sent.
 struct GivenUp {
   WorkItem work;
   RefusalReason reason = RefusalReason::kNone;
   std::int64_t retry_after_ms = 0;
 };
 
-/// @brief Asked whether one piece of work could be sent now.
+/// @brief Tests whether an engine has room for one piece of work now.
 class CapacityProbe {
  public:
   virtual ~CapacityProbe() = default;
   virtual bool Fits(const WorkItem& work) = 0;
 };
 
-/// @brief Bounds of the queues.
+/// @brief Size, wait and fairness limits of the queues, by urgency.
 struct AdmissionOptions {
-  std::array<std::size_t, kUrgencies> max_queued = {256, 512, 512};
-  std::array<std::int64_t, kUrgencies> max_wait_ms = {10'000, 120'000, 600'000};
-  double workspace_share = 0.5;  ///< of a queue, once the queue is half full
-  int max_bypass = 32;  ///< times a head may be passed over for lack of room
+  std::array<std::size_t, kUrgencyCount> max_queued = {256, 512, 512};
+  std::array<std::int64_t, kUrgencyCount> max_wait_ms = {10'000, 120'000,
+                                                         600'000};
+  double workspace_share =
+      /// Largest fraction of a queue that one workspace may hold; applies once
+      /// the queue is half full.
+      0.5;
+  /// Times that the head of a workspace's queue may be skipped for lack of
+  /// room.
+  int max_bypass = 32;
 };
 
-/// @brief Bounded queues: urgent first, then fair between workspaces by
-/// tokens (start-time fair queueing), first come first served within one.
+/// @brief Bounded admission queues, one for each urgency.
+///
+/// More urgent work goes first. Within one urgency, workspaces share capacity
+/// fairly by tokens (start-time fair queueing); within one workspace, order is
+/// first in, first out.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(AdmissionOptions options = {});
 
-  /// @brief Takes work in, or refuses it at once.
-  /// @param[in] probe asked only where nothing of its urgency or above waits
-  /// @param[in] random spreads the time to come back
-  AdmissionAnswer Offer(const WorkItem& work, CapacityProbe& probe,
+  /// @brief Admits, queues or refuses new work.
+  /// @param[in] probe called only if no work of the same or a higher urgency is
+  /// queued
+  /// @param[in] random source of the jitter in retry_after_ms
+  AdmissionResult Offer(const WorkItem& work, CapacityProbe& probe,
                         std::int64_t now_ms, std::uint64_t random);
 
-  /// @brief Takes out the next work that fits; empty where none does.
+  /// @brief Removes and returns the next work that fits; empty if none does.
   std::optional<WorkItem> Next(CapacityProbe& probe, std::int64_t now_ms);
 
-  /// @brief Takes out all that is not worth waiting for any more.
+  /// @brief Removes and returns all work that has waited too long or whose
+  /// deadline has passed.
   std::vector<GivenUp> Expire(std::int64_t now_ms, std::uint64_t random);
 
-  /// @brief Takes out one request (its caller went away).
+  /// @brief Removes one request, for instance because its caller disconnected.
   bool Remove(std::string_view request);
 
+  /// @brief Number of items queued at one urgency.
   std::size_t Queued(Urgency urgency) const;
+
+  /// @brief Number of items that a workspace has queued at one urgency.
   std::size_t QueuedOf(Urgency urgency, std::string_view workspace) const;
 
-  /// @brief How long work of this urgency would wait now, milliseconds; 0
-  /// where nothing waits or no rate is known yet.
+  /// @brief Expected queueing time of new work of this urgency, in
+  /// milliseconds; 0 if the queue is empty or its service rate is not known
+  /// yet.
   std::int64_t ExpectedWaitMs(Urgency urgency, std::int64_t now_ms) const;
 
  private:
-  struct Lane {  ///< one workspace's work of one urgency
+  struct Flow {  ///< queue of one workspace at one urgency
     std::string workspace;
     std::deque<WorkItem> items;
-    std::int64_t start = 0;  ///< tokens served, on the level's virtual clock
-    int bypassed = 0;
+    std::int64_t start_tag = 0;  ///< in tokens, on the level's virtual clock
+    int bypass_count = 0;
   };
 
-  struct Level {                    ///< one urgency
-    std::vector<Lane> lanes;        ///< those with work
-    StringMap<std::int64_t> ahead;  ///< emptied lanes
-    std::int64_t virtual_now = 0;   ///< start of the lane served last
+  struct UrgencyLevel {       ///< queues of one urgency
+    std::vector<Flow> flows;  ///< non-empty flows only
+    StringMap<std::int64_t>
+        /// Of flows that ran empty, by workspace.
+        saved_start_tags;
+    std::int64_t virtual_time = 0;  ///< start tag of the flow served last
     std::size_t size = 0;
-    double taken = 0.0;         ///< lately, decaying
-    std::int64_t taken_ms = 0;  ///< when `taken` was last brought up to date
+    double recently_served = 0.0;  ///< exponentially decaying count
+    std::int64_t served_ms = 0;    ///< when `recently_served` was last updated
   };
 
   std::int64_t RetryAfterMs(Urgency urgency, std::int64_t now_ms,
                             std::uint64_t random) const;
   RefusalReason WhyNotQueued(const WorkItem& work, std::int64_t now_ms) const;
-  bool NothingAhead(Urgency urgency) const;
+  bool IsEmptyUpTo(Urgency urgency) const;
   void Enqueue(const WorkItem& work);
-  std::optional<WorkItem> NextOf(Level& level, CapacityProbe& probe) const;
-  static std::vector<std::size_t> TurnOrder(const Level& level);
-  static const Lane* StarvedLane(const Level& level, int max_bypass);
-  static WorkItem TakeHead(Level& level, Lane& lane);
-  static void DropEmptyLanes(Level& level);
-  static void NoteTaken(Level& level, std::int64_t now_ms);
-  RefusalReason WhyGiveUp(const WorkItem& work, std::int64_t now_ms) const;
+  std::optional<WorkItem> NextInLevel(UrgencyLevel& level,
+                                      CapacityProbe& probe) const;
+  static std::vector<std::size_t> ServiceOrder(const UrgencyLevel& level);
+  static const Flow* StarvedFlow(const UrgencyLevel& level, int max_bypass);
+  static WorkItem PopHead(UrgencyLevel& level, Flow& flow);
+  static void RemoveEmptyFlows(UrgencyLevel& level);
+  static void RecordServed(UrgencyLevel& level, std::int64_t now_ms);
+  RefusalReason WhyExpired(const WorkItem& work, std::int64_t now_ms) const;
 
   AdmissionOptions options;
-  std::array<Level, kUrgencies> levels;
+  std::array<UrgencyLevel, kUrgencyCount> levels;
 };
 
 }  // namespace meadowthread
--- a/src/policy/arrival_limits.cc
+++ b/src/policy/arrival_limits.cc
@@ -8,39 +8,40 @@
 
 namespace meadowthread {
 
-// Rendezvous hashing: a host that comes or goes changes the part of one other.
-std::uint64_t ArrivalLimits::ScoreOf(std::string_view host,
-                                     std::string_view server) {
+// Rendezvous hashing: a host that joins or leaves changes the share of only one
+// other host.
+std::uint64_t ArrivalLimits::RendezvousScore(std::string_view host,
+                                             std::string_view server) {
   const std::uint64_t seed = XXH64(server.data(), server.size(), 0);
   return XXH64(host.data(), host.size(), seed);
 }
 
-ArrivalLimits::Parts ArrivalLimits::ShareOut(std::string_view server,
-                                             double per_s) const {
-  Parts parts;
+ArrivalLimits::HostShares ArrivalLimits::DivideAmongHosts(
+    std::string_view server, double per_s) const {
+  HostShares shares;
   if (this->hosts.empty()) {
-    return parts;
+    return shares;
   }
-  const auto requests = static_cast<std::size_t>(std::floor(per_s));
-  parts.each = static_cast<std::int64_t>(requests / this->hosts.size());
-  const std::size_t rest = requests % this->hosts.size();
-  if (rest == 0) {
-    return parts;
+  const auto whole_requests = static_cast<std::size_t>(std::floor(per_s));
+  shares.base = static_cast<std::int64_t>(whole_requests / this->hosts.size());
+  const std::size_t remainder = whole_requests % this->hosts.size();
+  if (remainder == 0) {
+    return shares;
   }
   std::vector<std::uint64_t> scores;
   scores.reserve(this->hosts.size());
   for (const std::string& host : this->hosts) {
-    scores.push_back(ScoreOf(host, server));
+    scores.push_back(RendezvousScore(host, server));
   }
-  const auto last = scores.begin() + static_cast<std::ptrdiff_t>(rest - 1);
+  const auto last = scores.begin() + static_cast<std::ptrdiff_t>(remainder - 1);
   std::nth_element(scores.begin(), last, scores.end(), std::greater<>());
-  parts.least_score = *last;
-  return parts;
+  shares.min_extra_score = *last;
+  return shares;
 }
 
-void ArrivalLimits::ShareOutRule(std::string_view name, Server* server) const {
-  server->cold = this->ShareOut(name, server->rule.cold_per_s);
-  server->warm = this->ShareOut(name, server->rule.warm_per_s);
+void ArrivalLimits::UpdateShares(std::string_view name, Server* server) const {
+  server->cold_shares = this->DivideAmongHosts(name, server->rule.cold_per_s);
+  server->warm_shares = this->DivideAmongHosts(name, server->rule.warm_per_s);
 }
 
 void ArrivalLimits::SetHosts(std::span<const std::string> names) {
@@ -50,7 +51,7 @@
   }
   this->hosts.assign(names.begin(), names.end());
   for (auto& [name, server] : this->servers) {
-    this->ShareOutRule(name, &server);
+    this->UpdateShares(name, &server);
   }
 }
 
@@ -60,11 +61,11 @@
     this->Remove(server);
     return;
   }
-  Server& known = this->servers[std::string(server)];
-  known.cold_until_ms = cold_until_ms;
-  if (known.rule != rule) {
-    known.rule = rule;
-    this->ShareOutRule(server, &known);
+  Server& entry = this->servers[std::string(server)];
+  entry.cold_until_ms = cold_until_ms;
+  if (entry.rule != rule) {
+    entry.rule = rule;
+    this->UpdateShares(server, &entry);
   }
 }
 
@@ -81,43 +82,44 @@
   return found == this->servers.end() ? nullptr : &found->second;
 }
 
-// None where any number may be sent.
-std::optional<std::int64_t> ArrivalLimits::PartOf(std::string_view host,
-                                                  std::string_view server,
-                                                  std::int64_t now_ms) const {
-  const Server* const known = this->Find(server);
-  if (known == nullptr) {
+// Empty if the rate is unlimited.
+std::optional<std::int64_t> ArrivalLimits::ShareOf(std::string_view host,
+                                                   std::string_view server,
+                                                   std::int64_t now_ms) const {
+  const Server* const entry = this->Find(server);
+  if (entry == nullptr) {
     return std::nullopt;
   }
-  const bool is_cold = now_ms < known->cold_until_ms;
+  const bool is_cold = now_ms < entry->cold_until_ms;
   const double per_s =
-      is_cold ? known->rule.cold_per_s : known->rule.warm_per_s;
+      is_cold ? entry->rule.cold_per_s : entry->rule.warm_per_s;
   if (per_s <= 0.0) {
     return std::nullopt;
   }
-  const Parts& parts = is_cold ? known->cold : known->warm;
-  const bool has_one_more = ScoreOf(host, server) >= parts.least_score;
-  return parts.each + (has_one_more ? 1 : 0);
+  const HostShares& shares = is_cold ? entry->cold_shares : entry->warm_shares;
+  const bool gets_extra =
+      RendezvousScore(host, server) >= shares.min_extra_score;
+  return shares.base + (gets_extra ? 1 : 0);
 }
 
-// What was sent while it was warm counts in the same second as what is sent
-// now that it is cold.
+// The window spans a change from warm to cold: requests sent while the server
+// was warm count against its cold limit.
 bool ArrivalLimits::May(std::string_view server, std::int64_t now_ms) const {
-  const std::optional<std::int64_t> part =
-      this->PartOf(this->self, server, now_ms);
-  if (!part.has_value()) {
+  const std::optional<std::int64_t> share =
+      this->ShareOf(this->self, server, now_ms);
+  if (!share.has_value()) {
     return true;
   }
-  const Server& known = *this->Find(server);
+  const Server& entry = *this->Find(server);
   const auto recent = std::count_if(
-      known.sent_ms.begin(), known.sent_ms.end(),
+      entry.recent_sends_ms.begin(), entry.recent_sends_ms.end(),
       [now_ms](std::int64_t sent) { return now_ms - sent < kWindowMs; });
-  return recent + known.held < *part;
+  return recent + entry.reserved < *share;
 }
 
 bool ArrivalLimits::HasPart(std::string_view host, std::string_view server,
                             std::int64_t now_ms) const {
-  return this->PartOf(host, server, now_ms).value_or(1) > 0;
+  return this->ShareOf(host, server, now_ms).value_or(1) > 0;
 }
 
 void ArrivalLimits::NoteSent(std::string_view server, std::int64_t now_ms) {
@@ -125,24 +127,25 @@
   if (found == this->servers.end()) {
     return;
   }
-  std::deque<std::int64_t>& sent_ms = found->second.sent_ms;
-  while (!sent_ms.empty() && now_ms - sent_ms.front() >= kWindowMs) {
-    sent_ms.pop_front();
+  std::deque<std::int64_t>& recent_sends_ms = found->second.recent_sends_ms;
+  while (!recent_sends_ms.empty() &&
+         now_ms - recent_sends_ms.front() >= kWindowMs) {
+    recent_sends_ms.pop_front();
   }
-  sent_ms.push_back(now_ms);
+  recent_sends_ms.push_back(now_ms);
 }
 
 void ArrivalLimits::Hold(std::string_view server) {
   const auto found = this->servers.find(server);
   if (found != this->servers.end()) {
-    ++found->second.held;
+    ++found->second.reserved;
   }
 }
 
 void ArrivalLimits::Release(std::string_view server) {
   const auto found = this->servers.find(server);
   if (found != this->servers.end()) {
-    found->second.held = std::max(0, found->second.held - 1);
+    found->second.reserved = std::max(0, found->second.reserved - 1);
   }
 }
 
--- a/src/policy/arrival_limits.h
+++ b/src/policy/arrival_limits.h
@@ -15,94 +15,99 @@
 
 namespace meadowthread {
 
-/// @brief What a server withstands of new requests; requests a second, over all
-/// hosts.
+/// @brief The rate of new requests that a server tolerates, in requests per
+/// second summed over all hosts.
 struct ArrivalRule {
-  /// While it is cold; 0: any number.
+  /// While the server is cold, that is, still warming up after its start; 0:
+  /// unlimited.
   double cold_per_s = 0.0;
-  /// At any other time, as it may turn cold before hosts hear of it; 0: any
-  /// number.
+  /// While the server is warm: it may turn cold before the hosts learn of it;
+  /// 0: unlimited.
   double warm_per_s = 0.0;
 
   friend bool operator==(const ArrivalRule&, const ArrivalRule&) = default;
 };
 
-/// @brief Shares out what a server withstands among all hosts that may send to
-/// it, so that all of them together stay within it.
+/// @brief Divides the request rate that a server tolerates among all hosts that
+/// may send to it, so that they stay within it together.
 ///
-/// Answers the load pattern "a crowd comes to the few servers that are up, and
-/// these are cold": hosts that hear of each other's sendings a moment late send
-/// more than a cold server withstands, each with good reason. Here each host
-/// has a part of its own, known from the list of hosts alone, also where it
-/// hears nobody. Where there are more hosts than requests, some hosts have no
-/// part: which ones differs from server to server.
+/// Guards against overload of the few cold servers that are up when a burst of
+/// requests arrives: hosts learn of each other's requests with a delay, so that
+/// together they would send more than a cold server tolerates. Each host's
+/// share follows from the host list alone, so that it holds even if the hosts
+/// cannot reach each other. If there are more hosts than requests to share out,
+/// some hosts have no share; which ones differs from server to server.
 ///
-/// Hosts whose lists differ by some names give out as many requests too many at
-/// the most. A host that has no list yet sends nothing to such servers.
+/// Hosts whose lists differ in some names may exceed the rate by at most that
+/// number of requests. A host without a host list sends nothing to servers that
+/// have a limit.
 class ArrivalLimits {
  public:
-  /// The time in which arrivals are counted.
+  /// Length of the sliding window in which requests are counted.
   static constexpr std::int64_t kWindowMs = 1'000;
 
   /// @param[in] self this host's name
   explicit ArrivalLimits(std::string_view self) : self(self) {}
 
-  /// @brief Takes the hosts that may send, this one among them; none: they are
-  /// not known yet.
+  /// @brief Sets the hosts that may send, including this one; empty: not known
+  /// yet.
   /// @complexity O(hosts * servers)
   void SetHosts(std::span<const std::string> names);
 
-  /// @brief Takes what a server withstands.
-  /// @param[in] cold_until_ms monotonic
+  /// @brief Sets a server's limits.
+  /// @param[in] cold_until_ms monotonic time at which the server counts as warm
   /// @complexity O(hosts)
   void SetServer(std::string_view server, const ArrivalRule& rule,
                  std::int64_t cold_until_ms);
 
-  /// @brief The server is gone.
+  /// @brief Removes a server's limits.
   void Remove(std::string_view server);
 
-  /// @brief Whether this host may send the server one request more now.
+  /// @brief Whether this host may send one more request to the server now.
   bool May(std::string_view server, std::int64_t now_ms) const;
 
-  /// @brief Whether a host has any part in what the server withstands now.
+  /// @brief Whether a host's current share of the server's rate is above zero.
   bool HasPart(std::string_view host, std::string_view server,
                std::int64_t now_ms) const;
 
-  /// @brief A request of this host leaves for the server.
+  /// @brief Counts a request that this host sends to the server.
   void NoteSent(std::string_view server, std::int64_t now_ms);
 
-  /// @brief A request will leave for the server once a copy is done: it counts
-  /// from now on, until it is released.
+  /// @brief Reserves a request that will be sent once a KV-cache copy is done;
+  /// it counts against the limit until it is released.
   void Hold(std::string_view server);
+
+  /// @brief Releases a reservation made by Hold.
   void Release(std::string_view server);
 
  private:
-  /// How a number of requests is shared out: each host has `each`, and one more
-  /// where its score is `least_score` or above.
-  struct Parts {
-    std::int64_t each = 0;
-    std::uint64_t least_score = std::numeric_limits<std::uint64_t>::max();
+  /// Division of a number of requests among hosts: each host gets `base`, and
+  /// hosts whose score is at least `min_extra_score` get one more.
+  struct HostShares {
+    std::int64_t base = 0;
+    std::uint64_t min_extra_score = std::numeric_limits<std::uint64_t>::max();
   };
   struct Server {
     ArrivalRule rule;
     std::int64_t cold_until_ms = 0;
-    Parts cold;
-    Parts warm;
-    int held = 0;
-    std::deque<std::int64_t> sent_ms;  ///< within the window
+    HostShares cold_shares;
+    HostShares warm_shares;
+    int reserved = 0;
+    std::deque<std::int64_t> recent_sends_ms;  ///< those within the window
   };
 
-  static std::uint64_t ScoreOf(std::string_view host, std::string_view server);
-  std::optional<std::int64_t> PartOf(std::string_view host,
-                                     std::string_view server,
-                                     std::int64_t now_ms) const;
-  Parts ShareOut(std::string_view server, double per_s) const;
-  void ShareOutRule(std::string_view name, Server* server) const;
+  static std::uint64_t RendezvousScore(std::string_view host,
+                                       std::string_view server);
+  std::optional<std::int64_t> ShareOf(std::string_view host,
+                                      std::string_view server,
+                                      std::int64_t now_ms) const;
+  HostShares DivideAmongHosts(std::string_view server, double per_s) const;
+  void UpdateShares(std::string_view name, Server* server) const;
   const Server* Find(std::string_view server) const;
 
   std::string self;
   std::vector<std::string> hosts;
-  StringMap<Server> servers;  ///< only those with a rule
+  StringMap<Server> servers;  ///< only those that have a limit
 };
 
 }  // namespace meadowthread
--- a/src/policy/baseline_choosers.cc
+++ b/src/policy/baseline_choosers.cc
@@ -6,10 +6,10 @@
 namespace meadowthread {
 namespace {
 
-constexpr int kDraws = 8;
+constexpr int kMaxDraws = 8;
 
-Decision Chosen(const WorkItem& work, const EngineView& view,
-                DecisionReason reason) {
+Decision MakeDecision(const WorkItem& work, const EngineView& view,
+                      DecisionReason reason) {
   Decision decision;
   decision.engine = view.engine;
   decision.reason = reason;
@@ -23,7 +23,7 @@
   const auto capacity = static_cast<double>(view.kv_capacity);
   const double used =
       capacity > 0 ? static_cast<double>(view.kv_used) / capacity : 0.0;
-  // Work that waits at the engine counts beyond any memory in use.
+  // Each request that waits at the engine weighs as much as its whole memory.
   return used + view.waiting;
 }
 
@@ -37,10 +37,10 @@
     const EngineView& view = fleet.View(serving[this->next % serving.size()]);
     ++this->next;
     if (view.Usable()) {
-      return Chosen(work, view, DecisionReason::kTurn);
+      return MakeDecision(work, view, DecisionReason::kRoundRobin);
     }
   }
-  return detail::NothingUsable(work, fleet);
+  return detail::NoUsableEngine(work, fleet);
 }
 
 Decision LeastLoadChooser::Choose(const WorkItem& work, const FleetState& fleet,
@@ -48,9 +48,10 @@
   const std::span<const EngineIndex> serving = fleet.Serving(work);
   const EngineView* best = nullptr;
   for (std::size_t i = 0; i < serving.size(); ++i) {
-    // Starting anywhere keeps equal engines from being taken in list order.
-    const std::size_t at = (i + random) % serving.size();
-    const EngineView& view = fleet.View(serving[at]);
+    // A random starting point keeps equally loaded engines from being taken in
+    // list order.
+    const std::size_t index = (i + random) % serving.size();
+    const EngineView& view = fleet.View(serving[index]);
     if (!view.Usable()) {
       continue;
     }
@@ -59,32 +60,32 @@
     }
   }
   if (best == nullptr) {
-    return detail::NothingUsable(work, fleet);
+    return detail::NoUsableEngine(work, fleet);
   }
-  return Chosen(work, *best, DecisionReason::kLeastLoad);
+  return MakeDecision(work, *best, DecisionReason::kLeastLoad);
 }
 
 Decision PowerOfTwoChooser::Choose(const WorkItem& work,
                                    const FleetState& fleet, std::int64_t,
                                    std::uint64_t random) {
   const std::span<const EngineIndex> serving = fleet.Serving(work);
-  std::minstd_rand draws(static_cast<std::uint32_t>(random >> 33U));
+  std::minstd_rand rng(static_cast<std::uint32_t>(random >> 33U));
   const EngineView* best = nullptr;
-  int found = 0;
-  for (int i = 0; i < kDraws && found < 2 && !serving.empty(); ++i) {
-    const EngineView& view = fleet.View(serving[draws() % serving.size()]);
+  int usable_drawn = 0;
+  for (int i = 0; i < kMaxDraws && usable_drawn < 2 && !serving.empty(); ++i) {
+    const EngineView& view = fleet.View(serving[rng() % serving.size()]);
     if (!view.Usable() || &view == best) {
       continue;
     }
-    ++found;
+    ++usable_drawn;
     if (best == nullptr || view.own_in_flight < best->own_in_flight) {
       best = &view;
     }
   }
   if (best == nullptr) {
-    return detail::NothingUsable(work, fleet);
+    return detail::NoUsableEngine(work, fleet);
   }
-  return Chosen(work, *best, DecisionReason::kLeastLoad);
+  return MakeDecision(work, *best, DecisionReason::kLeastLoad);
 }
 
 }  // namespace meadowthread
--- a/src/policy/baseline_choosers.h
+++ b/src/policy/baseline_choosers.h
@@ -8,7 +8,7 @@
 
 namespace meadowthread {
 
-/// @brief One engine after the other.
+/// @brief Takes the usable engines in turn.
 class RoundRobinChooser final : public EngineChooser {
  public:
   Decision Choose(const WorkItem& work, const FleetState& fleet,
@@ -19,7 +19,8 @@
   std::uint64_t next = 0;
 };
 
-/// @brief The engine whose last report holds the least memory.
+/// @brief Takes the engine with the least memory in use according to its last
+/// load report.
 class LeastLoadChooser final : public EngineChooser {
  public:
   Decision Choose(const WorkItem& work, const FleetState& fleet,
@@ -27,7 +28,8 @@
   std::string_view Name() const override { return "least_load"; }
 };
 
-/// @brief Two at random; the one with less of this host's own work.
+/// @brief Draws two engines at random and takes the one with fewer requests of
+/// this host in flight.
 class PowerOfTwoChooser final : public EngineChooser {
  public:
   Decision Choose(const WorkItem& work, const FleetState& fleet,
--- a/src/policy/chooser.cc
+++ b/src/policy/chooser.cc
@@ -3,13 +3,13 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::int64_t kNothingUsableRetryMs = 2'000;
+constexpr std::int64_t kNoUsableEngineRetryMs = 2'000;
 
 }  // namespace
 
 std::string_view DecisionReasonName(DecisionReason reason) {
   switch (reason) {
-    case DecisionReason::kTurn:
+    case DecisionReason::kRoundRobin:
       return "turn";
     case DecisionReason::kLeastLoad:
       return "least_load";
@@ -30,23 +30,24 @@
 namespace detail {
 
 int PlainPriority(Urgency urgency) {
-  // Room between the levels lets a chooser order work within one.
-  constexpr int kPrioritiesEach = 4;
-  return static_cast<int>(urgency) * kPrioritiesEach;
+  // The gap between urgencies lets a chooser order work within one urgency.
+  constexpr int kPrioritiesPerUrgency = 4;
+  return static_cast<int>(urgency) * kPrioritiesPerUrgency;
 }
 
-Decision NoEngine(DecisionReason reason, std::int64_t retry_after_ms) {
+Decision DecisionWithoutEngine(DecisionReason reason,
+                               std::int64_t retry_after_ms) {
   Decision decision;
   decision.reason = reason;
   decision.retry_after_ms = retry_after_ms;
   return decision;
 }
 
-Decision NothingUsable(const WorkItem& work, const FleetState& fleet) {
+Decision NoUsableEngine(const WorkItem& work, const FleetState& fleet) {
   const bool served = !fleet.Serving(work).empty();
   const DecisionReason reason =
       served ? DecisionReason::kNoneUsable : DecisionReason::kNotServed;
-  return NoEngine(reason, kNothingUsableRetryMs);
+  return DecisionWithoutEngine(reason, kNoUsableEngineRetryMs);
 }
 
 }  // namespace detail
--- a/src/policy/chooser.h
+++ b/src/policy/chooser.h
@@ -14,80 +14,92 @@
 
 namespace meadowthread {
 
-/// @brief Why an engine was chosen, or none.
+/// @brief Why an engine was chosen, or why none was.
 enum class DecisionReason {
-  kTurn,         ///< its turn came
-  kLeastLoad,    ///< least loaded of those looked at
-  kMemoryFits,   ///< cheapest of those whose memory should hold
-  kPrefixHint,   ///< as above, and its cache may hold the prompt's prefix
-  kNotServed,    ///< no engine has the model loaded
-  kNoneUsable,   ///< every engine that has it is dead, leaving or stalled
-  kNoneHasRoom,  ///< sending now would likely overfill an engine's memory
+  kRoundRobin,  ///< next in round-robin order
+  kLeastLoad,   ///< least loaded of the engines considered
+  kMemoryFits,  ///< cheapest of the engines whose memory is expected to suffice
+  kPrefixHint,  ///< as kMemoryFits, and the engine's cache may hold the
+                ///< prompt's prefix
+  kNotServed,   ///< no engine has the model loaded
+  kNoneUsable,  ///< every engine with the model is dead, leaving or stalled
+  kNoneHasRoom,  ///< the work would probably overfill the memory of any engine
 };
 
 /// @brief The reason's name in log lines.
 std::string_view DecisionReasonName(DecisionReason reason);
 
-/// @brief One engine that was looked at.
+/// @brief An engine that was considered for a piece of work.
 struct Candidate {
   std::string engine;
-  double cost = 0.0;             ///< less is better
-  double overfill_chance = 0.0;  ///< of its memory, with this work added
+  double cost = 0.0;             ///< lower is better
+  double overfill_chance = 0.0;  ///< probability that the engine's memory
+                                 ///< overflows if the work is added
   int in_flight = 0;
   bool prefix_hint = false;
-  std::int64_t first_event_ms = 0;  ///< expected from now; 0: not known
+  /// Expected time from now to the first event; 0: not known.
+  std::int64_t first_event_ms = 0;
 };
 
-/// @brief A choice and its grounds.
+/// @brief The chosen engine, if any, and the reasons for the choice.
 struct Decision {
   std::optional<std::string> engine;
   DecisionReason reason = DecisionReason::kNotServed;
   std::vector<Candidate> considered;  ///< the best few, best first
-  std::int64_t retry_after_ms = 0;    ///< where no engine was chosen
-  int priority = 0;                   ///< for the engine; 0 is most urgent
-  /// Prompt tokens that the engine reads before this work's; -1: not known.
+  std::int64_t retry_after_ms = 0;    ///< set if no engine was chosen
+  int priority = 0;  ///< sent to the engine; 0 is the most urgent
+  /// Prompt tokens that the engine prefills before this work's; -1: not known.
   std::int64_t reading_ahead = -1;
 };
 
-/// @brief Chooses an engine for one piece of work; changes nothing.
+/// @brief Chooses an engine for one piece of work. Does not change the fleet
+/// state.
 class EngineChooser {
  public:
   virtual ~EngineChooser() = default;
 
-  /// @param[in] random a fresh random number; same inputs, same choice
+  /// @brief Chooses an engine.
+  /// @param[in] random a fresh random number; the choice is deterministic for
+  /// equal inputs
   virtual Decision Choose(const WorkItem& work, const FleetState& fleet,
                           std::int64_t now_ms, std::uint64_t random) = 0;
 
-  /// @brief The name in tables and log lines.
+  /// @brief The chooser's name in tables and log lines.
   virtual std::string_view Name() const = 0;
 };
 
 namespace detail {
 
-/// @brief The priority that tells engines only how urgent work is.
+/// @brief The priority sent to engines that reflects nothing but the urgency.
 int PlainPriority(Urgency urgency);
 
-/// @brief A decision without an engine.
-Decision NoEngine(DecisionReason reason, std::int64_t retry_after_ms);
+/// @brief A decision that names no engine.
+Decision DecisionWithoutEngine(DecisionReason reason,
+                               std::int64_t retry_after_ms);
 
-/// @brief Sorts what was scored, best first: what fits, then what costs less.
-/// @return how many at the front are as good as the best within `near_equal`
+/// @brief Sorts engines best first: those that fit before those that do not,
+/// then by cost.
+/// @return the number of leading engines that fit like the best one and cost at
+/// most `near_equal` more
 /// @complexity O(n log n)
-template <typename Scored>
-std::size_t RankNear(std::vector<Scored>& scored, double near_equal) {
-  std::sort(scored.begin(), scored.end(), [](const Scored& a, const Scored& b) {
-    return a.fits != b.fits ? a.fits : a.cost < b.cost;
-  });
-  std::size_t near = 0;
-  while (near < scored.size() && scored[near].fits == scored[0].fits &&
-         scored[near].cost <= scored[0].cost + near_equal) {
-    ++near;
+template <typename ScoredEngine>
+std::size_t RankByCost(std::vector<ScoredEngine>& scored, double near_equal) {
+  std::sort(scored.begin(), scored.end(),
+            [](const ScoredEngine& a, const ScoredEngine& b) {
+              return a.fits != b.fits ? a.fits : a.cost < b.cost;
+            });
+  std::size_t near_best = 0;
+  while (near_best < scored.size() &&
+         scored[near_best].fits == scored[0].fits &&
+         scored[near_best].cost <= scored[0].cost + near_equal) {
+    ++near_best;
   }
-  return near;
+  return near_best;
 }
 
-/// @brief Sets NotServed or NoneUsable by what serves the work.
-Decision NothingUsable(const WorkItem& work, const FleetState& fleet);
+/// @brief A decision with reason kNoneUsable, or kNotServed if no engine has
+/// the work's model loaded.
+Decision NoUsableEngine(const WorkItem& work, const FleetState& fleet);
 
 }  // namespace detail
 
--- a/src/policy/dispatcher.cc
+++ b/src/policy/dispatcher.cc
@@ -6,27 +6,27 @@
 namespace meadowthread {
 namespace {
 
-/// Asks the chooser and keeps its last answer.
+/// Asks the chooser for each piece of work and keeps its last decision.
 class ChooserProbe final : public CapacityProbe {
  public:
   ChooserProbe(EngineChooser& chooser, const FleetState& fleet,
                std::int64_t now_ms, std::uint64_t random)
-      : chooser(chooser), fleet(fleet), now_ms(now_ms), draws(random) {}
+      : chooser(chooser), fleet(fleet), now_ms(now_ms), rng(random) {}
 
   bool Fits(const WorkItem& work) override {
-    this->last =
-        this->chooser.Choose(work, this->fleet, this->now_ms, this->draws());
-    return this->last.engine.has_value();
+    this->last_decision =
+        this->chooser.Choose(work, this->fleet, this->now_ms, this->rng());
+    return this->last_decision.engine.has_value();
   }
 
-  Decision TakeLast() { return std::move(this->last); }
+  Decision TakeDecision() { return std::move(this->last_decision); }
 
  private:
   EngineChooser& chooser;
   const FleetState& fleet;
   std::int64_t now_ms;
-  std::mt19937_64 draws;
-  Decision last;
+  std::mt19937_64 rng;
+  Decision last_decision;
 };
 
 }  // namespace
@@ -41,29 +41,29 @@
   const double output = curve->ExpectedRemaining(0, work.max_output_tokens);
   work.expected_tokens = work.prompt_tokens + static_cast<std::int64_t>(output);
   ChooserProbe probe(this->chooser, this->fleet, now_ms, random);
-  const AdmissionAnswer admission =
+  const AdmissionResult admission =
       this->queue.Offer(work, probe, now_ms, random);
-  DispatchAnswer answer;
-  answer.verdict = admission.verdict;
-  answer.refusal = admission.reason;
-  answer.retry_after_ms = admission.retry_after_ms;
-  answer.decision = probe.TakeLast();
+  DispatchAnswer result;
+  result.verdict = admission.verdict;
+  result.refusal = admission.reason;
+  result.retry_after_ms = admission.retry_after_ms;
+  result.decision = probe.TakeDecision();
   if (admission.verdict == AdmissionVerdict::kAdmitted) {
-    this->fleet.NoteSent(work, *answer.decision.engine, now_ms);
+    this->fleet.NoteSent(work, *result.decision.engine, now_ms);
   }
-  return answer;
+  return result;
 }
 
 std::vector<SendOrder> Dispatcher::Drain(std::int64_t now_ms,
-                                         std::uint64_t random, int most) {
+                                         std::uint64_t random, int max_orders) {
   std::vector<SendOrder> orders;
   ChooserProbe probe(this->chooser, this->fleet, now_ms, random);
-  for (int sent = 0; sent < most; ++sent) {
+  for (int i = 0; i < max_orders; ++i) {
     std::optional<WorkItem> work = this->queue.Next(probe, now_ms);
     if (!work.has_value()) {
       break;
     }
-    Decision decision = probe.TakeLast();
+    Decision decision = probe.TakeDecision();
     this->fleet.NoteSent(*work, *decision.engine, now_ms);
     orders.push_back({std::move(*work), std::move(decision)});
   }
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -12,49 +12,54 @@
 
 namespace meadowthread {
 
-/// @brief One piece of work to be sent now, already noted in the fleet state.
+/// @brief A queued piece of work to be sent now; the fleet state already counts
+/// it.
 struct SendOrder {
   WorkItem work;
   Decision decision;
 };
 
-/// @brief Orders that one call of Dispatcher::Drain gives unless told.
-inline constexpr int kMostSentAtOnce = 64;
+/// @brief Default limit on the orders returned by one call of
+/// Dispatcher::Drain.
+inline constexpr int kMaxOrdersPerDrain = 64;
 
-/// @brief The answer to newly arrived work.
+/// @brief Result of Dispatcher::Offer.
 struct DispatchAnswer {
   AdmissionVerdict verdict = AdmissionVerdict::kRefused;
   RefusalReason refusal = RefusalReason::kNone;
-  Decision decision;                ///< the engine, where admitted
-  std::int64_t retry_after_ms = 0;  ///< where refused
+  Decision decision;                ///< names the engine, if admitted
+  std::int64_t retry_after_ms = 0;  ///< set if refused
 };
 
-/// @brief Joins queues, chooser and fleet state: what `serve` and the bench
-/// both call.
+/// @brief Connects the admission queue, the engine chooser and the fleet state.
+/// Used by both `serve` and the benchmark.
 class Dispatcher {
  public:
-  /// @param[in] fleet outlives the dispatcher
-  /// @param[in] chooser outlives the dispatcher
+  /// @param[in] fleet must outlive the dispatcher
+  /// @param[in] chooser must outlive the dispatcher
   Dispatcher(FleetState& fleet, EngineChooser& chooser,
              AdmissionOptions options = {});
 
-  /// @brief Sends, queues or refuses work that has just arrived.
+  /// @brief Admits, queues or refuses new work.
   DispatchAnswer Offer(WorkItem work, std::int64_t now_ms,
                        std::uint64_t random);
 
-  /// @brief Queued work that can be sent now. To be called when a stream
-  /// ended and every few tens of milliseconds.
-  /// @param[in] most orders at once, so that a host whose view of the engines
-  /// is wrong does not empty its queue onto them
+  /// @brief Removes and returns queued work that can be sent now. Call it
+  /// whenever a stream ends and every few tens of milliseconds.
+  /// @param[in] max_orders limit for this call, so that a host with a wrong
+  /// view of the engines does not send them its whole queue at once
   std::vector<SendOrder> Drain(std::int64_t now_ms, std::uint64_t random,
-                               int most = kMostSentAtOnce);
+                               int max_orders = kMaxOrdersPerDrain);
 
-  /// @brief Queued work that is not worth waiting for any more.
+  /// @brief Removes and returns queued work that has waited too long or whose
+  /// deadline has passed.
   std::vector<GivenUp> Expire(std::int64_t now_ms, std::uint64_t random);
 
-  /// @brief Takes a queued request out (its caller went away).
+  /// @brief Removes a queued request, for instance because its caller
+  /// disconnected.
   bool Cancel(std::string_view request);
 
+  /// @brief The admission queue, for inspection.
   const AdmissionQueue& Queue() const { return this->queue; }
 
  private:
--- a/src/policy/engine_allocation.h
+++ b/src/policy/engine_allocation.h
@@ -9,14 +9,14 @@
 
 namespace meadowthread {
 
-/// @brief A run that is to be copied off an engine.
+/// @brief A request to migrate a running generation ("run") off its engine.
 struct MoveAsk {
-  std::string source;  ///< the engine's key
-  WorkItem run;        ///< its prompt_tokens: what is to be copied
+  std::string source;  ///< key of the engine that the run leaves
+  WorkItem run;        ///< its prompt_tokens are the tokens of KV cache to copy
 };
 
-/// @brief Chooses engines for work, here or by asking the host that hands out
-/// places at them.
+/// @brief Chooses engines for work, either on this host or by asking the host
+/// that allocates the engines.
 class EngineAllocation {
  public:
   using Chosen = std::function<void(const Decision& decision)>;
@@ -24,21 +24,24 @@
   virtual ~EngineAllocation() = default;
 
   /// @brief Chooses an engine for new work.
-  /// @param[in] chosen called exactly once, maybe before this returns
+  /// @param[in] chosen called exactly once, possibly before this function
+  /// returns
   virtual void Choose(const WorkItem& work, const Chosen& chosen) = 0;
 
-  /// @brief Whether other hosts hand out places and turns. If not, what waits
-  /// for room is queued here, and hosts take their turns at links by what they
-  /// tell each other.
+  /// @brief Whether other hosts (allocators) choose the engines and schedule
+  /// the KV-cache copies. If not, work without room is queued on this host, and
+  /// hosts take turns at an engine's network link according to what they tell
+  /// each other.
   virtual bool IsShared() const = 0;
 
-  /// @brief Asks for a run's turn at the link of the engine that it leaves,
-  /// and for the engine that it goes to; only where IsShared.
-  /// @param[in] granted called exactly once, with no engine where none can be
-  /// had
+  /// @brief Requests a turn to copy the run's KV cache over the network link of
+  /// its engine, and an engine to migrate it to. Call it only if IsShared.
+  /// @param[in] granted called exactly once; its decision names no engine if
+  /// there is none
   virtual void AskMove(const MoveAsk& move, const Chosen& granted) = 0;
 
-  /// @brief The run's copy is over, or was never begun: the next may go.
+  /// @brief Ends the migration's turn at the link: the copy is done or was
+  /// never started. The next migration may begin.
   virtual void MoveOver(const MoveAsk& move) = 0;
 };
 
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -9,23 +9,23 @@
 
 namespace meadowthread {
 
-/// @brief What the host list says of one engine.
+/// @brief An engine's entry in the host list.
 struct EngineListing {
   std::string engine;
   std::string zone;
   bool live = true;
-  bool leaving = false;
-  /// Unix ms until which the engine works slowly after its start; 0: it does
-  /// not.
+  bool leaving = false;  ///< about to leave the fleet: gets no new work
+  /// Unix ms until which the engine is slow after its start; 0: it is not slow.
   std::int64_t warm_at_ms = 0;
-  /// Tokens of memory, where the list tells; 0: only reports do.
+  /// KV-cache capacity in tokens; 0: not in the host list, known from load
+  /// reports only.
   std::int64_t kv_capacity = 0;
-  /// What is loaded, where the list tells; empty: only reports do.
+  /// Loaded models; empty: not in the host list, known from load reports only.
   std::vector<ServedModel> models = {};
   std::string region = {};
 };
 
-/// @brief One load report of an engine; it describes the past.
+/// @brief A load report of an engine: its state at `as_of_unix_ms`.
 struct LoadReport {
   std::string engine;
   std::string incarnation;
@@ -34,24 +34,25 @@
   int waiting = 0;
   std::int64_t kv_used = 0;      ///< tokens
   std::int64_t kv_capacity = 0;  ///< tokens
-  std::int64_t preemptions = 0;  ///< since the engine's start
+  std::int64_t preemptions = 0;  ///< since the engine started
   bool leaving = false;
   std::vector<ServedModel> models;
   std::string role;
 };
 
-/// @brief Everything this host believes about one engine.
+/// @brief What this host knows about one engine, from the host list, load
+/// reports and its own requests.
 struct EngineView {
   std::string engine;
   std::string zone;
   std::string region;
   bool live = true;
   bool leaving = false;
-  bool stalled = false;  ///< ejected until it answers again
+  bool stalled = false;  ///< gets no new work until it answers again
   std::string incarnation;
   std::vector<ServedModel> models;
 
-  // As reported, true at `reported_unix_ms`.
+  // From the last load report, as of `reported_unix_ms`.
   std::int64_t reported_unix_ms = 0;
   std::int64_t kv_used = 0;
   std::int64_t kv_capacity = 0;
@@ -59,17 +60,20 @@
   int running = 0;
   int waiting = 0;
 
-  // This host's own work, exact.
+  // This host's own requests, always exact.
   int own_in_flight = 0;
-  int own_since_report = 0;           ///< sent after the report's time
-  std::int64_t own_kv = 0;            ///< tokens held by own streams now
-  std::int64_t slow_start_since = 0;  ///< unix ms; 0: in full service
-  std::int64_t warm_at_ms = 0;        ///< unix ms; slow until then
-  double failure_share = 0.0;         ///< of its recent requests, 0 to 1
-  std::int64_t aside_until_ms = 0;    ///< unix ms; could not be reached lately
-  std::int64_t no_room_until_ms = 0;  ///< unix ms; refused a copy lately
+  int own_since_report = 0;  ///< sent after `reported_unix_ms`
+  std::int64_t own_kv = 0;   ///< KV-cache tokens held by own streams now
+  /// Unix ms; 0: no slow start in progress.
+  std::int64_t slow_start_began_ms = 0;
+  std::int64_t warm_at_ms = 0;  ///< unix ms; slow after its start until then
+  double failure_share = 0.0;   ///< fraction of its recent requests that failed
+  /// Unix ms; avoided until then because it could not be reached.
+  std::int64_t aside_until_ms = 0;
+  /// Unix ms; avoided until then because it refused a KV-cache copy.
+  std::int64_t no_room_until_ms = 0;
 
-  /// @brief Whether new work may be sent to it.
+  /// @brief Whether new work may be sent to the engine.
   bool Usable() const { return this->live && !this->leaving && !this->stalled; }
 };
 
--- a/src/policy/first_try.cc
+++ b/src/policy/first_try.cc
@@ -5,20 +5,22 @@
 namespace meadowthread {
 namespace {
 
-// Two attempts of one caller lie further apart than this; the same limit told
-// twice differs by rounding only.
-constexpr std::int64_t kSameMs = 20;
-// What is kept of the counts at each request: they are over some fifty.
-constexpr double kKept = 0.98;
-// Below this share of first attempts the time is not what callers of the route
-// allow at first. In a crowd up to half of the requests are second attempts.
-constexpr double kCommonShare = 0.35;
-// A route's first requests say nothing of its callers yet.
-constexpr double kLeastSeen = 4.5;
-// After so many a time that few allow is dropped for another one.
-constexpr double kEnough = 15.0;
-// Routes remembered; a configuration of several hundred fits.
-constexpr std::size_t kMostRoutes = 4'096;
+// Attempts of one caller are further apart than this; equal limits differ only
+// by rounding.
+constexpr std::int64_t kToleranceMs = 20;
+// Decay of the counts for each request: they cover about the last fifty.
+constexpr double kDecay = 0.98;
+// If a smaller share of the requests has the longest limit, it is not the
+// common limit of first attempts. In a burst, up to half of the requests are
+// second attempts.
+constexpr double kMinLongestShare = 0.35;
+// With fewer requests, nothing is known of the route's callers yet.
+constexpr double kMinRequests = 4.5;
+// After this many requests, a longest limit that few requests have is replaced.
+constexpr double kReplaceAfter = 15.0;
+// Limit on the routes remembered; enough for configurations of several hundred
+// routes.
+constexpr std::size_t kMaxRoutes = 4'096;
 
 }  // namespace
 
@@ -27,20 +29,21 @@
   if (allowed_ms <= 0) {
     return 0;
   }
-  if (this->routes.size() >= kMostRoutes && !this->routes.contains(route)) {
+  if (this->routes.size() >= kMaxRoutes && !this->routes.contains(route)) {
     this->routes.clear();
   }
-  Route& known = this->routes[route];
-  const bool is_dropped = known.all >= kEnough && known.Share() < kCommonShare;
-  if (is_dropped || allowed_ms > known.longest_ms + kSameMs) {
-    known = Route{allowed_ms, 0.0, 0.0};
+  Route& stats = this->routes[route];
+  const bool is_replaced =
+      stats.total >= kReplaceAfter && stats.LongestShare() < kMinLongestShare;
+  if (is_replaced || allowed_ms > stats.longest_ms + kToleranceMs) {
+    stats = Route{allowed_ms, 0.0, 0.0};
   }
-  const bool is_longest = allowed_ms + kSameMs >= known.longest_ms;
-  known.all = known.all * kKept + 1.0;
-  known.of_longest = known.of_longest * kKept + (is_longest ? 1.0 : 0.0);
-  const bool is_known =
-      known.all >= kLeastSeen && known.Share() >= kCommonShare;
-  return is_longest || !is_known ? 0 : known.longest_ms - allowed_ms;
+  const bool is_longest = allowed_ms + kToleranceMs >= stats.longest_ms;
+  stats.total = stats.total * kDecay + 1.0;
+  stats.at_longest = stats.at_longest * kDecay + (is_longest ? 1.0 : 0.0);
+  const bool is_reliable =
+      stats.total >= kMinRequests && stats.LongestShare() >= kMinLongestShare;
+  return is_longest || !is_reliable ? 0 : stats.longest_ms - allowed_ms;
 }
 
 }  // namespace meadowthread
--- a/src/policy/first_try.h
+++ b/src/policy/first_try.h
@@ -8,27 +8,30 @@
 
 namespace meadowthread {
 
-/// @brief Tells how long ago a request's caller asked for the first time.
+/// @brief Estimates how long ago a request's caller made its first attempt.
 ///
-/// Each attempt is a request of its own and says only how long its caller still
-/// waits. Where most callers of a route allow the same time at first, what is
-/// missing from it has passed since then. Answers the load pattern "those who
-/// were refused come back": their answer counts from their first attempt.
+/// Each attempt is a separate request that carries only the time its caller
+/// still waits. If most callers of a route start with the same time limit, the
+/// difference between that limit and the remaining time is the time since the
+/// first attempt. It is needed because the latency of a request that was
+/// refused and retried is measured from its first attempt.
 class FirstTry {
  public:
-  /// @brief Takes a request's time into account.
-  /// @param[in] allowed_ms its caller waits this long; 0: not told
-  /// @return milliseconds since its caller's first attempt; 0 for a first one,
-  /// and where the route's callers allow no common time
+  /// @brief Records a request's time limit and estimates its caller's elapsed
+  /// time.
+  /// @param[in] allowed_ms how long the caller still waits; 0: not given
+  /// @return milliseconds since the caller's first attempt; 0 for a first
+  /// attempt, or if the route's callers have no common time limit
   std::int64_t Elapsed(std::string_view route, std::int64_t allowed_ms);
 
  private:
   struct Route {
     std::int64_t longest_ms = 0;
-    double of_longest = 0.0;  ///< requests lately that allow about that
-    double all = 0.0;         ///< requests lately
+    /// Decaying count of requests with about the longest limit.
+    double at_longest = 0.0;
+    double total = 0.0;  ///< decaying count of requests
 
-    double Share() const { return this->of_longest / this->all; }
+    double LongestShare() const { return this->at_longest / this->total; }
   };
 
   StringMap<Route> routes;
--- a/src/policy/fleet_state.cc
+++ b/src/policy/fleet_state.cc
@@ -3,22 +3,24 @@
 #include <algorithm>
 #include <utility>
 
-#include "policy/detail/fleet_keys.h"
+#include "policy/detail/fleet_state_helpers.h"
 #include "xxhash.h"
 
 namespace meadowthread {
 namespace {
 
-// Ended streams are kept for as long as reports may lag.
-constexpr std::int64_t kEndedKeptMs = 5'000;
-// Engines that join a fleet older than this come into service slowly.
-constexpr std::int64_t kFleetStartMs = 10'000;
+// Load reports lag behind by up to this long and may still include streams that
+// have ended since.
+constexpr std::int64_t kEndedRetentionMs = 5'000;
+// Engines added within this time of the first one belong to the initial fleet
+// and need no slow start.
+constexpr std::int64_t kFleetStartupMs = 10'000;
 std::uint64_t HashOf(std::string_view text) {
   return XXH64(text.data(), text.size(), 0);
 }
 
-// Each model is found by its exact version and by any version.
-std::vector<std::string> KeysOf(const std::vector<ServedModel>& models) {
+// Each model is indexed under its exact version and under any version.
+std::vector<std::string> ModelKeysOf(const std::vector<ServedModel>& models) {
   std::vector<std::string> keys;
   for (const ServedModel& served : models) {
     keys.push_back(detail::ModelKey(served.model, served.adapter, ""));
@@ -44,7 +46,7 @@
   }
   EngineView& view = engine->view;
   if (!view.live && listing.live) {
-    view.slow_start_since = now_ms;
+    view.slow_start_began_ms = now_ms;
   }
   view.zone = listing.zone;
   view.region = listing.region;
@@ -64,8 +66,8 @@
 void FleetState::RemoveEngine(std::string_view engine) {
   Engine* const found = this->FindEngine(engine);
   if (found != nullptr) {
-    // An engine that is not live is never chosen; its place is taken by
-    // another one once its streams are over.
+    // An engine that is not live is never chosen. Its slot is reused once its
+    // streams have ended.
     found->view.live = false;
   }
 }
@@ -89,8 +91,8 @@
     return;
   }
   if (restarted) {
-    view.slow_start_since = now_ms;
-    this->prefixes.Forget(this->by_name[report.engine]);
+    view.slow_start_began_ms = now_ms;
+    this->prefixes.ForgetEngine(this->by_name[report.engine]);
   }
   view.incarnation = report.incarnation;
   view.reported_unix_ms = std::min(report.as_of_unix_ms, now_ms);
@@ -101,8 +103,8 @@
   view.preemptions = report.preemptions;
   engine->reported_leaving = report.leaving;
   view.leaving = engine->listed_leaving || engine->reported_leaving;
-  this->TakeOwnOut(*engine, now_ms);
-  engine->cached_ms = -1;
+  this->SubtractOwnWork(*engine, now_ms);
+  engine->forecast_cached_ms = -1;
   if (view.models != report.models) {
     this->IndexModels(this->by_name[report.engine], report.models);
     view.models = report.models;
@@ -120,7 +122,7 @@
   Engine* const found = this->FindEngine(engine);
   if (found != nullptr && found->view.stalled) {
     found->view.stalled = false;
-    found->view.slow_start_since = now_ms;
+    found->view.slow_start_began_ms = now_ms;
   }
 }
 
@@ -133,17 +135,18 @@
   }
   this->preferred.clear();
   for (std::size_t i = 0; i < this->engines.size(); ++i) {
-    this->DecidePreferred(static_cast<EngineIndex>(i));
+    this->UpdatePreferred(static_cast<EngineIndex>(i));
   }
 }
 
-void FleetState::DecidePreferred(EngineIndex index) {
+void FleetState::UpdatePreferred(EngineIndex index) {
   Engine& engine = *this->engines[index];
   if (this->host_hashes.size() < 2) {
     engine.preferred = true;
     return;
   }
-  // Rendezvous hashing: a host that comes or goes moves only its own engines.
+  // Rendezvous hashing: a host that joins or leaves changes the assignment of
+  // its own engines only.
   const std::uint64_t seed = HashOf(engine.view.engine);
   std::uint64_t best = 0;
   std::uint64_t best_host = 0;
@@ -172,19 +175,19 @@
   stream->request = work.request;
   stream->key = LengthKeyOf(work);
   stream->curve = this->lengths.CurveOf(stream->key);
-  stream->outlook = {work.prompt_tokens, 0, work.max_output_tokens};
+  stream->progress = {work.prompt_tokens, 0, work.max_output_tokens};
   Engine& target = *this->engines[found->second];
   if (!work.is_copy) {
     const std::int64_t ahead = work.reading_ahead >= 0
                                    ? work.reading_ahead
                                    : this->ReadingTokens(found->second, now_ms);
-    stream->to_read = ahead + work.prompt_tokens;
+    stream->tokens_before_first_event = ahead + work.prompt_tokens;
   }
-  if (target.cached_ms >= 0) {
-    target.cached.AddStream(stream->outlook, *stream->curve);
+  if (target.forecast_cached_ms >= 0) {
+    target.forecast_cache.AddStream(stream->progress, *stream->curve);
   }
   this->Attach(std::move(stream), found->second, now_ms);
-  this->prefixes.Stored(work.prefix_hash, found->second);
+  this->prefixes.NoteStored(work.prefix_hash, found->second);
 }
 
 void FleetState::NoteTokens(std::string_view request, std::int64_t generated,
@@ -195,17 +198,18 @@
   }
   Engine& engine = *this->engines[found->second.engine];
   Stream& stream = *engine.streams[found->second.position];
-  if (generated > 0 && stream.to_read > 0) {
-    const ReadingSeen seen{engine.view.engine, std::exchange(stream.to_read, 0),
+  if (generated > 0 && stream.tokens_before_first_event > 0) {
+    const ReadingSeen seen{engine.view.engine,
+                           std::exchange(stream.tokens_before_first_event, 0),
                            now_ms - stream.sent_ms};
     this->ObserveReading(seen);
-    if (this->reading_told) {
-      this->reading_told(seen);
+    if (this->prefill_observed) {
+      this->prefill_observed(seen);
     }
   }
-  engine.view.own_kv += generated - stream.outlook.generated;
-  stream.outlook.generated = generated;
-  stream.noted_ms = now_ms;
+  engine.view.own_kv += generated - stream.progress.generated;
+  stream.progress.generated = generated;
+  stream.progress_ms = now_ms;
 }
 
 void FleetState::NoteMoved(std::string_view request, std::string_view engine,
@@ -216,7 +220,7 @@
     return;
   }
   std::unique_ptr<Stream> stream = this->Detach(found->second, now_ms);
-  this->engines[target->second]->cached_ms = -1;
+  this->engines[target->second]->forecast_cached_ms = -1;
   this->Attach(std::move(stream), target->second, now_ms);
 }
 
@@ -229,7 +233,7 @@
   const std::unique_ptr<Stream> stream = this->Detach(found->second, now_ms);
   this->streams.erase(found);
   if (end == StreamEnd::kComplete) {
-    this->lengths.Observe(stream->key, stream->outlook.generated);
+    this->lengths.Observe(stream->key, stream->progress.generated);
   }
 }
 
@@ -237,28 +241,28 @@
                         std::int64_t now_ms) {
   Engine& engine = *this->engines[to];
   stream->sent_ms = now_ms;
-  stream->noted_ms = now_ms;
+  stream->progress_ms = now_ms;
   this->streams[stream->request] =
-      StreamPlace{to, static_cast<std::uint32_t>(engine.streams.size())};
-  engine.view.own_kv += HeldBy(*stream);
+      StreamLocation{to, static_cast<std::uint32_t>(engine.streams.size())};
+  engine.view.own_kv += KvHeldBy(*stream);
   ++engine.view.own_in_flight;
   ++engine.view.own_since_report;
   engine.streams.push_back(std::move(stream));
 }
 
-// Where no report of the engine ever comes, what ended there long ago is
-// dropped here.
-std::unique_ptr<FleetState::Stream> FleetState::Detach(StreamPlace place,
+// Removes old ended streams here as well, since some engines never send a load
+// report.
+std::unique_ptr<FleetState::Stream> FleetState::Detach(StreamLocation location,
                                                        std::int64_t now_ms) {
-  Engine& engine = *this->engines[place.engine];
-  std::unique_ptr<Stream> stream = std::move(engine.streams[place.position]);
-  const std::int64_t held = HeldBy(*stream);
-  DropOldEnded(engine, now_ms);
-  engine.ended.push_back({now_ms, held});
-  engine.view.own_kv -= held;
+  Engine& engine = *this->engines[location.engine];
+  std::unique_ptr<Stream> stream = std::move(engine.streams[location.position]);
+  const std::int64_t kv_held = KvHeldBy(*stream);
+  RemoveOldEnded(engine, now_ms);
+  engine.ended.push_back({now_ms, kv_held});
+  engine.view.own_kv -= kv_held;
   --engine.view.own_in_flight;
-  engine.cached_ms = -1;
-  this->RemoveStream(engine, place.position);
+  engine.forecast_cached_ms = -1;
+  this->RemoveStream(engine, location.position);
   return stream;
 }
 
@@ -271,27 +275,27 @@
   list.pop_back();
 }
 
-void FleetState::DropOldEnded(Engine& engine, std::int64_t now_ms) {
+void FleetState::RemoveOldEnded(Engine& engine, std::int64_t now_ms) {
   std::erase_if(engine.ended, [now_ms](const EndedStream& ended) {
-    return ended.ended_ms + kEndedKeptMs < now_ms;
+    return ended.ended_ms + kEndedRetentionMs < now_ms;
   });
 }
 
-std::int64_t FleetState::HeldBy(const Stream& stream) {
-  return stream.outlook.prompt_tokens + stream.outlook.generated;
+std::int64_t FleetState::KvHeldBy(const Stream& stream) {
+  return stream.progress.prompt_tokens + stream.progress.generated;
 }
 
-std::int64_t FleetState::OwnReading(const Engine& engine) {
+std::int64_t FleetState::OwnPrefillTokens(const Engine& engine) {
   std::int64_t tokens = 0;
   for (const auto& stream : engine.streams) {
-    if (stream->to_read > 0) {
-      tokens += stream->outlook.prompt_tokens;
+    if (stream->tokens_before_first_event > 0) {
+      tokens += stream->progress.prompt_tokens;
     }
   }
   return tokens;
 }
 
-// ------------------------------------------------------------------ details
+// ---------------------------------------------------------------- internals
 
 FleetState::Engine* FleetState::FindEngine(std::string_view name) {
   const auto found = this->by_name.find(name);
@@ -308,25 +312,25 @@
   }
   auto engine = std::make_unique<Engine>();
   engine->view.engine = std::string(name);
-  if (now_ms - this->first_engine_ms > kFleetStartMs) {
-    engine->view.slow_start_since = now_ms;
+  if (now_ms - this->first_engine_ms > kFleetStartupMs) {
+    engine->view.slow_start_began_ms = now_ms;
   }
-  const EngineIndex index = this->FreePlace();
+  const EngineIndex index = this->AcquireSlot();
   this->by_name[std::string(name)] = index;
   this->engines[index] = std::move(engine);
-  this->DecidePreferred(index);
+  this->UpdatePreferred(index);
   return *this->engines[index];
 }
 
-// Engines come and go for as long as the host lives. The place of one that is
-// gone is free once no stream counts on it.
-EngineIndex FleetState::FreePlace() {
+// Engines come and go during a host's lifetime. The slot of one that is gone is
+// reused once none of its streams is left.
+EngineIndex FleetState::AcquireSlot() {
   for (std::size_t i = 0; i < this->engines.size(); ++i) {
     const Engine& old = *this->engines[i];
     if (!old.view.live && old.streams.empty()) {
       const auto index = static_cast<EngineIndex>(i);
       this->IndexModels(index, {});
-      this->prefixes.Forget(index);
+      this->prefixes.ForgetEngine(index);
       this->by_name.erase(old.view.engine);
       std::erase(this->preferred, index);
       return index;
@@ -336,40 +340,43 @@
   return static_cast<EngineIndex>(this->engines.size() - 1);
 }
 
-void FleetState::TakeOwnOut(Engine& engine, std::int64_t now_ms) const {
+void FleetState::SubtractOwnWork(Engine& engine, std::int64_t now_ms) const {
   const std::int64_t as_of = engine.view.reported_unix_ms;
-  DropOldEnded(engine, now_ms);
+  RemoveOldEnded(engine, now_ms);
   int own = 0;
   std::int64_t own_kv = 0;
-  int since = 0;
+  int sent_since_report = 0;
   for (const auto& stream : engine.streams) {
     if (stream->sent_ms > as_of) {
-      ++since;
+      ++sent_since_report;
       continue;
     }
     ++own;
-    const std::int64_t grown = std::min(
-        stream->outlook.generated, detail::TokensIn(stream->noted_ms - as_of));
-    own_kv += stream->outlook.prompt_tokens + stream->outlook.generated - grown;
+    const std::int64_t generated_since_report =
+        std::min(stream->progress.generated,
+                 detail::EstimateDecodedTokens(stream->progress_ms - as_of));
+    own_kv += stream->progress.prompt_tokens + stream->progress.generated -
+              generated_since_report;
   }
   for (const EndedStream& ended : engine.ended) {
     if (ended.ended_ms > as_of) {
       ++own;
-      own_kv += ended.held;
+      own_kv += ended.kv_held;
     }
   }
   const EngineView& view = engine.view;
-  engine.view.own_since_report = since;
+  engine.view.own_since_report = sent_since_report;
   engine.others_running = std::max(0, view.running + view.waiting - own);
   engine.others_kv = std::max<std::int64_t>(0, view.kv_used - own_kv);
 }
 
 void FleetState::IndexModels(EngineIndex index,
                              const std::vector<ServedModel>& models) {
-  for (const std::string& key : KeysOf(this->engines[index]->view.models)) {
+  for (const std::string& key :
+       ModelKeysOf(this->engines[index]->view.models)) {
     std::erase(this->by_model[key], index);
   }
-  for (const std::string& key : KeysOf(models)) {
+  for (const std::string& key : ModelKeysOf(models)) {
     this->by_model[key].push_back(index);
   }
 }
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -13,245 +13,263 @@
 #include "policy/engine_view.h"
 #include "policy/length_model.h"
 #include "policy/memory_forecast.h"
+#include "policy/prefill_rate.h"
 #include "policy/prefix_hints.h"
-#include "policy/reading_rate.h"
 #include "policy/shared_work.h"
 #include "policy/string_map.h"
 #include "policy/work.h"
 
 namespace meadowthread {
 
-/// @brief A dense number for an engine, valid within one FleetState.
+/// @brief Dense index of an engine, valid within one FleetState.
 using EngineIndex = std::uint32_t;
 
 /// @brief How a stream ended.
 enum class StreamEnd {
-  kComplete,  ///< by itself: its length is learnt from
-  kCut,       ///< cancelled, lost or refused: nothing is learnt
+  kComplete,  ///< finished normally: its output length is learned
+  kCut,       ///< cancelled, lost or refused: nothing is learned
 };
 
-/// @brief What a stream's first event shows of its engine's reading.
+/// @brief A measurement of an engine's prefill speed, taken at a stream's first
+/// event.
 struct ReadingSeen {
   std::string engine;
-  std::int64_t tokens = 0;   ///< to be read until then when it was sent
-  std::int64_t took_ms = 0;  ///< from its sending
+  std::int64_t tokens = 0;  ///< prompt tokens to prefill before the first event
+  std::int64_t took_ms = 0;  ///< from sending the request to the first event
 };
 
-/// @brief What a FleetState may be set to.
+/// @brief Options of FleetState.
 struct FleetOptions {
-  /// How long an engine that joins or comes back is filled slowly; 0: at once.
+  /// Duration of the slow start of an engine that joins or returns; 0: no slow
+  /// start.
   std::int64_t slow_start_ms = 10'000;
-  /// What a peer said longer ago than this is passed over.
-  std::int64_t peer_age_ms = 3'000;
+  /// Loads reported by peers are ignored if they are older than this.
+  std::int64_t max_peer_age_ms = 3'000;
 };
 
-/// @brief What this host knows of the engines and of its own work on them.
+/// @brief This host's knowledge of the engines and of its own requests on them.
 ///
-/// All times are milliseconds on one scale (Unix time). No clock, no I/O.
+/// All times are Unix milliseconds. It reads no clock and does no I/O.
 class FleetState {
  public:
-  /// @param[in] lengths outlives the state
+  /// @param[in] lengths must outlive this object
   explicit FleetState(LengthModel& lengths, FleetOptions options = {});
 
   // ---------------------------------------------------------------- engines
 
-  /// @brief Takes over one line of the host list.
+  /// @brief Adds or updates an engine from its entry in the host list.
   void SetEngine(const EngineListing& listing, std::int64_t now_ms);
 
-  /// @brief An engine left the host list.
+  /// @brief Marks an engine as gone that left the host list.
   void RemoveEngine(std::string_view engine);
 
-  /// @brief Takes a load report; one older than the last is passed over.
+  /// @brief Applies a load report; ignored if older than the last one applied.
   void ApplyReport(const LoadReport& report, std::int64_t now_ms);
 
-  /// @brief The engine does not answer or makes no progress: no new work.
+  /// @brief Marks an engine that does not answer or makes no progress; it gets
+  /// no new work.
   void EngineStalled(std::string_view engine, std::int64_t now_ms);
 
-  /// @brief It answers again: work comes back slowly.
+  /// @brief Marks a stalled engine as answering again and starts its slow
+  /// start.
   void EngineBack(std::string_view engine, std::int64_t now_ms);
 
-  /// @brief Takes the part of an engine's recent requests that failed.
+  /// @brief Sets the fraction of an engine's recent requests that failed.
   void SetFailureShare(std::string_view engine, double share);
 
-  /// @brief The engine could not be reached: it is a last resort until then.
+  /// @brief Marks an engine that could not be reached; it is used only as a
+  /// last resort until then.
   /// @param[in] until_ms Unix time
   void SetAside(std::string_view engine, std::int64_t until_ms);
 
-  /// @brief The engine refused a run's copy: it has no memory for it, or leaves
-  /// and nobody has told so yet. For a while it is a last resort.
+  /// @brief Records that an engine refused a KV-cache copy, because it has no
+  /// memory for it or because it is leaving and has not yet announced it. The
+  /// engine is used only as a last resort for a short time.
   void NoteNoRoom(std::string_view engine, std::int64_t now_ms);
 
-  /// @brief Says which entry hosts share the engines. Each engine is
-  /// preferred by one of them, the same in every host's view.
+  /// @brief Sets the hosts that share the engines. Each engine is preferred by
+  /// exactly one host, and all hosts agree on which one.
   /// @param[in] self this host's name
-  /// @param[in] hosts all entry hosts' names, this one's included
+  /// @param[in] hosts the names of all hosts, including this one
   /// @complexity O(hosts * engines)
   void SetHosts(std::string_view self, std::span<const std::string> hosts);
 
   // ------------------------------------------------------------ own streams
 
-  /// @brief A request was sent to an engine.
+  /// @brief Records that a request was sent to an engine.
   void NoteSent(const WorkItem& work, std::string_view engine,
                 std::int64_t now_ms);
 
-  /// @brief Told of each first event of an own stream.
-  void OnReading(const std::function<void(const ReadingSeen& seen)>& told) {
-    this->reading_told = told;
+  /// @brief Sets the callback for prefill measurements from this host's
+  /// streams.
+  void OnReading(const std::function<void(const ReadingSeen& seen)>& callback) {
+    this->prefill_observed = callback;
   }
 
-  /// @brief Takes how long another host's stream waited for its first event.
+  /// @brief Applies a prefill measurement from another host.
   void ObserveReading(const ReadingSeen& seen) {
-    this->reading.Observe(seen.tokens, seen.took_ms);
+    this->prefill_rate.Observe(seen.tokens, seen.took_ms);
   }
 
-  /// @brief A stream has got this far.
-  /// @param[in] generated tokens in all, not since the last note
+  /// @brief Records a stream's progress.
+  /// @param[in] generated total number of tokens generated so far
   void NoteTokens(std::string_view request, std::int64_t generated,
                   std::int64_t now_ms);
 
-  /// @brief A stream goes on at another engine with its memory.
+  /// @brief Records that a stream and its KV cache migrated to another engine.
   void NoteMoved(std::string_view request, std::string_view engine,
                  std::int64_t now_ms);
 
-  /// @brief How many copies of runs this host has on the engine's link now, to
-  /// be told to the others: a link carries one after the other.
+  /// @brief Sets how many KV-cache copies this host has on the engine's network
+  /// link. Peers are told, because a link carries one copy at a time.
   void SetCopies(std::string_view engine, int copies);
 
-  /// @brief A stream is over.
+  /// @brief Records that a stream ended.
   void NoteEnded(std::string_view request, StreamEnd end, std::int64_t now_ms);
 
-  // ------------------------------------------------------- hints and peers
+  // -------------------------------------------------------- hints and peers
 
-  /// @brief An engine's cache event.
+  /// @brief Records that an engine's prefix cache stored or evicted a prefix.
   void NoteCached(std::string_view engine, std::uint64_t prefix, bool stored);
 
-  /// @brief What another entry host says of its work on one engine.
+  /// @brief Applies a peer's report of its work on one engine.
   void NotePeerLoad(const PeerLoad& load, std::int64_t now_ms);
 
-  /// @brief What a peer had on the engine is no longer there.
+  /// @brief Removes what a peer reported for an engine.
   void ForgetPeerLoad(std::string_view engine, std::string_view peer);
 
-  /// @brief What to tell the other entry hosts: engines with own work, and
-  /// those whose work ended since the last call.
+  /// @brief The loads to report to the other hosts: one for each engine with
+  /// own streams and for each engine whose own streams ended since the last
+  /// call.
   std::vector<PeerLoad> OwnLoad(std::string_view self, std::int64_t now_ms);
 
-  // ---------------------------------------------------------------- reading
+  // ---------------------------------------------------------------- queries
 
   /// @brief Engines that have the work's model, adapter and version loaded.
   std::span<const EngineIndex> Serving(const WorkItem& work) const;
 
-  /// @brief Engines whose cache may hold the work's prefix.
-  std::span<const EngineIndex> PrefixEngines(const WorkItem& work) const;
+  /// @brief Engines whose prefix cache may hold the work's prefix.
+  std::span<const EngineIndex> EnginesWithPrefix(const WorkItem& work) const;
 
-  /// @brief Whether this host is the one that prefers the engine; true for
-  /// all engines while no other host is known.
-  bool Preferred(EngineIndex index) const;
+  /// @brief Whether this host is the one that prefers the engine; true for all
+  /// engines while no other host is known.
+  bool IsPreferred(EngineIndex index) const;
 
-  /// @brief The engines that this host prefers; empty while it is alone.
+  /// @brief The engines that this host prefers; empty while no other host is
+  /// known.
   std::span<const EngineIndex> PreferredEngines() const {
     return this->preferred;
   }
 
-  /// @brief Whether the engine has the work's model, adapter and version.
+  /// @brief Whether the engine has the work's model, adapter and version
+  /// loaded.
   bool Serves(EngineIndex index, const WorkItem& work) const;
 
+  /// @brief The engine's view.
   const EngineView& View(EngineIndex index) const;
 
-  /// @brief Null where the engine is not known.
+  /// @brief The engine's view; null if the engine is not known.
   const EngineView* Find(std::string_view engine) const;
 
+  /// @brief Number of engine slots, including those of engines that are gone.
   std::size_t EngineCount() const { return this->engines.size(); }
 
-  /// @brief Memory the engine will hold: own streams, peers', and the rest.
+  /// @brief Forecast of the engine's KV-cache use by own streams, peers'
+  /// streams and the streams known only from its load report.
   MemoryForecast Forecast(EngineIndex index, std::int64_t now_ms) const;
 
-  /// @brief Prompt tokens that the engine has yet to read, as far as known.
+  /// @brief Known prompt tokens that the engine has yet to prefill.
   std::int64_t ReadingTokens(EngineIndex index, std::int64_t now_ms) const;
 
-  /// @brief What other hosts told of their work on the engine.
+  /// @brief The loads that other hosts reported for the engine, without
+  /// outdated and empty ones.
   std::vector<PeerLoad> PeersAt(std::string_view engine,
                                 std::int64_t now_ms) const;
 
-  /// @brief Whether this host or a peer has a copy on the engine's link.
+  /// @brief Whether this host or a peer has a KV-cache copy on the engine's
+  /// link.
   bool IsLinkBusy(EngineIndex index, std::int64_t now_ms) const;
 
-  /// @brief Requests believed to be on the engine now.
+  /// @brief Estimated number of requests on the engine now.
   int InFlight(EngineIndex index, std::int64_t now_ms) const;
 
-  /// @brief The part of the engine's room to be used now, in (0, 1]: less
-  /// while it comes back into service.
-  double ServiceShare(EngineIndex index, std::int64_t now_ms) const;
+  /// @brief The fraction of the engine's memory that may be used now, in (0,
+  /// 1]; below 1 during its slow start.
+  double SlowStartShare(EngineIndex index, std::int64_t now_ms) const;
 
+  /// @brief The model of output lengths that this state learns and uses.
   LengthModel& Lengths() const { return this->lengths; }
 
-  /// @brief How fast engines read, as far as own streams have shown.
-  const ReadingRate& Reading() const { return this->reading; }
+  /// @brief The prefill speed learned from first events.
+  const PrefillRate& Prefill() const { return this->prefill_rate; }
 
  private:
   struct Stream {
     std::string request;
     LengthKey key;
     std::shared_ptr<const LengthCurve> curve;
-    StreamOutlook outlook;
+    StreamProgress progress;
     std::int64_t sent_ms = 0;
-    std::int64_t noted_ms = 0;
-    /// Prompt tokens read before its first event, its own included; 0: it has
-    /// begun, or its memory comes by a copy.
-    std::int64_t to_read = 0;
+    std::int64_t progress_ms = 0;
+    /// Prompt tokens to prefill before its first event, including its own; 0:
+    /// the first event has arrived, or the KV cache comes from a copy.
+    std::int64_t tokens_before_first_event = 0;
   };
 
   struct EndedStream {
     std::int64_t ended_ms = 0;
-    std::int64_t held = 0;
+    std::int64_t kv_held = 0;
   };
 
   struct Engine {
     EngineView view;
     std::vector<std::unique_ptr<Stream>> streams;
-    std::vector<EndedStream> ended;  ///< lately, to read reports with
+    /// Recent ones, needed to interpret load reports.
+    std::vector<EndedStream> ended;
     std::vector<PeerLoad> peers;
-    int others_running = 0;  ///< of the last report, own work taken out
+    int others_running = 0;  ///< in the last report, without this host's own
     std::int64_t others_kv = 0;
-    // Both lag, each behind the other at times: either one is believed.
+    // Either source may lag behind the other, so the engine counts as leaving
+    // if one of them says so.
     bool listed_leaving = false;
     bool reported_leaving = false;
-    bool told_peers = false;
-    int copies = 0;  ///< of own runs, on its link
+    bool reported_to_peers = false;
+    int copies = 0;  ///< of this host's runs, on the engine's link
     bool preferred = true;
-    mutable MemoryForecast cached;
-    mutable std::int64_t cached_ms = -1;
+    mutable MemoryForecast forecast_cache;
+    mutable std::int64_t forecast_cached_ms = -1;
   };
 
-  struct StreamPlace {
+  struct StreamLocation {
     EngineIndex engine = 0;
     std::uint32_t position = 0;
   };
 
   Engine* FindEngine(std::string_view name);
-  void DecidePreferred(EngineIndex index);
+  void UpdatePreferred(EngineIndex index);
   Engine& AddEngine(std::string_view name, std::int64_t now_ms);
-  EngineIndex FreePlace();
-  static std::int64_t OwnReading(const Engine& engine);
-  void TakeOwnOut(Engine& engine, std::int64_t now_ms) const;
+  EngineIndex AcquireSlot();
+  static std::int64_t OwnPrefillTokens(const Engine& engine);
+  void SubtractOwnWork(Engine& engine, std::int64_t now_ms) const;
   void IndexModels(EngineIndex index, const std::vector<ServedModel>& models);
   void Attach(std::unique_ptr<Stream> stream, EngineIndex to,
               std::int64_t now_ms);
-  std::unique_ptr<Stream> Detach(StreamPlace place, std::int64_t now_ms);
+  std::unique_ptr<Stream> Detach(StreamLocation location, std::int64_t now_ms);
   void RemoveStream(Engine& engine, std::uint32_t position);
-  static void DropOldEnded(Engine& engine, std::int64_t now_ms);
-  static std::int64_t HeldBy(const Stream& stream);
+  static void RemoveOldEnded(Engine& engine, std::int64_t now_ms);
+  static std::int64_t KvHeldBy(const Stream& stream);
   bool IsFresh(const PeerLoad& load, std::int64_t now_ms) const;
-  void AddOthers(const Engine& engine, std::int64_t now_ms,
-                 MemoryForecast& forecast) const;
+  void AddOtherHostsWork(const Engine& engine, std::int64_t now_ms,
+                         MemoryForecast& forecast) const;
 
   LengthModel& lengths;
   FleetOptions options;
-  ReadingRate reading;
-  std::function<void(const ReadingSeen& seen)> reading_told;
+  PrefillRate prefill_rate;
+  std::function<void(const ReadingSeen& seen)> prefill_observed;
   std::vector<std::unique_ptr<Engine>> engines;
   StringMap<EngineIndex> by_name;
   StringMap<std::vector<EngineIndex>> by_model;
-  StringMap<StreamPlace> streams;
+  StringMap<StreamLocation> streams;
   PrefixHints prefixes;
   std::uint64_t self_hash = 0;
   std::vector<std::uint64_t> host_hashes;
--- a/src/policy/fleet_keys.cc
+++ b/src/policy/fleet_state_helpers.cc
@@ -1,12 +1,12 @@
-#include "policy/detail/fleet_keys.h"
+#include "policy/detail/fleet_state_helpers.h"
 
 #include <algorithm>
 
 namespace meadowthread::detail {
 namespace {
 
-// Decoding speed assumed where only the time passed is known.
-constexpr double kTokensPerMs = 0.03;
+// Assumed decode speed of one stream.
+constexpr double kDecodeTokensPerMs = 0.03;
 
 }  // namespace
 
@@ -20,9 +20,10 @@
   return key;
 }
 
-std::int64_t TokensIn(std::int64_t span_ms) {
-  const auto span = static_cast<double>(std::max<std::int64_t>(span_ms, 0));
-  return static_cast<std::int64_t>(span * kTokensPerMs);
+std::int64_t EstimateDecodedTokens(std::int64_t elapsed_ms) {
+  const auto elapsed =
+      static_cast<double>(std::max<std::int64_t>(elapsed_ms, 0));
+  return static_cast<std::int64_t>(elapsed * kDecodeTokensPerMs);
 }
 
 }  // namespace meadowthread::detail
--- a/src/policy/fleet_state_peers.cc
+++ b/src/policy/fleet_state_peers.cc
@@ -1,4 +1,5 @@
-// What is told of engines besides their reports: hints, and other hosts' loads.
+// FleetState: what is known of engines other than from their load reports, such
+// as cache events, refused copies and the loads reported by peers.
 #include <algorithm>
 #include <utility>
 
@@ -7,9 +8,10 @@
 namespace meadowthread {
 namespace {
 
-// An engine without memory for a copy gets some as one of its runs ends, each
-// of ten that last for some nine seconds; one that leaves says so by then.
-constexpr std::int64_t kNoRoomMs = 400;
+// An engine without memory for a copy regains some when one of its runs ends;
+// typically it has ten runs of about nine seconds each. An engine that is
+// leaving has announced it within this time.
+constexpr std::int64_t kCopyRefusedMs = 400;
 
 }  // namespace
 
@@ -20,9 +22,9 @@
     return;
   }
   if (stored) {
-    this->prefixes.Stored(prefix, found->second);
+    this->prefixes.NoteStored(prefix, found->second);
   } else {
-    this->prefixes.Evicted(prefix, found->second);
+    this->prefixes.NoteEvicted(prefix, found->second);
   }
 }
 
@@ -34,7 +36,7 @@
 
 void FleetState::NoteNoRoom(std::string_view engine, std::int64_t now_ms) {
   if (Engine* const found = this->FindEngine(engine)) {
-    found->view.no_room_until_ms = now_ms + kNoRoomMs;
+    found->view.no_room_until_ms = now_ms + kCopyRefusedMs;
   }
 }
 
@@ -61,7 +63,7 @@
   std::erase_if(engine->peers, [&](const PeerLoad& known) {
     return !this->IsFresh(known, now_ms);
   });
-  engine->cached_ms = -1;
+  engine->forecast_cached_ms = -1;
   for (PeerLoad& known : engine->peers) {
     if (known.peer == load.peer) {
       if (known.as_of_unix_ms <= load.as_of_unix_ms) {
@@ -78,12 +80,12 @@
   if (Engine* const found = this->FindEngine(engine)) {
     std::erase_if(found->peers,
                   [peer](const PeerLoad& known) { return known.peer == peer; });
-    found->cached_ms = -1;
+    found->forecast_cached_ms = -1;
   }
 }
 
 bool FleetState::IsFresh(const PeerLoad& load, std::int64_t now_ms) const {
-  return load.as_of_unix_ms + this->options.peer_age_ms >= now_ms;
+  return load.as_of_unix_ms + this->options.max_peer_age_ms >= now_ms;
 }
 
 std::vector<PeerLoad> FleetState::OwnLoad(std::string_view self,
@@ -91,20 +93,20 @@
   std::vector<PeerLoad> loads;
   for (const auto& engine : this->engines) {
     const bool busy = !engine->streams.empty();
-    if (!busy && !engine->told_peers) {
+    if (!busy && !engine->reported_to_peers) {
       continue;
     }
-    engine->told_peers = busy;
+    engine->reported_to_peers = busy;
     PeerLoad load;
     load.peer = std::string(self);
     load.engine = engine->view.engine;
     load.as_of_unix_ms = now_ms;
     load.in_flight = engine->view.own_in_flight;
     load.kv_held = engine->view.own_kv;
-    load.reading = OwnReading(*engine);
+    load.reading = OwnPrefillTokens(*engine);
     load.copies = engine->copies;
     for (const auto& stream : engine->streams) {
-      load.forecast.AddStream(stream->outlook, *stream->curve);
+      load.forecast.AddStream(stream->progress, *stream->curve);
     }
     loads.push_back(std::move(load));
   }
--- a/src/policy/fleet_state_reading.cc
+++ b/src/policy/fleet_state_queries.cc
@@ -1,17 +1,18 @@
-// What choosers ask of the fleet's state.
+// FleetState: the queries that choosers use.
 #include <algorithm>
 
-#include "policy/detail/fleet_keys.h"
+#include "policy/detail/fleet_state_helpers.h"
 #include "policy/fleet_state.h"
 
 namespace meadowthread {
 namespace {
 
-// A forecast is good for this long unless own work on the engine changes.
-constexpr std::int64_t kForecastAgeMs = 100;
-constexpr double kSlowStartFloor = 0.1;
-// Of the tokens another host's stream holds, about this part is generated.
-constexpr double kGeneratedPart = 0.5;
+// A cached forecast is valid for this long, unless the work known on the engine
+// changes.
+constexpr std::int64_t kForecastCacheMs = 100;
+constexpr double kMinSlowStartShare = 0.1;
+// Assumed generated fraction of the tokens held by a stream of another host.
+constexpr double kGeneratedFraction = 0.5;
 
 }  // namespace
 
@@ -24,12 +25,12 @@
   return found->second;
 }
 
-std::span<const EngineIndex> FleetState::PrefixEngines(
+std::span<const EngineIndex> FleetState::EnginesWithPrefix(
     const WorkItem& work) const {
   return this->prefixes.EnginesOf(work.prefix_hash);
 }
 
-bool FleetState::Preferred(EngineIndex index) const {
+bool FleetState::IsPreferred(EngineIndex index) const {
   return this->engines[index]->preferred;
 }
 
@@ -59,52 +60,53 @@
 MemoryForecast FleetState::Forecast(EngineIndex index,
                                     std::int64_t now_ms) const {
   const Engine& engine = *this->engines[index];
-  const bool fresh =
-      engine.cached_ms >= 0 && now_ms - engine.cached_ms < kForecastAgeMs;
+  const bool fresh = engine.forecast_cached_ms >= 0 &&
+                     now_ms - engine.forecast_cached_ms < kForecastCacheMs;
   if (fresh) {
-    return engine.cached;
+    return engine.forecast_cache;
   }
   MemoryForecast forecast;
   for (const auto& stream : engine.streams) {
-    forecast.AddStream(stream->outlook, *stream->curve);
+    forecast.AddStream(stream->progress, *stream->curve);
   }
-  this->AddOthers(engine, now_ms, forecast);
-  engine.cached = forecast;
-  engine.cached_ms = now_ms;
+  this->AddOtherHostsWork(engine, now_ms, forecast);
+  engine.forecast_cache = forecast;
+  engine.forecast_cached_ms = now_ms;
   return forecast;
 }
 
-void FleetState::AddOthers(const Engine& engine, std::int64_t now_ms,
-                           MemoryForecast& forecast) const {
-  int unexplained = engine.others_running;
-  std::int64_t unexplained_kv = engine.others_kv;
+void FleetState::AddOtherHostsWork(const Engine& engine, std::int64_t now_ms,
+                                   MemoryForecast& forecast) const {
+  int unattributed = engine.others_running;
+  std::int64_t unattributed_kv = engine.others_kv;
   for (const PeerLoad& peer : engine.peers) {
     if (!this->IsFresh(peer, now_ms)) {
       continue;
     }
     forecast.AddScaled(peer.forecast, 1.0F);
-    unexplained -= peer.in_flight;
-    unexplained_kv -= peer.kv_held;
+    unattributed -= peer.in_flight;
+    unattributed_kv -= peer.kv_held;
   }
-  if (unexplained <= 0 || unexplained_kv <= 0) {
+  if (unattributed <= 0 || unattributed_kv <= 0) {
     return;
   }
-  // Streams that nobody told of: all alike, as long as the report implies.
-  const std::int64_t each =
-      unexplained_kv / unexplained +
-      detail::TokensIn(now_ms - engine.view.reported_unix_ms);
-  const auto generated =
-      static_cast<std::int64_t>(static_cast<double>(each) * kGeneratedPart);
+  // Streams that no peer reported: the report gives only their number and total
+  // tokens, so all of them are assumed to be of equal length.
+  const std::int64_t tokens_each =
+      unattributed_kv / unattributed +
+      detail::EstimateDecodedTokens(now_ms - engine.view.reported_unix_ms);
+  const auto generated = static_cast<std::int64_t>(
+      static_cast<double>(tokens_each) * kGeneratedFraction);
   MemoryForecast one;
-  one.AddStream({each - generated, generated, 0},
+  one.AddStream({tokens_each - generated, generated, 0},
                 *this->lengths.OverallCurve());
-  forecast.AddScaled(one, static_cast<float>(unexplained));
+  forecast.AddScaled(one, static_cast<float>(unattributed));
 }
 
 std::int64_t FleetState::ReadingTokens(EngineIndex index,
                                        std::int64_t now_ms) const {
   const Engine& engine = *this->engines[index];
-  std::int64_t tokens = OwnReading(engine);
+  std::int64_t tokens = OwnPrefillTokens(engine);
   for (const PeerLoad& peer : engine.peers) {
     if (this->IsFresh(peer, now_ms)) {
       tokens += peer.reading;
@@ -130,23 +132,25 @@
 
 int FleetState::InFlight(EngineIndex index, std::int64_t now_ms) const {
   const Engine& engine = *this->engines[index];
-  int told = 0;
+  int peer_streams = 0;
   for (const PeerLoad& peer : engine.peers) {
     if (this->IsFresh(peer, now_ms)) {
-      told += peer.in_flight;
+      peer_streams += peer.in_flight;
     }
   }
-  return engine.view.own_in_flight + std::max(told, engine.others_running);
+  return engine.view.own_in_flight +
+         std::max(peer_streams, engine.others_running);
 }
 
-double FleetState::ServiceShare(EngineIndex index, std::int64_t now_ms) const {
+double FleetState::SlowStartShare(EngineIndex index,
+                                  std::int64_t now_ms) const {
   const EngineView& view = this->engines[index]->view;
-  if (view.slow_start_since == 0 || this->options.slow_start_ms == 0) {
+  if (view.slow_start_began_ms == 0 || this->options.slow_start_ms == 0) {
     return 1.0;
   }
-  const auto since = static_cast<double>(now_ms - view.slow_start_since);
-  const auto whole = static_cast<double>(this->options.slow_start_ms);
-  return std::clamp(since / whole, kSlowStartFloor, 1.0);
+  const auto since = static_cast<double>(now_ms - view.slow_start_began_ms);
+  const auto ramp_ms = static_cast<double>(this->options.slow_start_ms);
+  return std::clamp(since / ramp_ms, kMinSlowStartShare, 1.0);
 }
 
 }  // namespace meadowthread
--- a/src/policy/home_regions.h
+++ b/src/policy/home_regions.h
@@ -9,14 +9,15 @@
 
 namespace meadowthread {
 
-/// @brief The regions that a request may run in. Not set: any; empty: none.
+/// @brief The regions in which a request may run. Not set: any region; empty:
+/// no region.
 using HomeRegions = std::optional<std::vector<std::string>>;
 
-/// @brief Whether a request with these homes may run in a region.
+/// @brief Whether a request with these allowed regions may run in `region`.
 bool MayRunIn(const HomeRegions& homes, std::string_view region);
 
-/// @brief The homes of a request that its route and its workspace both bind;
-/// an empty list binds nothing.
+/// @brief The regions allowed by both the route and the workspace. An empty
+/// list imposes no restriction.
 HomeRegions HomesOf(std::span<const std::string> route,
                     std::span<const std::string> workspace);
 
--- a/src/policy/length_model.cc
+++ b/src/policy/length_model.cc
@@ -3,34 +3,36 @@
 namespace meadowthread {
 namespace {
 
-// A curve is made anew after this many observations, or an eighth of all.
+// A curve is rebuilt after this many observations, or after an eighth of all
+// observations if that is fewer.
 constexpr std::uint32_t kRefreshEvery = 16;
 constexpr float kRefreshShare = 0.125F;
-// Models are few; past this the overall distribution serves.
+// Models beyond this number share the overall histogram.
 constexpr std::size_t kMaxModels = 1024;
-// With nothing observed, lengths are taken as spread evenly over octaves from
-// 16 to 4,096 tokens: wide, and with a tail that keeps memory free.
+// Without observations, the length is assumed to be distributed evenly over the
+// octaves from 16 to 4,096 tokens: a wide range, with a long tail that keeps
+// memory free.
 constexpr std::size_t kFirstPriorBucket =
     std::size_t{4} * kLengthBucketsPerOctave;
 constexpr std::size_t kEndPriorBucket =
     std::size_t{12} * kLengthBucketsPerOctave;
-constexpr float kTailPrior = 1e-3F;
+constexpr float kOutsideWeight = 1e-3F;
 
 std::string JoinKey(const LengthKey& key) {
-  std::string joined = key.workspace;
-  joined += '\0';
-  joined += key.template_name;
-  joined += '\0';
-  joined += key.model;
-  return joined;
+  std::string joined_key = key.workspace;
+  joined_key += '\0';
+  joined_key += key.template_name;
+  joined_key += '\0';
+  joined_key += key.model;
+  return joined_key;
 }
 
-std::array<float, kLengthBuckets> FirstPrior() {
+std::array<float, kLengthBuckets> InitialPrior() {
   std::array<float, kLengthBuckets> prior = {};
-  constexpr float kEach = 1.0F / (kEndPriorBucket - kFirstPriorBucket);
+  constexpr float kWeightEach = 1.0F / (kEndPriorBucket - kFirstPriorBucket);
   for (std::size_t i = 0; i < kLengthBuckets; ++i) {
     const bool inside = i >= kFirstPriorBucket && i < kEndPriorBucket;
-    prior[i] = inside ? kEach : kTailPrior;
+    prior[i] = inside ? kWeightEach : kOutsideWeight;
   }
   return prior;
 }
@@ -51,22 +53,22 @@
   }
   histogram.weights[LengthBucketOf(tokens)] += 1.0F;
   histogram.total = histogram.total * decay + 1.0F;
-  ++histogram.unseen;
+  ++histogram.new_observations;
 }
 
 void LearnedLengthModel::Observe(const LengthKey& key, std::int64_t tokens) {
   this->Add(this->overall, tokens);
-  this->Add(this->ModelOf(key.model), tokens);
-  this->Add(this->KeyState(JoinKey(key)), tokens);
+  this->Add(this->ModelHistogram(key.model), tokens);
+  this->Add(this->KeyHistogram(JoinKey(key)), tokens);
 }
 
 std::shared_ptr<const LengthCurve> LearnedLengthModel::CurveOf(
     const LengthKey& key) {
   const auto found = this->keys.find(JoinKey(key));
   if (found == this->keys.end()) {
-    return this->Blend(this->ModelOf(key.model), &this->overall);
+    return this->Blend(this->ModelHistogram(key.model), &this->overall);
   }
-  return this->Blend(*found->second, &this->ModelOf(key.model));
+  return this->Blend(*found->second, &this->ModelHistogram(key.model));
 }
 
 std::shared_ptr<const LengthCurve> LearnedLengthModel::OverallCurve() {
@@ -79,28 +81,29 @@
 
 std::shared_ptr<const LengthCurve> LearnedLengthModel::Blend(
     Histogram& own, const Histogram* prior) const {
-  const bool stale = own.unseen >= kRefreshEvery ||
-                     static_cast<float>(own.unseen) > own.total * kRefreshShare;
+  const bool stale =
+      own.new_observations >= kRefreshEvery ||
+      static_cast<float>(own.new_observations) > own.total * kRefreshShare;
   if (own.curve != nullptr && !stale) {
     return own.curve;
   }
-  static const std::array<float, kLengthBuckets> kFirst = FirstPrior();
+  static const std::array<float, kLengthBuckets> kInitialPrior = InitialPrior();
   const auto weight = static_cast<float>(this->options.prior_weight);
-  std::array<float, kLengthBuckets> mixed = {};
+  std::array<float, kLengthBuckets> blended = {};
   for (std::size_t i = 0; i < kLengthBuckets; ++i) {
-    float base = kFirst[i];
+    float prior_value = kInitialPrior[i];
     if (prior != nullptr && prior->total > 0.0F) {
-      // The kFirst prior stays in with one observation's weight.
-      base = (prior->weights[i] + base) / (prior->total + 1.0F);
+      // The initial prior remains with the weight of one observation.
+      prior_value = (prior->weights[i] + prior_value) / (prior->total + 1.0F);
     }
-    mixed[i] = own.weights[i] + weight * base;
+    blended[i] = own.weights[i] + weight * prior_value;
   }
-  own.curve = std::make_shared<const LengthCurve>(mixed);
-  own.unseen = 0;
+  own.curve = std::make_shared<const LengthCurve>(blended);
+  own.new_observations = 0;
   return own.curve;
 }
 
-LearnedLengthModel::Histogram& LearnedLengthModel::ModelOf(
+LearnedLengthModel::Histogram& LearnedLengthModel::ModelHistogram(
     const std::string& model) {
   const auto found = this->models.find(model);
   if (found != this->models.end()) {
@@ -114,22 +117,23 @@
   return *added;
 }
 
-LearnedLengthModel::Histogram& LearnedLengthModel::KeyState(
-    const std::string& joined) {
-  const auto found = this->keys.find(joined);
+LearnedLengthModel::Histogram& LearnedLengthModel::KeyHistogram(
+    const std::string& joined_key) {
+  const auto found = this->keys.find(joined_key);
   if (found != this->keys.end()) {
     Histogram& state = *found->second;
-    this->recency.splice(this->recency.begin(), this->recency, state.recent);
+    this->recency.splice(this->recency.begin(), this->recency,
+                         state.recency_position);
     return state;
   }
   if (this->keys.size() >= this->options.max_keys) {
     this->keys.erase(this->recency.back());
     this->recency.pop_back();
   }
-  this->recency.push_front(joined);
-  auto& added = this->keys[joined];
+  this->recency.push_front(joined_key);
+  auto& added = this->keys[joined_key];
   added = std::make_unique<Histogram>();
-  added->recent = this->recency.begin();
+  added->recency_position = this->recency.begin();
   return *added;
 }
 
--- a/src/policy/length_model.h
+++ b/src/policy/length_model.h
@@ -8,13 +8,13 @@
 #include <memory>
 #include <string>
 
-#include "policy/length_curve.h"
+#include "policy/length_survival_curve.h"
 #include "policy/string_map.h"
 #include "policy/work.h"
 
 namespace meadowthread {
 
-/// @brief What lengths are learnt by.
+/// @brief Output lengths are learned separately for each key.
 struct LengthKey {
   std::string workspace;
   std::string template_name;
@@ -24,30 +24,32 @@
 /// @brief The key of a work item.
 LengthKey LengthKeyOf(const WorkItem& work);
 
-/// @brief Knows how long outputs tend to be.
+/// @brief Predicts the distribution of output lengths.
 class LengthModel {
  public:
   virtual ~LengthModel() = default;
 
-  /// @brief Learns from one output that ended by itself.
+  /// @brief Learns from the length of an output that finished normally.
   virtual void Observe(const LengthKey& key, std::int64_t tokens) = 0;
 
-  /// @brief The distribution to expect; never null.
+  /// @brief The expected distribution of output lengths for a key; never null.
   virtual std::shared_ptr<const LengthCurve> CurveOf(const LengthKey& key) = 0;
 
-  /// @brief The distribution over all work, for streams of other hosts.
+  /// @brief The distribution over all keys, used for streams of other hosts.
   virtual std::shared_ptr<const LengthCurve> OverallCurve() = 0;
 };
 
-/// @brief Bounds and rates of LearnedLengthModel.
+/// @brief Limits and learning rates of LearnedLengthModel.
 struct LengthModelOptions {
-  std::size_t max_keys = 32'768;  ///< the least recently observed goes first
-  double decay = 0.995;           ///< weight kept per observation, for drift
-  double prior_weight = 12.0;     ///< observations that the prior counts for
+  /// The least recently observed key is evicted first.
+  std::size_t max_keys = 32'768;
+  double decay = 0.995;  ///< weight kept at each observation, to follow drift
+  double prior_weight = 12.0;  ///< weight of the prior, in observations
 };
 
-/// @brief Log-spaced histograms with decay, per workspace and template; a key
-/// with few observations leans on its model's, and that on the overall one.
+/// @brief Learns lengths with log-spaced, decaying histograms, one for each key
+/// of workspace, template and model. A key with few observations falls back on
+/// the histogram of its model as a prior, and a model on the overall histogram.
 class LearnedLengthModel final : public LengthModel {
  public:
   explicit LearnedLengthModel(LengthModelOptions options = {});
@@ -56,32 +58,34 @@
   std::shared_ptr<const LengthCurve> CurveOf(const LengthKey& key) override;
   std::shared_ptr<const LengthCurve> OverallCurve() override;
 
-  /// @brief Keys held now.
+  /// @brief Number of keys held.
   std::size_t KeyCount() const { return this->keys.size(); }
 
-  /// @brief Bytes of one key's state, its curve included.
+  /// @brief Bytes used by the state of one key, including its curve.
   static std::size_t BytesPerKey();
 
  private:
   struct Histogram {
     std::array<float, kLengthBuckets> weights = {};
     float total = 0.0F;
-    std::uint32_t unseen = 0;  ///< observations since the curve was made
-    std::list<std::string>::iterator recent;  ///< its place in `recency`
+    /// Observations since `curve` was built.
+    std::uint32_t new_observations = 0;
+    /// Position in `recency`.
+    std::list<std::string>::iterator recency_position;
     std::shared_ptr<const LengthCurve> curve;
   };
 
   void Add(Histogram& histogram, std::int64_t tokens) const;
   std::shared_ptr<const LengthCurve> Blend(Histogram& own,
                                            const Histogram* prior) const;
-  Histogram& ModelOf(const std::string& model);
-  Histogram& KeyState(const std::string& joined);
+  Histogram& ModelHistogram(const std::string& model);
+  Histogram& KeyHistogram(const std::string& joined_key);
 
   LengthModelOptions options;
   Histogram overall;
   StringMap<std::unique_ptr<Histogram>> models;
   StringMap<std::unique_ptr<Histogram>> keys;
-  std::list<std::string> recency;  ///< keys, the last observed first
+  std::list<std::string> recency;  ///< keys, most recently observed first
 };
 
 }  // namespace meadowthread
--- a/src/policy/length_curve.cc
+++ b/src/policy/length_survival_curve.cc
@@ -1,4 +1,4 @@
-#include "policy/length_curve.h"
+#include "policy/length_survival_curve.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,17 +6,17 @@
 namespace meadowthread {
 namespace {
 
-// Below this the curve has nothing to say about what comes next.
-constexpr double kNoEvidence = 1e-6;
+// Below this survival probability, the curve has no data on longer outputs.
+constexpr double kMinSurvival = 1e-6;
 
-double PositionOf(double tokens) {
+double BucketPosition(double tokens) {
   return std::log2(std::max(tokens, 0.0) + 1.0) * kLengthBucketsPerOctave;
 }
 
 }  // namespace
 
 std::size_t LengthBucketOf(std::int64_t tokens) {
-  const double position = PositionOf(static_cast<double>(tokens));
+  const double position = BucketPosition(static_cast<double>(tokens));
   const auto bucket = static_cast<std::size_t>(position);
   return std::min(bucket, kLengthBuckets - 1);
 }
@@ -41,7 +41,7 @@
 }
 
 double LengthCurve::Survival(double tokens) const {
-  const double position = PositionOf(tokens);
+  const double position = BucketPosition(tokens);
   if (position >= static_cast<double>(kLengthBuckets)) {
     return 0.0;
   }
@@ -54,17 +54,17 @@
 
 LengthCurve::Tail::Tail(const LengthCurve& curve, std::int64_t generated)
     : curve(curve),
-      from(static_cast<double>(generated)),
-      base(curve.Survival(this->from)) {}
+      start(static_cast<double>(generated)),
+      start_survival(curve.Survival(this->start)) {}
 
 double LengthCurve::Tail::Survival(std::int64_t further) const {
-  const double to = this->from + static_cast<double>(further);
-  if (this->base < kNoEvidence) {
-    // Longer than anything seen: assume a heavy tail, which is the error that
-    // costs memory rather than a preemption.
-    return (this->from + 1.0) / (to + 1.0);
+  const double to = this->start + static_cast<double>(further);
+  if (this->start_survival < kMinSurvival) {
+    // Longer than any output seen: assume a heavy tail. If that is wrong, it
+    // costs some unused memory instead of a preemption.
+    return (this->start + 1.0) / (to + 1.0);
   }
-  return std::min(1.0, this->curve.Survival(to) / this->base);
+  return std::min(1.0, this->curve.Survival(to) / this->start_survival);
 }
 
 double LengthCurve::SurvivalAfter(std::int64_t generated,
--- a/src/policy/length_curve.h
+++ b/src/policy/length_survival_curve.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_POLICY_LENGTH_CURVE_H_
-#define MEADOWTHREAD_POLICY_LENGTH_CURVE_H_
+#ifndef MEADOWTHREAD_POLICY_LENGTH_SURVIVAL_CURVE_H_
+#define MEADOWTHREAD_POLICY_LENGTH_SURVIVAL_CURVE_H_
 
 #include <array>
 #include <cstddef>
@@ -8,25 +8,28 @@
 
 namespace meadowthread {
 
-/// @brief Four buckets an octave, from one token to 65,536.
+/// @brief Length buckets are log-spaced, four to an octave, from one token to
+/// 65,536 tokens.
 inline constexpr int kLengthBucketsPerOctave = 4;
 inline constexpr std::size_t kLengthBuckets = 64;
 
-/// @brief The bucket that `tokens` falls into.
+/// @brief The bucket that contains `tokens`.
 std::size_t LengthBucketOf(std::int64_t tokens);
 
-/// @brief The smallest length of a bucket.
+/// @brief The smallest length in a bucket.
 double LengthBucketStart(std::size_t bucket);
 
-/// @brief A distribution of output lengths: the chance of being longer.
+/// @brief A distribution of output lengths, kept as its survival function
+/// P(length > tokens).
 class LengthCurve {
  public:
   LengthCurve() = default;
 
-  /// @brief From a weight per bucket, of any positive sum.
+  /// @brief Builds the curve from a weight for each bucket; the sum of the
+  /// weights must be positive.
   explicit LengthCurve(std::span<const float, kLengthBuckets> weights);
 
-  /// @brief The distribution of what is still to come, for many questions.
+  /// @brief The distribution of the remaining length, for repeated queries.
   class Tail {
    public:
     /// @brief P(length > generated + further | length > generated).
@@ -37,11 +40,12 @@
     Tail(const LengthCurve& curve, std::int64_t generated);
 
     const LengthCurve& curve;
-    double from;
-    double base;
+    double start;
+    double start_survival;
   };
 
-  /// @brief The tail after `generated` tokens; the curve must outlive it.
+  /// @brief The distribution of the length remaining after `generated` tokens;
+  /// the curve must outlive it.
   Tail After(std::int64_t generated) const { return Tail(*this, generated); }
 
   /// @brief P(length > tokens).
@@ -50,11 +54,12 @@
   /// @brief P(length > generated + further | length > generated).
   double SurvivalAfter(std::int64_t generated, std::int64_t further) const;
 
-  /// @brief The least `further` tokens exceeded with at most `probability`.
+  /// @brief The smallest `further` that the remaining length exceeds with at
+  /// most `probability`.
   std::int64_t TailQuantile(std::int64_t generated, double probability) const;
 
-  /// @brief Expected tokens still to come.
-  /// @param[in] generated tokens already generated
+  /// @brief Expected number of tokens still to be generated.
+  /// @param[in] generated tokens generated so far
   /// @param[in] max_output the request's limit; 0: none
   double ExpectedRemaining(std::int64_t generated,
                            std::int64_t max_output) const;
@@ -66,4 +71,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_POLICY_LENGTH_CURVE_H_
+#endif  // MEADOWTHREAD_POLICY_LENGTH_SURVIVAL_CURVE_H_
--- a/src/policy/link_quality.cc
+++ b/src/policy/link_quality.cc
@@ -6,27 +6,31 @@
 namespace meadowthread {
 namespace {
 
-// Stalls are counted over about this time: links go bad for some seconds, and
-// ten streams over one that loses 3% of its packets stall ten times in one.
+// Time constant for counting stalls. Links degrade for a few seconds at a time,
+// and ten streams over a link that loses 3% of its packets stall about ten
+// times in one second.
 constexpr double kWindowMs = 1'500.0;
 constexpr double kMsPerSecond = 1'000.0;
-// Stalls a second and stream that no good link shows, beyond the own zone's.
-constexpr double kUsualRate = 0.1;
-// So many more mean that nearly every long stream is late.
-constexpr double kBadRate = 0.25;
-// Zones known at once; a region has a few.
-constexpr std::size_t kMostZones = 64;
+// A good link stays below this rate of stalls per second and stream in excess
+// of the own zone's.
+constexpr double kNormalStallRate = 0.1;
+// Beyond the normal rate, this many stalls per second and stream mean that
+// nearly every long stream is late.
+constexpr double kDegradedStallRate = 0.25;
+// Limit on the zones remembered; a region has only a few.
+constexpr std::size_t kMaxZones = 64;
 
 }  // namespace
 
 void LinkQuality::NoteStall(std::string_view zone, std::int64_t now_ms) {
-  if (this->zones.size() >= kMostZones && !this->zones.contains(zone)) {
+  if (this->zones.size() >= kMaxZones && !this->zones.contains(zone)) {
     this->zones.clear();
   }
   Stalls& stalls = this->zones[zone];
-  const auto since = static_cast<double>(now_ms - stalls.noted_ms);
-  stalls.lately = stalls.lately * std::exp(-since / kWindowMs) + 1.0;
-  stalls.noted_ms = now_ms;
+  const auto since = static_cast<double>(now_ms - stalls.updated_ms);
+  stalls.decayed_count =
+      stalls.decayed_count * std::exp(-since / kWindowMs) + 1.0;
+  stalls.updated_ms = now_ms;
 }
 
 double LinkQuality::StallRate(std::string_view zone, int streams,
@@ -35,20 +39,21 @@
   if (found == this->zones.end()) {
     return 0.0;
   }
-  const auto since = static_cast<double>(now_ms - found->second.noted_ms);
-  const double lately = found->second.lately * std::exp(-since / kWindowMs);
-  return lately * kMsPerSecond / kWindowMs / std::max(1, streams);
+  const auto since = static_cast<double>(now_ms - found->second.updated_ms);
+  const double decayed_count =
+      found->second.decayed_count * std::exp(-since / kWindowMs);
+  return decayed_count * kMsPerSecond / kWindowMs / std::max(1, streams);
 }
 
-double LinkQuality::Badness(std::string_view zone, int streams, int own_streams,
-                            std::int64_t now_ms) const {
+double LinkQuality::Degradation(std::string_view zone, int streams,
+                                int own_streams, std::int64_t now_ms) const {
   if (zone == this->own_zone) {
     return 0.0;
   }
-  const double beyond = this->StallRate(zone, streams, now_ms) -
+  const double excess = this->StallRate(zone, streams, now_ms) -
                         this->StallRate(this->own_zone, own_streams, now_ms) -
-                        kUsualRate;
-  return std::clamp(beyond / kBadRate, 0.0, 1.0);
+                        kNormalStallRate;
+  return std::clamp(excess / kDegradedStallRate, 0.0, 1.0);
 }
 
 }  // namespace meadowthread
--- a/src/policy/link_quality.h
+++ b/src/policy/link_quality.h
@@ -9,34 +9,38 @@
 
 namespace meadowthread {
 
-/// @brief How often streams stall on the way from each availability zone.
+/// @brief Measures how often streams stall on the network path from each
+/// availability zone.
 ///
-/// Answers the load pattern "the links between two zones lose packets": each
-/// lost one makes a stream pause for a retransmission, and nearly every long
-/// stream over such a link is late. Engines of other zones are used meanwhile.
+/// Guards against packet loss on the links between two zones: each lost packet
+/// stalls a stream until it is retransmitted, so that nearly every long stream
+/// over such a link is late. Engines in other zones are used in the meantime.
 class LinkQuality {
  public:
-  /// @param[in] zone this host's own: its links are what others are held
-  /// against, as engines stall streams of all zones alike
+  /// @param[in] zone this host's own zone. Its stall rate is the baseline,
+  /// because stalls caused by engines affect streams of all zones alike.
   explicit LinkQuality(std::string_view zone) : own_zone(zone) {}
 
-  /// @brief A stream of an engine in `zone` paused without being moved.
+  /// @brief Records that a stream from an engine in `zone` stalled without
+  /// being migrated.
   void NoteStall(std::string_view zone, std::int64_t now_ms);
 
-  /// @brief Stalls a second for each of the streams that run from there.
+  /// @brief Stalls per second and stream from the zone.
+  /// @param[in] streams number of this host's streams from the zone
   double StallRate(std::string_view zone, int streams,
                    std::int64_t now_ms) const;
 
-  /// @brief How bad the way from a zone is, 0 to 1, beside the own zone's.
-  /// @param[in] streams,own_streams of this host that run from there, and from
-  /// its own zone
-  double Badness(std::string_view zone, int streams, int own_streams,
-                 std::int64_t now_ms) const;
+  /// @brief How degraded the path from a zone is compared with the path from
+  /// the own zone, from 0 (good) to 1.
+  /// @param[in] streams,own_streams numbers of this host's streams from the
+  /// zone and from its own zone
+  double Degradation(std::string_view zone, int streams, int own_streams,
+                     std::int64_t now_ms) const;
 
  private:
   struct Stalls {
-    double lately = 0.0;  ///< decaying
-    std::int64_t noted_ms = 0;
+    double decayed_count = 0.0;
+    std::int64_t updated_ms = 0;
   };
 
   std::string own_zone;
--- a/src/policy/local_allocation.h
+++ b/src/policy/local_allocation.h
@@ -8,10 +8,10 @@
 
 namespace meadowthread {
 
-/// @brief Chooses by what this host knows of all engines.
+/// @brief Chooses engines on this host, from what it knows about all of them.
 class LocalAllocation final : public EngineAllocation {
  public:
-  /// @param[in] chooser,fleet,clock,random outlive this
+  /// @param[in] chooser,fleet,clock,random must outlive this object
   LocalAllocation(EngineChooser& chooser, const FleetState& fleet,
                   const Clock& clock, std::mt19937_64& random)
       : chooser(chooser), fleet(fleet), clock(clock), random(random) {}
--- a/src/policy/memory_aware_chooser.cc
+++ b/src/policy/memory_aware_chooser.cc
@@ -7,28 +7,29 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::size_t kExplained = 4;
+constexpr std::size_t kMaxReportedCandidates = 4;
 constexpr std::int64_t kNoRoomRetryMs = 1'000;
-// Requests at which an engine's token gap counts as one unit of cost.
-constexpr double kBatchUnit = 64.0;
-// Near-equal engines are picked between at random, so that hosts that see the
-// same state do not all send to the same one.
-constexpr double kNearEqual = 0.02;
-// Urgent work is short: it may go where other work may not.
+// Number of requests on an engine whose effect on the token gap costs one unit.
+constexpr double kBatchUnitRequests = 64.0;
+// Picks at random among engines of nearly equal cost, so that hosts with the
+// same view do not all send to the same engine.
+constexpr double kCostTolerance = 0.02;
+// Urgent work is short, so that a higher risk is acceptable.
 constexpr double kUrgentRiskFactor = 10.0;
-// Missing tokens, summed over token steps, that weigh as much as a certain
-// preemption: about a report of 1,500 tokens put aside for 270 steps.
-constexpr double kStallUnit = 400'000.0;
-// The sum of weights at which max_risk is meant.
-constexpr double kUsualWeights = 4.0;
+// Missing tokens, summed over token steps, that cost as much as a certain
+// preemption: about one output of 1,500 tokens that is preempted for 270 steps.
+constexpr double kStallAreaUnit = 400'000.0;
+// The sum of the weights for which max_risk is specified.
+constexpr double kReferenceWeightSum = 4.0;
 
-// Fuller than this now, an engine may make new work wait for memory.
+// Above this fraction of memory in use, new work may have to wait for memory.
 constexpr double kNearlyFull = 0.9;
 
-// How near the memory is to being full at once, from 0 to 1 at the limit.
+// How close the memory in use is to its limit: 0 up to kNearlyFull, 1 at the
+// limit.
 double Fullness(double held, double room) {
-  const double part = held / std::max(room, 1.0);
-  return std::max(0.0, part - kNearlyFull) / (1.0 - kNearlyFull);
+  const double used_fraction = held / std::max(room, 1.0);
+  return std::max(0.0, used_fraction - kNearlyFull) / (1.0 - kNearlyFull);
 }
 
 }  // namespace
@@ -42,29 +43,29 @@
   MemoryForecast added;
   added.AddStream({work.prompt_tokens, 0, work.max_output_tokens},
                   *fleet.Lengths().CurveOf(LengthKeyOf(work)));
-  std::vector<Scored> scored;
-  for (const EngineIndex engine : this->Sample(work, fleet, random)) {
+  std::vector<ScoredEngine> scored;
+  for (const EngineIndex engine : this->SampleEngines(work, fleet, random)) {
     if (fleet.View(engine).Usable()) {
       scored.push_back(this->Score(work, fleet, engine, added, now_ms));
     }
   }
   if (scored.empty()) {
-    return detail::NothingUsable(work, fleet);
+    return detail::NoUsableEngine(work, fleet);
   }
-  return this->Explain(work, fleet, scored, random);
+  return this->Pick(work, fleet, scored, random);
 }
 
-std::vector<EngineIndex> MemoryAwareChooser::Sample(
+std::vector<EngineIndex> MemoryAwareChooser::SampleEngines(
     const WorkItem& work, const FleetState& fleet, std::uint64_t random) const {
   const std::span<const EngineIndex> serving = fleet.Serving(work);
-  const auto all_up_to =
-      static_cast<std::size_t>(this->options.look_at_all_up_to);
-  if (serving.size() <= all_up_to) {
+  const auto full_scan_limit =
+      static_cast<std::size_t>(this->options.full_scan_limit);
+  if (serving.size() <= full_scan_limit) {
     return {serving.begin(), serving.end()};
   }
-  std::minstd_rand draws(static_cast<std::uint32_t>(random >> 33U));
+  std::minstd_rand rng(static_cast<std::uint32_t>(random >> 33U));
   std::vector<EngineIndex> sample;
-  for (const EngineIndex engine : fleet.PrefixEngines(work)) {
+  for (const EngineIndex engine : fleet.EnginesWithPrefix(work)) {
     if (fleet.Serves(engine, work)) {
       sample.push_back(engine);
     }
@@ -75,52 +76,53 @@
     }
   }
   for (int i = 0; i < this->options.sample; ++i) {
-    sample.push_back(serving[draws() % serving.size()]);
+    sample.push_back(serving[rng() % serving.size()]);
   }
   std::sort(sample.begin(), sample.end());
   sample.erase(std::unique(sample.begin(), sample.end()), sample.end());
   return sample;
 }
 
-double MemoryAwareChooser::RoomFor(const WorkItem& work,
-                                   const FleetState& fleet, EngineIndex engine,
-                                   std::int64_t now_ms) const {
+double MemoryAwareChooser::UsableTokens(const WorkItem& work,
+                                        const FleetState& fleet,
+                                        EngineIndex engine,
+                                        std::int64_t now_ms) const {
   const auto capacity = static_cast<double>(fleet.View(engine).kv_capacity);
   const bool urgent = work.urgency == Urgency::kUrgent;
-  double kept = urgent ? 0.0 : this->options.urgent_room;
-  // Hosts that see the same last room on an engine would all fill it. The
-  // last part is for one host alone, chosen alike by all.
-  if (!fleet.Preferred(engine)) {
-    kept += this->options.shared_room;
+  double reserved = urgent ? 0.0 : this->options.urgent_room;
+  // Hosts that see the same last free memory on an engine would all fill it. So
+  // it is reserved for one host, and all hosts agree on which one.
+  if (!fleet.IsPreferred(engine)) {
+    reserved += this->options.shared_room;
   }
-  return capacity * (1.0 - kept) * fleet.ServiceShare(engine, now_ms);
+  return capacity * (1.0 - reserved) * fleet.SlowStartShare(engine, now_ms);
 }
 
-MemoryAwareChooser::Scored MemoryAwareChooser::Score(
+MemoryAwareChooser::ScoredEngine MemoryAwareChooser::Score(
     const WorkItem& work, const FleetState& fleet, EngineIndex engine,
     const MemoryForecast& added, std::int64_t now_ms) const {
   MemoryForecast forecast = fleet.Forecast(engine, now_ms);
   forecast.AddScaled(added, 1.0F);
-  const double room = this->RoomFor(work, fleet, engine, now_ms);
-  Scored scored;
+  const double room = this->UsableTokens(work, fleet, engine, now_ms);
+  ScoredEngine scored;
   scored.engine = engine;
   const MemoryRisk risk = forecast.RiskOf(room);
   scored.overfill = risk.overfill_chance;
   scored.in_flight = fleet.InFlight(engine, now_ms);
-  const auto hints = fleet.PrefixEngines(work);
+  const auto hints = fleet.EnginesWithPrefix(work);
   scored.prefix_hint =
       std::find(hints.begin(), hints.end(), engine) != hints.end();
 
   const PolicyWeights& weights = this->options.weights;
-  scored.risk = (weights.stall * risk.missing_area / kStallUnit +
+  scored.risk = (weights.stall * risk.shortfall_area / kStallAreaUnit +
                  weights.preemption * risk.overfill_chance) /
-                kUsualWeights;
+                kReferenceWeightSum;
   const bool urgent = work.urgency == Urgency::kUrgent;
   const double allowed =
       this->options.max_risk * (urgent ? kUrgentRiskFactor : 1.0);
   scored.fits = scored.risk <= allowed;
-  const double batch = scored.in_flight / kBatchUnit;
-  scored.cost = kUsualWeights * scored.risk + weights.token_gap * batch -
+  const double batch = scored.in_flight / kBatchUnitRequests;
+  scored.cost = kReferenceWeightSum * scored.risk + weights.token_gap * batch -
                 (scored.prefix_hint ? this->options.prefix_bonus : 0.0);
   if (urgent) {
     scored.cost +=
@@ -129,21 +131,20 @@
   return scored;
 }
 
-Decision MemoryAwareChooser::Explain(const WorkItem& work,
-                                     const FleetState& fleet,
-                                     std::vector<Scored>& scored,
-                                     std::uint64_t random) const {
-  const std::size_t near = detail::RankNear(scored, kNearEqual);
-  std::swap(scored[0], scored[random % near]);
+Decision MemoryAwareChooser::Pick(const WorkItem& work, const FleetState& fleet,
+                                  std::vector<ScoredEngine>& scored,
+                                  std::uint64_t random) const {
+  const std::size_t near_best = detail::RankByCost(scored, kCostTolerance);
+  std::swap(scored[0], scored[random % near_best]);
   Decision decision;
-  const std::size_t shown = std::min(scored.size(), kExplained);
-  for (std::size_t i = 0; i < shown; ++i) {
-    const Scored& one = scored[i];
-    decision.considered.push_back(Candidate{fleet.View(one.engine).engine,
-                                            one.cost, one.overfill,
-                                            one.in_flight, one.prefix_hint});
+  const std::size_t reported = std::min(scored.size(), kMaxReportedCandidates);
+  for (std::size_t i = 0; i < reported; ++i) {
+    const ScoredEngine& candidate = scored[i];
+    decision.considered.push_back(Candidate{
+        fleet.View(candidate.engine).engine, candidate.cost, candidate.overfill,
+        candidate.in_flight, candidate.prefix_hint});
   }
-  const Scored& best = scored[0];
+  const ScoredEngine& best = scored[0];
   if (!best.fits) {
     decision.reason = DecisionReason::kNoneHasRoom;
     decision.retry_after_ms = kNoRoomRetryMs;
--- a/src/policy/memory_aware_chooser.h
+++ b/src/policy/memory_aware_chooser.h
@@ -9,40 +9,46 @@
 
 namespace meadowthread {
 
-/// @brief What a deployment minds most. Greater weights of stall and
-/// preemption together mean less of both, for more time in queues; their sum
-/// is usually four.
+/// @brief Weights of what a deployment wants to avoid. Greater weights of stall
+/// and preemption reduce both, but work queues for longer; the two usually add
+/// up to four.
 struct PolicyWeights {
-  double stall = 2.0;       ///< time in which a begun output stands still
-  double preemption = 2.0;  ///< outputs put aside by their engine
+  double stall = 2.0;  ///< time for which a started output makes no progress
+  double preemption = 2.0;  ///< outputs preempted by their engine
   double token_gap = 1.0;   ///< time between tokens
 };
 
-/// @brief What MemoryAwareChooser may be set to.
+/// @brief Options of MemoryAwareChooser.
 struct MemoryAwareOptions {
   PolicyWeights weights;
-  double max_risk = 0.13;        ///< for work that is not urgent
-  double urgent_room = 0.05;     ///< part of the memory kept for urgent work
-  double urgent_fullness = 2.0;  ///< cost of a full engine to urgent work
-  double shared_room = 0.15;     ///< part kept on engines others prefer
-  double prefix_bonus = 0.05;    ///< cost taken off where the prefix may be
-  int sample = 12;               ///< engines looked at in a big fleet
-  int look_at_all_up_to = 32;    ///< fleets this small are looked at whole
+  double max_risk = 0.13;  ///< for work that is not urgent
+  /// Fraction of the memory reserved for urgent work.
+  double urgent_room = 0.05;
+  /// Cost of a completely full engine, for urgent work.
+  double urgent_fullness = 2.0;
+  /// Fraction reserved on engines that other hosts prefer.
+  double shared_room = 0.15;
+  /// Cost reduction if the engine may have the prefix cached.
+  double prefix_bonus = 0.05;
+  int sample = 12;  ///< engines drawn at random in a large fleet
+  /// Fleets of up to this size are examined completely.
+  int full_scan_limit = 32;
 };
 
-/// @brief Sends work only where the engine's memory will likely hold all that
-/// is on it until it ends, judged by learnt lengths; else says so.
+/// @brief Sends work only to engines whose memory will probably hold all their
+/// streams until these end, according to the learned output lengths. If there
+/// is no such engine, its decision names none.
 class MemoryAwareChooser final : public EngineChooser {
  public:
   explicit MemoryAwareChooser(MemoryAwareOptions options = {});
 
-  /// @complexity O(sample), whatever the number of engines
+  /// @complexity O(sample), independent of the number of engines
   Decision Choose(const WorkItem& work, const FleetState& fleet,
                   std::int64_t now_ms, std::uint64_t random) override;
   std::string_view Name() const override { return "memory_aware"; }
 
  private:
-  struct Scored {
+  struct ScoredEngine {
     EngineIndex engine = 0;
     double cost = 0.0;
     double overfill = 0.0;
@@ -52,15 +58,16 @@
     bool fits = false;
   };
 
-  std::vector<EngineIndex> Sample(const WorkItem& work, const FleetState& fleet,
-                                  std::uint64_t random) const;
-  Scored Score(const WorkItem& work, const FleetState& fleet,
-               EngineIndex engine, const MemoryForecast& added,
-               std::int64_t now_ms) const;
-  double RoomFor(const WorkItem& work, const FleetState& fleet,
-                 EngineIndex engine, std::int64_t now_ms) const;
-  Decision Explain(const WorkItem& work, const FleetState& fleet,
-                   std::vector<Scored>& scored, std::uint64_t random) const;
+  std::vector<EngineIndex> SampleEngines(const WorkItem& work,
+                                         const FleetState& fleet,
+                                         std::uint64_t random) const;
+  ScoredEngine Score(const WorkItem& work, const FleetState& fleet,
+                     EngineIndex engine, const MemoryForecast& added,
+                     std::int64_t now_ms) const;
+  double UsableTokens(const WorkItem& work, const FleetState& fleet,
+                      EngineIndex engine, std::int64_t now_ms) const;
+  Decision Pick(const WorkItem& work, const FleetState& fleet,
+                std::vector<ScoredEngine>& scored, std::uint64_t random) const;
 
   MemoryAwareOptions options;
 };
--- a/src/policy/memory_forecast.cc
+++ b/src/policy/memory_forecast.cc
@@ -7,30 +7,34 @@
 namespace meadowthread {
 namespace {
 
-// So many standard deviations from the limit nothing is at risk.
-constexpr double kFarAway = 4.0;
-// Work that holds less than this part of a limit has ended by then, or nearly.
-constexpr double kNoPart = 0.02;
-// At 256 tokens on, work that is still there lasts.
+// At this many standard deviations below the limit, the risk is negligible.
+constexpr double kNegligibleSigmas = 4.0;
+// Work whose mean is below this fraction of the limit has (almost certainly)
+// ended at that horizon.
+constexpr double kEndedFraction = 0.02;
+// Work that still holds memory at this horizon, 256 tokens from now, counts as
+// long.
 constexpr std::size_t kLastingHorizon = 2;
 
 }  // namespace
 
-void MemoryForecast::AddStream(const StreamOutlook& stream,
+void MemoryForecast::AddStream(const StreamProgress& stream,
                                const LengthCurve& curve) {
   const LengthCurve::Tail tail = curve.After(stream.generated);
   const std::int64_t held_now = stream.prompt_tokens + stream.generated;
   for (std::size_t i = 0; i < kHorizonCount; ++i) {
     const std::int64_t further = kHorizons[i];
-    const bool over = stream.max_output_tokens > 0 &&
-                      stream.generated + further >= stream.max_output_tokens;
-    if (over) {
+    const bool reaches_limit =
+        stream.max_output_tokens > 0 &&
+        stream.generated + further >= stream.max_output_tokens;
+    if (reaches_limit) {
       break;
     }
-    const double alive = tail.Survival(further);
+    const double survival = tail.Survival(further);
     const auto held = static_cast<double>(held_now + further);
-    this->mean[i] += static_cast<float>(held * alive);
-    this->variance[i] += static_cast<float>(held * held * alive * (1 - alive));
+    this->mean[i] += static_cast<float>(held * survival);
+    this->variance[i] +=
+        static_cast<float>(held * held * survival * (1 - survival));
   }
 }
 
@@ -52,25 +56,26 @@
   for (std::size_t i = 0; i < kHorizonCount; ++i) {
     const double spread = std::sqrt(std::max(1.0F, this->variance[i]));
     const double distance = (capacity - this->mean[i]) / spread;
-    if (distance > kFarAway) {
+    if (distance > kNegligibleSigmas) {
       continue;
     }
     const double chance = 0.5 * std::erfc(distance / std::numbers::sqrt2);
     const double density = std::exp(-0.5 * distance * distance) *
                            std::numbers::inv_sqrtpi / std::numbers::sqrt2;
-    // The mean of what is missing, of a normal distribution cut at capacity.
-    const double missing = spread * (density - distance * chance);
+    // Mean of the excess over `capacity` of a normal distribution.
+    const double shortfall = spread * (density - distance * chance);
     const std::int64_t until =
         i + 1 < kHorizonCount ? kHorizons[i + 1] : kHorizons[i];
     risk.overfill_chance = std::max(risk.overfill_chance, chance);
-    risk.missing_area += missing * static_cast<double>(until - kHorizons[i]);
+    risk.shortfall_area +=
+        shortfall * static_cast<double>(until - kHorizons[i]);
   }
   return risk;
 }
 
-bool MemoryForecast::StaysWithin(const MemoryForecast& added, double limit,
-                                 double limit_now) const {
-  const bool lasts = added.mean[kLastingHorizon] > kNoPart * limit;
+bool MemoryForecast::FitsWithin(const MemoryForecast& added, double limit,
+                                double limit_now) const {
+  const bool lasts = added.mean[kLastingHorizon] > kEndedFraction * limit;
   if (!lasts) {
     return this->mean[0] <= limit_now;
   }
--- a/src/policy/prefix_hints.cc
+++ b/src/policy/prefix_hints.cc
@@ -4,7 +4,7 @@
 
 namespace meadowthread {
 
-void PrefixHints::Stored(std::uint64_t prefix, std::uint32_t engine) {
+void PrefixHints::NoteStored(std::uint64_t prefix, std::uint32_t engine) {
   if (prefix == 0) {
     return;
   }
@@ -14,7 +14,7 @@
   auto* end = begin + entry.count;
   auto* at = std::find(begin, end, engine);
   if (at == end) {
-    entry.count = std::min(entry.count + 1, kEnginesEach);
+    entry.count = std::min(entry.count + 1, kMaxEnginesPerPrefix);
     at = begin + entry.count - 1;
     *at = engine;
   }
@@ -29,25 +29,25 @@
   }
 }
 
-void PrefixHints::Evicted(std::uint64_t prefix, std::uint32_t engine) {
+void PrefixHints::NoteEvicted(std::uint64_t prefix, std::uint32_t engine) {
   const auto found = this->entries.find(prefix);
   if (found == this->entries.end()) {
     return;
   }
-  Drop(&found->second, engine);
+  RemoveEngineFrom(&found->second, engine);
 }
 
-// An entry without engines keeps its place until it ages out, so that its
-// place in the order stays true.
-void PrefixHints::Drop(Entry* entry, std::uint32_t engine) {
+// An entry without engines is kept until it is the oldest, so that
+// `insertion_order` and `entries` always hold the same prefixes.
+void PrefixHints::RemoveEngineFrom(Entry* entry, std::uint32_t engine) {
   auto* const end = entry->engines.begin() + entry->count;
   auto* const kept = std::remove(entry->engines.begin(), end, engine);
   entry->count = static_cast<std::size_t>(kept - entry->engines.begin());
 }
 
-void PrefixHints::Forget(std::uint32_t engine) {
+void PrefixHints::ForgetEngine(std::uint32_t engine) {
   for (auto& [prefix, entry] : this->entries) {
-    Drop(&entry, engine);
+    RemoveEngineFrom(&entry, engine);
   }
 }
 
--- a/src/policy/prefix_hints.h
+++ b/src/policy/prefix_hints.h
@@ -11,39 +11,41 @@
 
 namespace meadowthread {
 
-/// @brief Which engines may have a prompt prefix in their cache. A hint only:
-/// cache events come late and with gaps.
+/// @brief Remembers which engines may have a prompt prefix in their cache.
+/// These are hints only, because cache events arrive late and some are missing.
 class PrefixHints {
  public:
-  /// @brief Engines remembered for one prefix.
-  static constexpr std::size_t kEnginesEach = 4;
+  /// @brief Maximum number of engines remembered for one prefix.
+  static constexpr std::size_t kMaxEnginesPerPrefix = 4;
 
   explicit PrefixHints(std::size_t max_prefixes = 32'768)
       : max_prefixes(max_prefixes) {}
 
-  /// @brief Notes that an engine stored a prefix, or was sent one.
-  void Stored(std::uint64_t prefix, std::uint32_t engine);
+  /// @brief Records that an engine stored a prefix or was sent a prompt with
+  /// it.
+  void NoteStored(std::uint64_t prefix, std::uint32_t engine);
 
-  /// @brief Notes that an engine evicted a prefix.
-  void Evicted(std::uint64_t prefix, std::uint32_t engine);
+  /// @brief Records that an engine evicted a prefix.
+  void NoteEvicted(std::uint64_t prefix, std::uint32_t engine);
 
-  /// @brief An engine holds nothing any more: it is gone, or another start.
+  /// @brief Removes an engine from all prefixes, because it is gone or has
+  /// restarted with an empty cache.
   /// @complexity O(prefixes)
-  void Forget(std::uint32_t engine);
+  void ForgetEngine(std::uint32_t engine);
 
-  /// @brief The engines that may have it, newest first.
+  /// @brief The engines that may have the prefix cached, most recent first.
   std::span<const std::uint32_t> EnginesOf(std::uint64_t prefix) const;
 
-  /// @brief Prefixes held.
+  /// @brief Number of prefixes remembered.
   std::size_t Size() const { return this->entries.size(); }
 
  private:
   struct Entry {
-    std::array<std::uint32_t, kEnginesEach> engines = {};
+    std::array<std::uint32_t, kMaxEnginesPerPrefix> engines = {};
     std::size_t count = 0;
   };
 
-  static void Drop(Entry* entry, std::uint32_t engine);
+  static void RemoveEngineFrom(Entry* entry, std::uint32_t engine);
 
   std::size_t max_prefixes;
   absl::flat_hash_map<std::uint64_t, Entry> entries;
--- a/src/policy/retry_budget.cc
+++ b/src/policy/retry_budget.cc
@@ -5,7 +5,7 @@
 namespace meadowthread {
 namespace {
 
-constexpr int kMostDoublings = 16;
+constexpr int kMaxDoublings = 16;
 
 }  // namespace
 
@@ -44,7 +44,8 @@
                          this->saved + this->options.per_request);
 }
 
-// What is saved is not raised with the bound: it is earned by requests only.
+// Raising the maximum does not fill the budget: retries are earned by requests
+// only.
 void RetryBudget::SetMostSaved(double most_saved) {
   this->options.most_saved = most_saved;
   this->saved = std::min(this->saved, most_saved);
@@ -52,16 +53,17 @@
 
 RetryAnswer RetryBudget::Ask(const FailedAttempt& failed, std::int64_t now_ms,
                              std::uint64_t random) {
-  const int most = failed.max_attempts > 0 ? failed.max_attempts
-                                           : this->options.max_attempts;
-  if (failed.attempts >= most) {
+  const int limit = failed.max_attempts > 0 ? failed.max_attempts
+                                            : this->options.max_attempts;
+  if (failed.attempts >= limit) {
     return {RetryVerdict::kAttempts, 0};
   }
-  const int doublings = std::clamp(failed.attempts - 1, 0, kMostDoublings);
+  const int doublings = std::clamp(failed.attempts - 1, 0, kMaxDoublings);
   const std::int64_t base =
       std::min(this->options.max_backoff_ms,
                this->options.first_backoff_ms << doublings);
-  // Full jitter over the upper half, so that retries do not come together.
+  // Half of the backoff is fixed and the other half random, so that retries do
+  // not coincide.
   const auto half = static_cast<std::uint64_t>(base / 2 + 1);
   const std::int64_t backoff =
       base / 2 + static_cast<std::int64_t>(random % half);
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -6,70 +6,73 @@
 
 namespace meadowthread {
 
-/// @brief Why an attempt failed, as far as retrying is concerned.
+/// @brief Why an attempt failed, as far as it matters for retries.
 enum class AttemptFailure {
   kEngineFull,     ///< rejected by a healthy engine: not a fault
-  kEngineLeaving,  ///< rejected; another engine will do
+  kEngineLeaving,  ///< rejected because the engine is leaving; another one will
+                   ///< do
   kUnreachable,    ///< no connection: nothing was sent
-  kNoProgress,     ///< the engine fell silent
+  kNoProgress,     ///< the engine sent nothing for too long
   kLost,           ///< the connection ended after bytes were sent
 };
 
-/// @brief Whether the failure speaks against the engine itself, so that it
-/// should be ejected for a while. A full engine is not at fault.
+/// @brief Whether the failure indicates a fault of the engine, so that it
+/// should get no new work for a while. A full engine is not at fault.
 bool SpeaksAgainstEngine(AttemptFailure failure);
 
-/// @brief Whether to try again.
+/// @brief Whether to retry, and if not, why.
 enum class RetryVerdict {
   kRetry,
-  kDeadline,     ///< no time left
-  kBudgetSpent,  ///< too many retries for the work done lately
-  kAttempts,     ///< too many attempts for one request
+  kDeadline,     ///< the deadline would pass before the retry
+  kBudgetSpent,  ///< the retry budget is used up
+  kAttempts,     ///< the request has used all its attempts
 };
 
 /// @brief The verdict's name in log lines.
 std::string_view RetryVerdictName(RetryVerdict verdict);
 
-/// @brief Rates of RetryBudget.
+/// @brief Limits and rates of RetryBudget.
 struct RetryBudgetOptions {
-  double per_request = 0.1;  ///< retries earned by each first attempt
-  double most_saved = 10.0;  ///< retries saved up for bad moments
-  int max_attempts = 4;      ///< of one request, the first included
+  /// Retries added to the budget by each first attempt.
+  double per_request = 0.1;
+  double most_saved = 10.0;  ///< maximum number of retries in the budget
+  int max_attempts = 4;      ///< for one request, including the first attempt
   std::int64_t first_backoff_ms = 50;
   std::int64_t max_backoff_ms = 2'000;
 };
 
-/// @brief One attempt that failed.
+/// @brief A failed attempt of a request.
 struct FailedAttempt {
   int attempts = 1;              ///< made so far
   std::int64_t deadline_ms = 0;  ///< 0: none
-  int max_attempts = 0;          ///< of this request; 0: the budget's own bound
+  int max_attempts = 0;  ///< limit for this request; 0: the budget's default
 };
 
-/// @brief The answer to a failed attempt.
+/// @brief Result of RetryBudget::Ask.
 struct RetryAnswer {
   RetryVerdict verdict = RetryVerdict::kRetry;
-  std::int64_t backoff_ms = 0;  ///< wait before the retry, spread
+  std::int64_t backoff_ms = 0;  ///< delay before the retry, with random jitter
 };
 
-/// @brief Bounds retries to a part of the first attempts, so that failures do
-/// not multiply the load. Whether a retry is safe is decided elsewhere.
+/// @brief Limits retries to a fraction of the first attempts, so that failures
+/// do not multiply the load. Whether a request is safe to repeat is decided
+/// elsewhere.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options = {});
 
-  /// @brief A request's first attempt was made.
+  /// @brief Records the first attempt of a request.
   void NoteFirstAttempt();
 
-  /// @brief Asks to try again; a granted retry is spent.
+  /// @brief Asks whether to retry; a granted retry is deducted from the budget.
   RetryAnswer Ask(const FailedAttempt& failed, std::int64_t now_ms,
                   std::uint64_t random);
 
-  /// @brief Changes how many retries are saved up: this host's part of what
-  /// all hosts may.
+  /// @brief Sets the maximum number of retries in the budget: this host's share
+  /// of the limit over all hosts.
   void SetMostSaved(double most_saved);
 
-  /// @brief Retries that could be granted now.
+  /// @brief Number of retries that are available now.
   double Saved() const { return this->saved; }
 
  private:
--- a/src/policy/shared_work.h
+++ b/src/policy/shared_work.h
@@ -8,32 +8,32 @@
 
 namespace meadowthread {
 
-/// @brief A copy of a run that began so many milliseconds ago is over, or its
-/// host is gone: the longest ones, behind two others on both of their links,
-/// took 0.7 s.
+/// @brief A KV-cache copy that began longer ago than this is over, or its host
+/// is gone. The longest copies, queued behind two others on both of their
+/// links, took 0.7 s.
 inline constexpr std::int64_t kLongestCopyMs = 900;
 
-/// @brief Cost of a copy behind another one, in PressureOptions' unit: it waits
-/// for about as long as one to another zone takes longer, and the run's last
-/// step may come to wait as well.
+/// @brief Cost of queueing a KV-cache copy behind another one, in the unit of
+/// PressureOptions: the delay is about as long as the extra time of a copy to
+/// another zone, and the run's last step may be delayed as well.
 inline constexpr double kBusyLinkCost = 0.5;
 
-/// @brief What one entry host tells the others of its work on one engine.
-/// Late, lost or doubled, it makes choices worse but never wrong.
+/// @brief A host's report to the others of its work on one engine. If it is
+/// late, lost or duplicated, choices become worse but stay correct.
 struct PeerLoad {
   std::string peer;
   std::string engine;
   std::int64_t as_of_unix_ms = 0;
   int in_flight = 0;
   std::int64_t kv_held = 0;  ///< tokens
-  /// Prompt tokens of those that have generated nothing yet.
+  /// Prompt tokens of streams that have not generated anything yet.
   std::int64_t reading = 0;
-  int copies = 0;  ///< of runs, that it has on the engine's link now
+  int copies = 0;  ///< KV-cache copies of this peer on the engine's link now
   MemoryForecast forecast;
 };
 
-/// @brief What one entry host tells the others of a workspace's use.
-struct PeerUse {
+/// @brief A host's report to the others of a workspace's usage.
+struct PeerWorkspaceUsage {
   std::string peer;
   std::string workspace;
   std::int64_t as_of_unix_ms = 0;
--- a/src/policy/stop_plan.h
+++ b/src/policy/stop_plan.h
@@ -9,63 +9,69 @@
 
 /// @brief What a stopping host does next.
 enum class StopStep {
-  kWait,        ///< goes on
-  kLastWord,    ///< what still runs is refused or broken off now
-  kEndDrained,  ///< ends: nobody is owed anything
-  kEndInTime,   ///< ends: it would be ended by force
+  kWait,            ///< continue with the requests in progress
+  kLastWord,        ///< refuse or abort all requests still in progress
+  kExitDrained,     ///< exit: all requests and responses are finished
+  kExitBeforeKill,  ///< exit: the process is about to be killed
 };
 
-/// @brief The step's name, as logs tell why a host ended.
+/// @brief The step's name, logged as the reason for the exit.
 std::string_view StopStepName(StopStep step);
 
-/// @brief How long a stop may and has to last, in milliseconds.
+/// @brief Minimum and maximum duration of a stop, in milliseconds.
 struct StopBounds {
-  std::int64_t least_ms = 0;  ///< so long new connections still come
-  std::int64_t grace_ms = 0;  ///< the process is ended by force then
+  std::int64_t min_ms = 0;    ///< new connections may still arrive until then
+  std::int64_t grace_ms = 0;  ///< the process is killed after this time
 };
 
-/// @brief What a stopping host still has to do.
+/// @brief Work left on a stopping host.
 struct StopWork {
-  std::size_t running = 0;       ///< requests in progress
-  std::size_t callers_owed = 0;  ///< who may still get something
+  std::size_t running = 0;  ///< requests in progress
+  /// Callers whose response is not delivered yet.
+  std::size_t callers_owed = 0;
 };
 
-/// @brief What a host without requests in progress still has to do.
+/// @brief Work left on a host without requests in progress.
 struct LeftWork {
-  std::size_t callers_owed = 0;    ///< who may still get something
-  std::size_t claims_pending = 0;  ///< writes that others will ask for
-  std::size_t peers_owed = 0;      ///< other hosts that wait for an answer
+  /// Callers whose response is not delivered yet.
+  std::size_t callers_owed = 0;
+  /// Unfinished writes to the claim log, which other hosts will read.
+  std::size_t claims_pending = 0;
+  std::size_t peers_owed = 0;  ///< other hosts that wait for a response
 };
 
-/// @brief Whether a stopping host whose end nobody forces may end.
+/// @brief Whether a stopping host that will not be killed may exit.
 ///
-/// Each kind of work has a limit, so that no caller, no store and no peer can
-/// keep a host from ending.
-/// @param[in] waited_ms since its last request ended
+/// Each kind of work is waited for only up to a limit, so that no caller, store
+/// or peer can keep the host from exiting.
+/// @param[in] waited_ms time since its last request ended
 bool MayEnd(std::int64_t waited_ms, const LeftWork& left);
 
-/// @brief When a stopping host says its last word, and when it ends.
+/// @brief Decides when a stopping host aborts the requests in progress and when
+/// it exits.
 ///
-/// Answers the load pattern "hosts are stopped while long answers run and
-/// callers read slowly": an answer whose run has ended is still on its way.
+/// Guards against losing responses when a host is stopped while long outputs
+/// run and callers read slowly: after a run has ended, its response may still
+/// be on its way to the caller.
 class StopPlan {
  public:
-  /// @param[in] begun_ms monotonic: when the stop was asked for
+  /// @param[in] begun_ms monotonic time of the request to stop
   StopPlan(std::int64_t begun_ms, const StopBounds& bounds)
       : begun_ms(begun_ms), bounds(bounds) {}
 
+  /// @brief The step to take now.
   /// @param[in] now_ms monotonic
   StopStep Next(std::int64_t now_ms, const StopWork& work) const;
 
-  /// @brief Requests that will not have ended by then are not taken, monotonic.
+  /// @brief Requests not expected to end by this monotonic time are refused.
   std::int64_t LastEndMs() const;
 
-  /// @brief The balancer has noticed the stop by then, monotonic.
+  /// @brief The load balancer has noticed the stop by this monotonic time.
   std::int64_t NoticedMs() const {
-    return this->begun_ms + this->bounds.least_ms;
+    return this->begun_ms + this->bounds.min_ms;
   }
 
-  /// @brief The process is ended by force then, monotonic.
+  /// @brief The process is killed at this monotonic time.
   std::int64_t ForcedMs() const {
     return this->begun_ms + this->bounds.grace_ms;
   }
--- a/src/policy/stop_return.cc
+++ b/src/policy/stop_return.cc
@@ -5,14 +5,15 @@
 namespace meadowthread {
 namespace {
 
-// Another host is a new connection away.
-constexpr std::int64_t kSoonMs = 20;
-// A host that is back is asked within a second, and its answer is heeded soon.
-constexpr std::int64_t kNoticedBackMs = 1'300;
+// Enough to open a new connection to another host.
+constexpr std::int64_t kOtherHostRetryMs = 20;
+// The load balancer checks a returning host within a second and soon acts on
+// the result.
+constexpr std::int64_t kReturnNoticedMs = 1'300;
 
-// When at least half of the hosts take requests; all of them do where there
-// are none.
-std::int64_t HalfBackInMs(std::vector<std::int64_t> back_in_ms) {
+// The time until at least half of the hosts accept requests; 0 if there are no
+// hosts.
+std::int64_t HalfServingInMs(std::vector<std::int64_t> back_in_ms) {
   if (back_in_ms.empty()) {
     return 0;
   }
@@ -26,21 +27,25 @@
 std::int64_t ReturnAfterStopMs(std::string_view zone,
                                const std::vector<HostAway>& hosts,
                                std::int64_t noticed_in_ms) {
-  std::vector<std::int64_t> here;
-  std::vector<std::int64_t> elsewhere;
+  std::vector<std::int64_t> same_zone;
+  std::vector<std::int64_t> other_zones;
   for (const HostAway& host : hosts) {
-    (host.zone == zone ? here : elsewhere).push_back(host.back_in_ms);
+    (host.zone == zone ? same_zone : other_zones).push_back(host.back_in_ms);
   }
-  const auto takes = [](std::int64_t back_in_ms) { return back_in_ms == 0; };
-  const bool none_here = std::none_of(here.begin(), here.end(), takes);
-  const std::int64_t here_ms = HalfBackInMs(here);
-  if (here_ms == 0) {
-    return kSoonMs;
+  const auto is_serving = [](std::int64_t back_in_ms) {
+    return back_in_ms == 0;
+  };
+  const bool none_in_zone =
+      std::none_of(same_zone.begin(), same_zone.end(), is_serving);
+  const std::int64_t zone_ms = HalfServingInMs(same_zone);
+  if (zone_ms == 0) {
+    return kOtherHostRetryMs;
   }
-  if (none_here && !elsewhere.empty() && HalfBackInMs(elsewhere) == 0) {
-    return std::max(kSoonMs, noticed_in_ms);
+  if (none_in_zone && !other_zones.empty() &&
+      HalfServingInMs(other_zones) == 0) {
+    return std::max(kOtherHostRetryMs, noticed_in_ms);
   }
-  return here_ms + kNoticedBackMs;
+  return zone_ms + kReturnNoticedMs;
 }
 
 }  // namespace meadowthread
--- a/src/policy/stop_return.h
+++ b/src/policy/stop_return.h
@@ -8,23 +8,25 @@
 
 namespace meadowthread {
 
-/// @brief One entry host, as far as a stopping one knows.
+/// @brief A host and when it accepts requests again, as known to a stopping
+/// host.
 struct HostAway {
   std::string zone;
-  std::int64_t back_in_ms = 0;  ///< takes requests again then; 0: it does now
+  /// Time until it accepts requests; 0: it does now.
+  std::int64_t back_in_ms = 0;
 };
 
-/// @brief When a request that a stopping host refuses should come back,
-/// milliseconds from now.
+/// @brief The Retry-After time of a request that a stopping host refuses, in
+/// milliseconds.
 ///
-/// Answers the load pattern "hosts are restarted one after the other, each
-/// before the last is back": sent away at once, a caller finds the next host
-/// that stops, and its only further attempt is gone. The balancer sends callers
-/// to the hosts of their zone that are ready, to all of them while fewer than
-/// half are, and to other zones while none is.
-/// @param[in] zone the stopping host's
-/// @param[in] hosts all entry hosts, the stopping one included
-/// @param[in] noticed_in_ms the balancer has noticed this host's stop by then
+/// Guards against repeated refusals during a rolling restart in which each host
+/// stops before the previous one is back: a caller that retries at once reaches
+/// the next stopping host and loses its only further attempt. The load balancer
+/// sends callers to the ready hosts of their zone, to all hosts of the zone if
+/// fewer than half are ready, and to other zones if none is.
+/// @param[in] zone the stopping host's zone
+/// @param[in] hosts all hosts, including the stopping one
+/// @param[in] noticed_in_ms time until the load balancer has noticed the stop
 std::int64_t ReturnAfterStopMs(std::string_view zone,
                                const std::vector<HostAway>& hosts,
                                std::int64_t noticed_in_ms);
--- a/src/policy/stream_admission.h
+++ b/src/policy/stream_admission.h
@@ -5,50 +5,54 @@
 
 namespace meadowthread {
 
-/// @brief What is known of a stream when it arrives.
+/// @brief What is known about an arriving stream.
 struct StreamArrival {
-  std::int64_t target_ms = 0;   ///< to its first event; 0: none wanted
+  std::int64_t target_ms = 0;   ///< latency target of the first event; 0: none
   std::int64_t elapsed_ms = 0;  ///< since its caller's first attempt
-  std::int64_t left_ms = 0;     ///< its caller waits this much longer
+  std::int64_t left_ms = 0;     ///< how long its caller still waits
 };
 
-/// @brief What is to be done with a stream that arrives.
+/// @brief How to treat an arriving stream.
 struct ArrivalPlan {
-  /// It is sent only where its first event is expected within this; 0: to any
-  /// engine with room.
+  /// Send it only to an engine whose first event is expected within this time;
+  /// 0: to any engine with room.
   std::int64_t first_event_within_ms = 0;
-  /// So long it waits for such an engine; then, or at once, it is refused.
+  /// How long it waits for such an engine before it is refused; 0: it is
+  /// refused at once.
   std::int64_t may_wait_ms = 0;
-  bool is_late = false;  ///< it can't begin in time any more
+  bool is_late = false;  ///< it can no longer meet its target
 };
 
-/// @brief What StreamAdmission may be set to.
+/// @brief Options of StreamAdmission.
 struct StreamAdmissionOptions {
-  /// Refuse what is not expected to begin in time. Off: only memory counts.
+  /// Refuse streams that are not expected to meet their target. If false, only
+  /// memory limits admission.
   bool refuses_late = true;
-  /// Let those who were refused before wait for room. Off: they are refused as
-  /// the others are.
+  /// Let streams that were refused before wait for room. If false, they are
+  /// refused like others.
   bool lets_returned_wait = true;
-  /// Spread the returns over the time that callers heed. Off: soon.
+  /// Spread the retries over the time for which callers honor Retry-After. If
+  /// false, they come soon.
   bool spreads_returns = true;
 };
 
-/// @brief Decides what a stream waits for, and when a refused one comes back.
+/// @brief Decides how long a stream may wait for an engine and when a refused
+/// one should be retried.
 ///
-/// Answers the load pattern "more comes than engines can begin in time": what
-/// can't be in time is refused at once and comes back late, instead of making
-/// late all that comes after it.
+/// Guards against overload, when more streams arrive than engines can start in
+/// time: a stream that cannot meet its target is refused at once and retried
+/// later, instead of delaying all that arrive after it.
 class StreamAdmission {
  public:
   explicit StreamAdmission(StreamAdmissionOptions options = {})
       : options(options) {}
 
-  /// @brief What an arriving stream may wait for.
+  /// @brief Plans the admission of an arriving stream.
   ArrivalPlan Plan(const StreamArrival& arrival) const;
 
-  /// @brief When a refused stream should come back, milliseconds from now.
-  /// @param[in] left_ms its caller waits this much longer
-  /// @param[in] random spreads the returns
+  /// @brief The Retry-After time of a refused stream, in milliseconds.
+  /// @param[in] left_ms how long its caller still waits
+  /// @param[in] random spreads the retries
   std::int64_t ReturnAfterMs(std::int64_t left_ms, std::uint64_t random) const;
 
  private:
--- a/src/policy/string_map.h
+++ b/src/policy/string_map.h
@@ -14,7 +14,8 @@
 
 namespace detail {
 
-/// @brief Hashes views and strings alike, so that looking up copies nothing.
+/// @brief Hashes string views and strings alike, so that lookups copy no
+/// strings.
 struct StringViewHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const {
@@ -24,7 +25,7 @@
 
 }  // namespace detail
 
-/// @brief A hash map by name.
+/// @brief A hash map keyed by string.
 template <typename Value>
 using StringMap = absl::flat_hash_map<std::string, Value,
                                       detail::StringViewHash, std::equal_to<>>;
--- a/src/policy/tests/chooser_test.cc
+++ b/src/policy/tests/chooser_test.cc
@@ -16,7 +16,7 @@
 using testing::Fleet;
 using testing::Work;
 
-Test(a_chooser, says_that_no_engine_has_the_model) {
+Test(a_chooser, reports_that_no_engine_has_the_model) {
   Fleet fleet(3);
   WorkItem work = Work("r");
   work.model = "other";
@@ -28,7 +28,7 @@
   cr_assert(!second.engine && second.reason == DecisionReason::kNotServed);
 }
 
-Test(a_chooser, never_takes_an_engine_that_leaves_died_or_stalled) {
+Test(a_chooser, never_chooses_a_leaving_dead_or_stalled_engine) {
   Fleet fleet(4);
   fleet.state.SetEngine({"e0", "z", true, true}, 0);
   fleet.state.SetEngine({"e1", "z", false, false}, 0);
@@ -53,7 +53,7 @@
   cr_assert(none.retry_after_ms > 0);
 }
 
-Test(a_round_robin, goes_round) {
+Test(a_round_robin_chooser, takes_each_engine_in_turn) {
   Fleet fleet(3);
   RoundRobinChooser turns;
   std::set<std::string> seen;
@@ -63,7 +63,7 @@
   cr_assert(seen.size() == 3);
 }
 
-Test(a_memory_aware_chooser, sends_only_where_the_memory_will_hold) {
+Test(a_memory_aware_chooser, sends_only_where_memory_will_suffice) {
   Fleet fleet(2);
   MemoryAwareChooser chooser;
   fleet.Teach(Work("r"), 4'000);
@@ -78,8 +78,8 @@
       cr_assert(decision.reason == DecisionReason::kNoneHasRoom);
     }
   }
-  // Two engines of 20,000 tokens hold four outputs of 4,100 each at the end;
-  // lengths are learnt to within a bucket, a fifth.
+  // Two engines of 20,000 tokens hold four finished outputs of 4,100 tokens
+  // each. Lengths are learned to the precision of a bucket, about a fifth.
   cr_assert(sent >= 6 && sent <= 10);
 }
 
@@ -116,7 +116,7 @@
   }
   fleet.state.ApplyReport(full, 1);
   fleet.state.ApplyReport(crowded, 1);
-  // The risk is left out, so that only the memory held now decides.
+  // Without the risk weights, only the memory held now decides.
   MemoryAwareOptions options;
   options.weights = {0.0, 0.0, 1.0};
   MemoryAwareChooser chooser(options);
@@ -126,14 +126,14 @@
   cr_assert(plain.Choose(tag, fleet.state, 1, 1).engine == "e0");
 }
 
-Test(a_memory_aware_chooser, leaves_the_last_room_to_the_host_it_belongs_to) {
+Test(a_memory_aware_chooser, leaves_the_last_memory_to_the_preferring_host) {
   const std::vector<std::string> hosts = {"h0", "h1"};
   Fleet first(1);
   Fleet second(1);
   first.state.SetHosts("h0", hosts);
   second.state.SetHosts("h1", hosts);
-  Fleet& preferring = first.state.Preferred(0) ? first : second;
-  Fleet& other = first.state.Preferred(0) ? second : first;
+  Fleet& preferring = first.state.IsPreferred(0) ? first : second;
+  Fleet& other = first.state.IsPreferred(0) ? second : first;
   const auto fill = [](FleetState& state) {
     MemoryAwareChooser chooser;
     int sent = 0;
@@ -152,7 +152,7 @@
   cr_assert(fill(preferring.state) > fill(other.state));
 }
 
-Test(a_memory_aware_chooser, leans_to_the_engine_with_the_prefix) {
+Test(a_memory_aware_chooser, favors_the_engine_with_the_prefix) {
   Fleet fleet(8);
   WorkItem work = Work("r");
   work.prefix_hash = 99;
@@ -163,7 +163,7 @@
   cr_assert(decision.reason == DecisionReason::kPrefixHint);
 }
 
-Test(a_memory_aware_chooser, gives_its_grounds) {
+Test(a_memory_aware_chooser, reports_the_engines_considered) {
   Fleet fleet(8);
   MemoryAwareChooser chooser;
   const Decision decision = chooser.Choose(Work("r"), fleet.state, 0, 3);
@@ -171,7 +171,7 @@
   cr_assert(decision.considered[0].engine == *decision.engine);
 }
 
-Test(a_memory_aware_chooser, does_not_herd_on_equal_engines) {
+Test(a_memory_aware_chooser, spreads_over_equal_engines) {
   Fleet fleet(8);
   MemoryAwareChooser chooser;
   std::set<std::string> seen;
--- a/src/policy/tests/fleet_fixture.h
+++ b/src/policy/tests/fleet_fixture.h
@@ -38,7 +38,7 @@
   return work;
 }
 
-/// @brief A fleet of engines that have all reported at time 0.
+/// @brief A fleet of engines that have all sent a load report at time 0.
 struct Fleet {
   explicit Fleet(int engines) : state(this->lengths) {
     for (int i = 0; i < engines; ++i) {
@@ -47,7 +47,8 @@
     }
   }
 
-  /// @brief Teaches that the work's outputs are all this long.
+  /// @brief Teaches the length model that outputs of the work's key have this
+  /// length.
   void Teach(const WorkItem& work, std::int64_t tokens) {
     for (int i = 0; i < 400; ++i) {
       this->lengths.Observe(LengthKeyOf(work), tokens);
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -26,7 +26,7 @@
   cr_assert(fleet.state.Serving(work).size() == 2);
   work.version = "2";
   cr_assert(fleet.state.Serving(work).empty());
-  // when one engine loads another version in place of the first
+  // When one engine loads another version in place of the first.
   LoadReport report = ReportOf(0, 1);
   report.models = {{"m", "", "2"}};
   fleet.state.ApplyReport(report, 1);
@@ -35,8 +35,9 @@
   cr_assert(fleet.state.Serving(work).size() == 1);
 }
 
-// An engine that starts again is another one to the state: its key differs.
-Test(a_fleet_state, holds_nothing_of_an_engine_against_its_next_start) {
+// A restarted engine has a new key, so that the state treats it as another
+// engine.
+Test(a_fleet_state, keeps_no_state_of_an_engine_after_its_restart) {
   Fleet fleet(1);
   WorkItem work = Work("a");
   work.prefix_hash = 77;
@@ -51,7 +52,8 @@
   EngineListing next{"e0/2", "z", true, false};
   next.models = {{"m", "", "1"}};
   fleet.state.SetEngine(next, 20);
-  // A host that still speaks of the start before, and its late report.
+  // A peer's load and a late load report still refer to the engine before its
+  // restart.
   fleet.state.NotePeerLoad(peer, 21);
   LoadReport late = ReportOf(0, 22);
   late.running = 9;
@@ -67,7 +69,7 @@
   cr_assert(fleet.state.View(place).engine == "e0/2" &&
             !fleet.state.IsLinkBusy(place, 22) &&
             fleet.state.ReadingTokens(place, 22) == 0);
-  // The stream at the start before ends there.
+  // The stream on the engine before its restart ends there.
   fleet.state.NoteEnded("a", StreamEnd::kCut, 30);
   cr_assert(view.own_in_flight == 0);
 }
@@ -78,18 +80,18 @@
   work.prefix_hash = 77;
   fleet.state.NoteSent(work, "e0", 10);
   fleet.state.NoteEnded("a", StreamEnd::kComplete, 20);
-  cr_assert(fleet.state.PrefixEngines(work).size() == 1);
-  // Started again under its name, as its report tells.
+  cr_assert(fleet.state.EnginesWithPrefix(work).size() == 1);
+  // Restarted under the same name, as its new incarnation shows.
   LoadReport report = ReportOf(0, 30);
   report.incarnation = "2";
   fleet.state.ApplyReport(report, 30);
-  cr_assert(fleet.state.PrefixEngines(work).empty());
-  // And where another engine takes its place.
+  cr_assert(fleet.state.EnginesWithPrefix(work).empty());
+  // The same if another engine reuses its slot.
   fleet.state.NoteSent(work, "e0", 40);
   fleet.state.NoteEnded("a", StreamEnd::kComplete, 50);
   fleet.state.RemoveEngine("e0");
   fleet.state.SetEngine({"e9", "z", true, false}, 60);
-  cr_assert(fleet.state.PrefixEngines(work).empty());
+  cr_assert(fleet.state.EnginesWithPrefix(work).empty());
 }
 
 Test(a_fleet_state, counts_its_own_streams_exactly) {
@@ -108,13 +110,14 @@
   cr_assert(fleet.state.View(0).own_in_flight == 0);
 }
 
-// Large blocks are counted apart from the others.
+// mallinfo2 counts memory-mapped blocks separately.
 std::size_t BytesInUse() {
   const auto info = mallinfo2();
   return info.uordblks + info.hblkhd;
 }
 
-// Ended streams were kept until a report came, and some engines send none.
+// Guards against unbounded growth: ended streams were kept until the next load
+// report, and some engines send none.
 Test(a_fleet_state, keeps_no_old_streams_of_an_engine_that_never_reports) {
   Fleet fleet(1);
   constexpr int kStreams = 200'000;
@@ -127,7 +130,7 @@
   cr_assert(BytesInUse() < before + kAllowedBytes);
 }
 
-Test(a_fleet_state, passes_over_a_report_older_than_the_last) {
+Test(a_fleet_state, ignores_a_report_older_than_the_last) {
   Fleet fleet(1);
   LoadReport report = ReportOf(0, 100);
   report.running = 5;
@@ -138,18 +141,18 @@
   cr_assert(fleet.state.View(0).running == 5);
 }
 
-Test(a_fleet_state, believes_a_leaving_engine_before_a_lagging_host_list) {
+Test(a_fleet_state, treats_an_engine_as_leaving_if_either_source_says_so) {
   Fleet fleet(1);
   LoadReport report = ReportOf(0, 10);
   report.leaving = true;
   fleet.state.ApplyReport(report, 20);
   fleet.state.SetEngine({EngineName(0), "z", true, false}, 30);
   cr_assert(!fleet.state.View(0).Usable());
-  // and the host list before a report of before the mark
+  // The same if the host list says so before a delayed report does.
   fleet.state.SetEngine({EngineName(0), "z", true, true}, 40);
   fleet.state.ApplyReport(ReportOf(0, 45), 50);
   cr_assert(!fleet.state.View(0).Usable());
-  // until both say that it stays
+  // Until both sources say that it stays.
   fleet.state.SetEngine({EngineName(0), "z", true, false}, 60);
   cr_assert(fleet.state.View(0).Usable());
 }
@@ -176,7 +179,7 @@
   cr_assert(fleet.state.Forecast(0, 70).PeakMean() > before);
 }
 
-Test(a_fleet_state, takes_what_peers_tell_and_forgets_it_when_old) {
+Test(a_fleet_state, uses_peer_loads_until_they_are_outdated) {
   Fleet theirs(1);
   Fleet fleet(1);
   theirs.state.NoteSent(Work("a"), "e0", 10);
@@ -189,7 +192,7 @@
   cr_assert(fleet.state.Forecast(0, 60'000).PeakMean() < 1);
 }
 
-Test(a_fleet_state, tells_peers_once_that_its_work_ended) {
+Test(a_fleet_state, reports_once_to_peers_that_its_work_ended) {
   Fleet fleet(1);
   fleet.state.NoteSent(Work("a"), "e0", 10);
   cr_assert(fleet.state.OwnLoad("me", 20).size() == 1);
@@ -199,26 +202,26 @@
   cr_assert(fleet.state.OwnLoad("me", 50).empty());
 }
 
-Test(a_fleet_state, brings_a_returning_engine_back_slowly) {
+Test(a_fleet_state, slow_starts_a_returning_engine) {
   Fleet fleet(1);
   fleet.state.EngineStalled("e0", 100);
   cr_assert(!fleet.state.View(0).Usable());
   fleet.state.EngineBack("e0", 5'000);
   cr_assert(fleet.state.View(0).Usable());
-  cr_assert(fleet.state.ServiceShare(0, 5'000) < 0.2);
-  cr_assert(fleet.state.ServiceShare(0, 60'000) == 1.0);
+  cr_assert(fleet.state.SlowStartShare(0, 5'000) < 0.2);
+  cr_assert(fleet.state.SlowStartShare(0, 60'000) == 1.0);
 }
 
 Test(an_engine, is_preferred_by_exactly_one_host) {
   const std::vector<std::string> hosts = {"h0", "h1", "h2"};
   std::array<int, 3> counts = {};
   Fleet fleet(30);
-  cr_assert(fleet.state.Preferred(0));
+  cr_assert(fleet.state.IsPreferred(0));
   std::vector<int> preferring(30, 0);
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     fleet.state.SetHosts(hosts[i], hosts);
     for (const EngineIndex engine : fleet.state.PreferredEngines()) {
-      cr_assert(fleet.state.Preferred(engine));
+      cr_assert(fleet.state.IsPreferred(engine));
       ++preferring[engine];
       ++counts[i];
     }
@@ -234,19 +237,19 @@
 Test(a_prefix_hint, names_the_newest_engines_and_stays_bounded) {
   PrefixHints hints(2);
   for (std::uint32_t engine = 0; engine < 6; ++engine) {
-    hints.Stored(11, engine);
+    hints.NoteStored(11, engine);
   }
-  cr_assert(hints.EnginesOf(11).size() == PrefixHints::kEnginesEach);
+  cr_assert(hints.EnginesOf(11).size() == PrefixHints::kMaxEnginesPerPrefix);
   cr_assert(hints.EnginesOf(11)[0] == 5);
-  hints.Evicted(11, 5);
+  hints.NoteEvicted(11, 5);
   cr_assert(hints.EnginesOf(11)[0] == 4);
-  hints.Stored(12, 0);
-  hints.Stored(13, 0);
+  hints.NoteStored(12, 0);
+  hints.NoteStored(13, 0);
   cr_assert(hints.Size() == 2);
   cr_assert(hints.EnginesOf(11).empty());
 }
 
-Test(prompts_at_an_engine, are_to_be_read_until_their_first_event) {
+Test(prompts_on_an_engine, are_prefill_backlog_until_their_first_event) {
   Fleet fleet(1);
   WorkItem first = testing::Work("r1");
   first.prompt_tokens = 2'000;
@@ -255,19 +258,20 @@
   fleet.state.NoteSent(first, "e0", 0);
   fleet.state.NoteSent(second, "e0", 0);
   cr_assert(fleet.state.ReadingTokens(0, 0) == 3'000);
-  // The second one waited for both: 900 ms for 3,000 tokens.
-  const double before = fleet.state.Reading().MsPerToken();
+  // The second stream waited for both prompts: 900 ms for 3,000 tokens.
+  const double before = fleet.state.Prefill().MsPerToken();
   fleet.state.NoteTokens("r2", 4, 900);
   cr_assert(fleet.state.ReadingTokens(0, 900) == 2'000);
-  cr_assert(fleet.state.Reading().MsPerToken() > before);
-  const double after = fleet.state.Reading().MsPerToken();
+  cr_assert(fleet.state.Prefill().MsPerToken() > before);
+  const double after = fleet.state.Prefill().MsPerToken();
   fleet.state.NoteTokens("r2", 8, 5'000);
-  cr_assert(fleet.state.Reading().MsPerToken() == after,
-            "the first event only");
+  cr_assert(fleet.state.Prefill().MsPerToken() == after,
+            "only the first event is measured");
 }
 
-// A copy that counted as a prompt to be read kept new work from its target.
-Test(a_copy_of_a_run, is_nothing_to_be_read) {
+// A KV-cache copy that counted as a prompt to prefill kept new work away from
+// its target engine.
+Test(a_kv_cache_copy, adds_no_prefill_backlog) {
   Fleet fleet(1);
   WorkItem copy = testing::Work("copy/r1");
   copy.prompt_tokens = 4'000;
@@ -277,9 +281,10 @@
   cr_assert(fleet.state.Find("e0")->own_kv == 4'000);
 }
 
-// A host that asked where to send knows from the answer what is ahead of its
-// prompt, and tells the host that answered how long that took.
-Test(a_first_event, tells_how_fast_all_that_was_ahead_is_read) {
+// A host that had its engine chosen by an allocator learns from the answer how
+// many prompt tokens are ahead of its own, and reports to the allocator how
+// long their prefill took.
+Test(a_first_event, measures_the_prefill_of_all_tokens_ahead) {
   testing::Fleet fleet(1);
   std::vector<ReadingSeen> told;
   fleet.state.OnReading(
@@ -293,9 +298,10 @@
   cr_assert(told.size() == 1 && told[0].engine == "e0");
   cr_assert(told[0].tokens == 8'000 && told[0].took_ms == 800);
   testing::Fleet other(1);
-  const double before = other.state.Reading().MsPerToken();
+  const double before = other.state.Prefill().MsPerToken();
   other.state.ObserveReading(told[0]);
-  cr_assert(other.state.Reading().MsPerToken() < before, "0.1 ms a token");
+  cr_assert(other.state.Prefill().MsPerToken() < before,
+            "the measured rate is 0.1 ms per token");
 }
 
 }  // namespace
--- a/src/policy/tests/length_model_test.cc
+++ b/src/policy/tests/length_model_test.cc
@@ -18,14 +18,14 @@
   }
 }
 
-Test(a_length_model, starts_with_a_wide_guess) {
+Test(a_length_model, starts_with_a_wide_prior) {
   LearnedLengthModel model;
   const auto curve = model.CurveOf(kReports);
   cr_assert(curve->SurvivalAfter(0, 1'000) > 0.1);
   cr_assert(curve->SurvivalAfter(0, 16) < 1.0);
 }
 
-Test(a_length_model, learns_each_template_apart) {
+Test(a_length_model, learns_each_template_separately) {
   LearnedLengthModel model;
   ObserveMany(model, kReports, 200, 3'000);
   ObserveMany(model, kTags, 200, 20);
@@ -33,14 +33,14 @@
   cr_assert(model.CurveOf(kTags)->SurvivalAfter(0, 1'000) < 0.1);
 }
 
-Test(a_length_model, lends_a_new_template_what_its_model_knows) {
+Test(a_length_model, uses_the_model_as_prior_for_a_new_template) {
   LearnedLengthModel model;
   ObserveMany(model, kReports, 500, 3'000);
   const LengthKey unseen{"other", "unseen", "m"};
   cr_assert(model.CurveOf(unseen)->SurvivalAfter(0, 1'000) > 0.8);
 }
 
-Test(a_length_model, expects_more_of_what_has_run_long) {
+Test(a_length_model, expects_more_tokens_from_long_outputs) {
   LearnedLengthModel model;
   ObserveMany(model, kReports, 100, 100);
   ObserveMany(model, kReports, 100, 4'000);
@@ -56,7 +56,7 @@
   cr_assert(model.CurveOf(kReports)->SurvivalAfter(0, 1'000) > 0.85);
 }
 
-Test(a_length_model, holds_no_more_keys_than_it_may) {
+Test(a_length_model, limits_the_number_of_keys) {
   LengthModelOptions options;
   options.max_keys = 100;
   LearnedLengthModel model(options);
@@ -65,7 +65,7 @@
     ObserveMany(model, kReports, 1, 3'000);
   }
   cr_assert(model.KeyCount() == 100);
-  // What is observed all the time is not what goes.
+  // A key that is observed all the time is not evicted.
   cr_assert(model.CurveOf(kReports)->SurvivalAfter(0, 1'000) > 0.9);
 }
 
--- a/src/policy/tests/retry_budget_test.cc
+++ b/src/policy/tests/retry_budget_test.cc
@@ -23,7 +23,7 @@
   cr_assert(budget.Ask({1, 5'000}, 1'000, 1).verdict == RetryVerdict::kRetry);
 }
 
-Test(a_retry_budget, bounds_the_attempts_of_one_request) {
+Test(a_retry_budget, limits_the_attempts_of_one_request) {
   RetryBudget budget;
   cr_assert(budget.Ask({4, 0}, 0, 1).verdict == RetryVerdict::kAttempts);
 }
@@ -35,7 +35,7 @@
   cr_assert(third.backoff_ms >= 4 * first.backoff_ms);
 }
 
-Test(a_full_engine, is_not_held_to_be_at_fault) {
+Test(a_full_engine, is_not_at_fault) {
   cr_assert(!SpeaksAgainstEngine(AttemptFailure::kEngineFull));
   cr_assert(SpeaksAgainstEngine(AttemptFailure::kNoProgress));
 }
--- a/src/policy/tests/stop_plan_test.cc
+++ b/src/policy/tests/stop_plan_test.cc
@@ -1,5 +1,5 @@
-// When a stopping host may end: not before its callers have their answers, and
-// in time before it would be ended by force.
+// When a stopping host may exit: not before its callers have their responses,
+// but in time before it would be killed.
 #include "policy/stop_plan.h"
 
 #include <criterion/criterion.h>
@@ -18,35 +18,35 @@
 Test(a_stopping_host_with_nothing_to_do, stays_until_its_stop_is_noticed) {
   cr_assert(After(0, kNothing) == StopStep::kWait);
   cr_assert(After(2'399, kNothing) == StopStep::kWait);
-  cr_assert(After(2'400, kNothing) == StopStep::kEndDrained);
+  cr_assert(After(2'400, kNothing) == StopStep::kExitDrained);
 }
 
-Test(a_stopping_host, waits_for_runs_and_for_callers_alike) {
+Test(a_stopping_host, waits_for_requests_and_for_callers) {
   cr_assert(After(5'000, {1, 1}) == StopStep::kWait);
   cr_assert(After(5'000, {0, 1}) == StopStep::kWait);
-  cr_assert(After(5'000, kNothing) == StopStep::kEndDrained);
+  cr_assert(After(5'000, kNothing) == StopStep::kExitDrained);
 }
 
-Test(a_stopping_host, says_its_last_word_and_ends_before_it_is_ended) {
+Test(a_stopping_host, aborts_requests_and_exits_before_it_is_killed) {
   cr_assert(After(7'749, {1, 1}) == StopStep::kWait);
   cr_assert(After(7'750, {1, 1}) == StopStep::kLastWord);
-  // then only callers are left, to whom the last word is on its way
+  // Only callers are left, and the error responses are on their way to them.
   cr_assert(After(7'800, {0, 1}) == StopStep::kWait);
-  cr_assert(After(7'820, kNothing) == StopStep::kEndDrained);
-  cr_assert(After(7'950, {0, 1}) == StopStep::kEndInTime);
+  cr_assert(After(7'820, kNothing) == StopStep::kExitDrained);
+  cr_assert(After(7'950, {0, 1}) == StopStep::kExitBeforeKill);
 }
 
-Test(a_stopping_host, with_less_time_than_the_balancer_takes_ends_in_time) {
+Test(a_stopping_host, with_a_short_grace_period_exits_before_it_is_killed) {
   const StopPlan plan(0, {2'400, 1'000});
   cr_assert(plan.Next(0, kNothing) == StopStep::kWait);
-  cr_assert(plan.Next(950, kNothing) == StopStep::kEndInTime);
+  cr_assert(plan.Next(950, kNothing) == StopStep::kExitBeforeKill);
 }
 
-Test(a_stopping_host, takes_only_what_ends_well_before_it_does) {
+Test(a_stopping_host, accepts_only_requests_that_end_well_before_it_is_killed) {
   cr_assert(StopPlan(kBegunMs, kBounds).LastEndMs() == 8'400);
 }
 
-Test(a_host_whose_end_nobody_forces, waits_for_each_kind_of_work_so_long) {
+Test(a_host_that_is_not_killed, waits_for_each_kind_of_work_up_to_a_limit) {
   cr_assert(MayEnd(0, {}));
   cr_assert(!MayEnd(59'999, {1, 0, 0}) && MayEnd(60'000, {1, 0, 0}));
   cr_assert(!MayEnd(9'999, {0, 1, 0}) && MayEnd(10'000, {0, 1, 0}));
--- a/src/policy/tests/stream_admission_test.cc
+++ b/src/policy/tests/stream_admission_test.cc
@@ -1,4 +1,4 @@
-// What a stream may wait for, and when a refused one comes back.
+// How long a stream may wait, and when a refused one should be retried.
 #include "policy/stream_admission.h"
 
 #include <criterion/criterion.h>
@@ -9,32 +9,33 @@
 namespace meadowthread {
 namespace {
 
-// A route of long answers: the first event within 1.8 s, 39 s in all.
+// A route with long outputs: the first event within 1.8 s, 39 s in all.
 constexpr std::int64_t kTargetMs = 1'800;
 constexpr std::int64_t kAllowedMs = 39'000;
 
-Test(a_first_attempt, is_sent_where_it_begins_in_time_and_never_waits) {
+Test(a_first_attempt, is_sent_only_where_it_starts_in_time_and_never_waits) {
   const ArrivalPlan plan = StreamAdmission().Plan({kTargetMs, 0, kAllowedMs});
   cr_assert(plan.first_event_within_ms == 1'350);
-  cr_assert(plan.may_wait_ms == 0, "what can't be in time is told at once");
+  cr_assert(plan.may_wait_ms == 0,
+            "a stream that cannot start in time is refused at once");
   cr_assert(!plan.is_late);
 }
 
-Test(an_early_return, has_what_is_left_of_its_target) {
+Test(an_early_retry, has_the_rest_of_its_target) {
   const ArrivalPlan plan =
       StreamAdmission().Plan({kTargetMs, 700, kAllowedMs - 700});
   cr_assert(plan.first_event_within_ms == 650 && plan.may_wait_ms == 0);
 }
 
-Test(one_that_came_back_late, takes_room_that_others_leave_and_waits_for_it) {
+Test(a_late_retry, waits_for_capacity_that_others_leave) {
   const ArrivalPlan plan =
       StreamAdmission().Plan({kTargetMs, 9'000, kAllowedMs - 9'000});
   cr_assert(plan.first_event_within_ms == 900,
-            "shorter than of first attempts");
-  cr_assert(plan.may_wait_ms == 6'300, "its caller gives up after 7,200");
+            "shorter than for first attempts");
+  cr_assert(plan.may_wait_ms == 6'300, "its caller gives up after 7,200 ms");
 }
 
-Test(one_that_came_back_late, does_not_wait_beyond_what_its_caller_allows) {
+Test(a_late_retry, does_not_wait_longer_than_its_caller) {
   const ArrivalPlan plan = StreamAdmission().Plan({1'500, 2'000, 4'000});
   cr_assert(plan.first_event_within_ms == 750 && plan.may_wait_ms == 3'250);
 }
@@ -44,9 +45,10 @@
   cr_assert(plan.first_event_within_ms == 0 && plan.may_wait_ms == 0);
 }
 
-// The pattern: a crowd of eight seconds. Those it turns away come back into the
-// later half of the time that they heed, spread over all of it.
-Test(refused_streams, come_back_spread_and_within_what_callers_heed) {
+// Guards against retries that form the next burst: streams refused in a burst
+// of eight seconds are retried in the later half of the honored time, spread
+// over all of it.
+Test(refused_streams, are_retried_spread_over_the_honored_time) {
   std::int64_t earliest = kAllowedMs;
   std::int64_t latest = 0;
   for (std::uint64_t random = 0; random < 1'024; ++random) {
@@ -58,18 +60,18 @@
   cr_assert(latest > 12'000 && latest < kAllowedMs / 3);
 }
 
-Test(refused_streams, with_no_time_left_are_still_told_one) {
+Test(refused_streams, without_time_left_still_get_a_retry_time) {
   cr_assert(StreamAdmission().ReturnAfterMs(0, 0) > 0);
 }
 
-Test(each_part, can_be_switched_off) {
-  const StreamAdmission late_too({.refuses_late = false});
-  cr_assert(late_too.Plan({kTargetMs, 0, kAllowedMs}).first_event_within_ms ==
-            0);
-  const StreamAdmission no_wait({.lets_returned_wait = false});
-  cr_assert(no_wait.Plan({kTargetMs, 9'000, 30'000}).may_wait_ms == 0);
-  const StreamAdmission soon({.spreads_returns = false});
-  cr_assert(soon.ReturnAfterMs(kAllowedMs, 7) == 300);
+Test(each_option, can_be_disabled) {
+  const StreamAdmission accepts_late({.refuses_late = false});
+  cr_assert(
+      accepts_late.Plan({kTargetMs, 0, kAllowedMs}).first_event_within_ms == 0);
+  const StreamAdmission without_wait({.lets_returned_wait = false});
+  cr_assert(without_wait.Plan({kTargetMs, 9'000, 30'000}).may_wait_ms == 0);
+  const StreamAdmission without_spread({.spreads_returns = false});
+  cr_assert(without_spread.ReturnAfterMs(kAllowedMs, 7) == 300);
 }
 
 }  // namespace
