--- a/src/policy/tests/workspace_limits_test.cc
+++ b/src/policy/tests/workspace_limits_test.cc
@@ -8,7 +8,7 @@
 namespace meadowthread {
 namespace {
 
-Test(a_workspace_limit, is_met_with_a_time_to_come_back) {
+Test(a_workspace_limit, refuses_with_a_retry_time) {
   WorkspaceLimits limits;
   limits.SetLimit("lab", {2.0, 0.0, 0});
   int admitted = 0;
@@ -24,7 +24,7 @@
   cr_assert(limits.Admit("free", 10, 0, 1).reached == LimitReached::kNone);
 }
 
-Test(a_workspace_limit, counts_the_tokens_that_were_really_used) {
+Test(a_workspace_limit, counts_the_tokens_actually_used) {
   WorkspaceLimits limits;
   limits.SetLimit("lab", {0.0, 100.0, 0});
   cr_assert(limits.Admit("lab", 200, 0, 1).reached == LimitReached::kNone);
@@ -33,7 +33,7 @@
   cr_assert(limits.Admit("lab", 10, 0, 1).reached == LimitReached::kNone);
 }
 
-Test(a_workspace_limit, bounds_what_runs_at_once) {
+Test(a_workspace_limit, limits_concurrent_requests) {
   WorkspaceLimits limits;
   limits.SetLimit("lab", {0.0, 0.0, 2});
   limits.Admit("lab", 1, 0, 1);
@@ -43,15 +43,15 @@
   cr_assert(limits.Admit("lab", 1, 0, 1).reached == LimitReached::kNone);
 }
 
-Test(a_workspace_limit, falls_back_to_an_even_part_when_cut_off) {
+Test(a_workspace_limit, falls_back_to_an_even_share_when_cut_off) {
   WorkspaceLimits limits;
   limits.SetLimit("lab", {8.0, 0.0, 0});
   limits.SetHosts(4);
   cr_assert(limits.Share("lab", 0) == 0.25);
 }
 
-/// Offers far more than the limit to three hosts, most to the first, and
-/// returns what was admitted over the second half.
+/// Offers far more than the limit to three hosts, most of it to the first, and
+/// returns the number of requests admitted in the second half of the time.
 int AdmittedByThree(double limit_per_second) {
   std::array<WorkspaceLimits, 3> hosts;
   const std::array<double, 3> shares = {0.7, 0.2, 0.1};
@@ -69,7 +69,8 @@
         host.Admit("lab", 1, now, random()).reached == LimitReached::kNone;
     admitted += passed && now >= kEnd / 2 ? 1 : 0;
     for (std::size_t i = 0; now % 1'000 == 0 && i < 3; ++i) {
-      for (const PeerUse& use : hosts[i].OwnUse(std::to_string(i), now)) {
+      for (const PeerWorkspaceUsage& use :
+           hosts[i].OwnUse(std::to_string(i), now)) {
         for (std::size_t j = 0; j < 3; ++j) {
           if (j != i) {
             hosts[j].NotePeerUse(use);
@@ -81,7 +82,7 @@
   return admitted;
 }
 
-Test(a_workspace_limit, holds_over_hosts_that_tell_each_other) {
+Test(a_workspace_limit, holds_across_hosts_that_exchange_usage) {
   const int admitted = AdmittedByThree(20.0);
   constexpr int kAllowed = 20 * 60;
   cr_assert(admitted <= kAllowed * 1.1);
--- a/src/policy/work.h
+++ b/src/policy/work.h
@@ -9,15 +9,15 @@
 
 namespace meadowthread {
 
-/// @brief How urgent a template's work is; lower values go first.
+/// @brief Urgency of a template's work; lower values are served first.
 enum class Urgency : int { kUrgent = 0, kNormal = 1, kBatch = 2 };
 
-inline constexpr int kUrgencies = 3;
+inline constexpr int kUrgencyCount = 3;
 
 /// @brief "urgent", "normal" or "batch".
 std::string_view UrgencyName(Urgency urgency);
 
-/// @brief One generation to be placed, as the policy sees it.
+/// @brief One generation request to be placed on an engine.
 struct WorkItem {
   std::string request;
   std::string workspace;
@@ -28,19 +28,24 @@
   std::int64_t prompt_tokens = 0;
   std::int64_t max_output_tokens = 0;  ///< 0: no limit known
   std::int64_t arrived_ms = 0;
-  std::int64_t deadline_ms = 0;  ///< for the first byte sent; 0: none
+  std::int64_t deadline_ms = 0;  ///< for sending the first byte; 0: none
   Urgency urgency = Urgency::kNormal;
-  std::int64_t expected_tokens = 0;  ///< prompt and output; by Dispatcher
-  std::uint64_t prefix_hash = 0;     ///< 0: no prefix to look for
-  bool forced = false;  ///< a run's copy: it has to go somewhere, room or not
-  /// Its first event is wanted within this of its sending; 0: whenever.
+  std::int64_t expected_tokens = 0;  ///< prompt and output; set by Dispatcher
+  std::uint64_t prefix_hash = 0;     ///< 0: no known prefix
+  /// Migrated run that must be placed somewhere, even on an engine without
+  /// room.
+  bool forced = false;
+  /// Time from sending within which its first event is wanted; 0: no limit.
   std::int64_t first_event_within_ms = 0;
-  bool is_late = false;  ///< whatever is done: it takes room that others leave
-  /// Prompt tokens ahead of it at its engine when it was sent; -1: what this
-  /// host knows of.
+  /// Will miss its target in any case; uses only capacity that other work
+  /// leaves.
+  bool is_late = false;
+  /// Prompt tokens to prefill ahead of it on its engine when it was sent; -1:
+  /// use what this host knows.
   std::int64_t reading_ahead = -1;
-  bool is_copy = false;  ///< its memory comes by a copy: nothing is to be read
-  HomeRegions homes;     ///< it may run nowhere else
+  /// Its KV cache is copied from another engine: no prompt to prefill.
+  bool is_copy = false;
+  HomeRegions homes;  ///< regions in which it may run
 };
 
 }  // namespace meadowthread
--- a/src/policy/workspace_limits.cc
+++ b/src/policy/workspace_limits.cc
@@ -7,28 +7,29 @@
 namespace {
 
 constexpr double kMsPerSecond = 1'000.0;
-// Offered work is averaged over about this time.
+// Time constant of the average of the offered load.
 constexpr double kOfferedWindowMs = 10'000.0;
-// Peers' reports older than this are passed over.
-constexpr std::int64_t kPeerAgeMs = 15'000;
-// A bucket holds this many seconds of its rate, and at least one request.
+// Peers' reports older than this are ignored.
+constexpr std::int64_t kMaxPeerAgeMs = 15'000;
+// A bucket holds this many seconds' worth of its rate, and at least one
+// request.
 constexpr double kBurstSeconds = 2.0;
-// Part of the rate shared out evenly whatever the offers, so that a host that
-// gets its first request of a workspace need not wait for an exchange.
-constexpr double kEvenPart = 0.2;
+// Fraction of the rate divided evenly whatever the offered load, so that a host
+// that gets its first request of a workspace need not wait for peers' reports.
+constexpr double kEvenFraction = 0.2;
 constexpr std::int64_t kConcurrentRetryMs = 1'000;
-constexpr std::int64_t kMostRetryMs = 60'000;
+constexpr std::int64_t kMaxRetryMs = 60'000;
 
 double Decay(std::int64_t from_ms, std::int64_t to_ms) {
   return std::exp(-static_cast<double>(to_ms - from_ms) / kOfferedWindowMs);
 }
 
-std::int64_t Spread(double base_ms, std::uint64_t random) {
+std::int64_t AddJitter(double base_ms, std::uint64_t random) {
   constexpr double kScale = 0x1.0p-64;
   const double factor = 1.0 + static_cast<double>(random) * kScale;
-  const double spread = base_ms * factor;
+  const double jittered = base_ms * factor;
   return static_cast<std::int64_t>(
-      std::min(spread, static_cast<double>(kMostRetryMs)));
+      std::min(jittered, static_cast<double>(kMaxRetryMs)));
 }
 
 }  // namespace
@@ -62,23 +63,23 @@
     return {};
   }
   Workspace& state = found->second;
-  NoteOffered(state, tokens, now_ms);
+  RecordOffered(state, tokens, now_ms);
   const WorkspaceLimit& limit = state.limit;
   const double share = this->ShareOf(state, now_ms);
   const double request_rate = limit.requests_per_second * share;
   const double token_rate = limit.tokens_per_second * share;
-  Fill(state.requests, request_rate, now_ms);
-  Fill(state.tokens, token_rate, now_ms);
+  Refill(state.requests, request_rate, now_ms);
+  Refill(state.tokens, token_rate, now_ms);
   if (limit.concurrent > 0 &&
       state.in_flight >= this->AllowedInFlight(state, now_ms)) {
-    return {LimitReached::kConcurrent, Spread(kConcurrentRetryMs, random)};
+    return {LimitReached::kConcurrent, AddJitter(kConcurrentRetryMs, random)};
   }
   if (request_rate > 0.0 && state.requests.level < 1.0) {
     return {LimitReached::kRequests,
             WaitMs(state.requests, request_rate, random)};
   }
-  // A bucket in credit admits work of any size and goes below zero: a long
-  // report need not fit into the burst, but is paid for afterwards.
+  // A bucket above zero admits work of any size and may go negative: a long
+  // output need not fit into the burst, but delays later work.
   if (token_rate > 0.0 && state.tokens.level <= 0.0) {
     return {LimitReached::kTokens, WaitMs(state.tokens, token_rate, random)};
   }
@@ -99,12 +100,12 @@
   state.tokens.level += static_cast<double>(expected - used);
 }
 
-void WorkspaceLimits::NotePeerUse(const PeerUse& use) {
+void WorkspaceLimits::NotePeerUse(const PeerWorkspaceUsage& use) {
   const auto found = this->workspaces.find(use.workspace);
   if (found == this->workspaces.end()) {
     return;
   }
-  for (PeerUse& known : found->second.peers) {
+  for (PeerWorkspaceUsage& known : found->second.peers) {
     if (known.peer == use.peer) {
       if (known.as_of_unix_ms <= use.as_of_unix_ms) {
         known = use;
@@ -115,18 +116,18 @@
   found->second.peers.push_back(use);
 }
 
-std::vector<PeerUse> WorkspaceLimits::OwnUse(std::string_view self,
-                                             std::int64_t now_ms) {
-  constexpr double kNothing = 0.05;
-  std::vector<PeerUse> uses;
+std::vector<PeerWorkspaceUsage> WorkspaceLimits::OwnUse(std::string_view self,
+                                                        std::int64_t now_ms) {
+  constexpr double kNegligibleRequests = 0.05;
+  std::vector<PeerWorkspaceUsage> uses;
   for (const auto& [name, state] : this->workspaces) {
     const double decay = Decay(state.offered.at_ms, now_ms);
     const double requests = state.offered.requests * decay;
-    if (requests < kNothing && state.in_flight == 0) {
+    if (requests < kNegligibleRequests && state.in_flight == 0) {
       continue;
     }
     const double seconds = kOfferedWindowMs / kMsPerSecond;
-    PeerUse use;
+    PeerWorkspaceUsage use;
     use.peer = std::string(self);
     use.workspace = name;
     use.as_of_unix_ms = now_ms;
@@ -147,67 +148,70 @@
 
 double WorkspaceLimits::ShareOf(const Workspace& workspace,
                                 std::int64_t now_ms) const {
-  const double even = 1.0 / this->hosts;
+  const double even_share = 1.0 / this->hosts;
   double peers = 0.0;
-  bool told = false;
-  for (const PeerUse& use : workspace.peers) {
-    if (use.as_of_unix_ms + kPeerAgeMs >= now_ms) {
+  bool has_reports = false;
+  for (const PeerWorkspaceUsage& use : workspace.peers) {
+    if (use.as_of_unix_ms + kMaxPeerAgeMs >= now_ms) {
       peers += use.requests_per_second;
-      told = true;
+      has_reports = true;
     }
   }
   const double own = workspace.offered.requests *
                      Decay(workspace.offered.at_ms, now_ms) /
                      (kOfferedWindowMs / kMsPerSecond);
-  // Nobody told anything: cut off, an even part is what is safe.
-  if (!told || own + peers <= 0.0) {
-    return even;
+  // Without any peer report, for instance if this host is cut off, an even
+  // share is safe.
+  if (!has_reports || own + peers <= 0.0) {
+    return even_share;
   }
-  return kEvenPart * even + (1.0 - kEvenPart) * own / (own + peers);
+  return kEvenFraction * even_share +
+         (1.0 - kEvenFraction) * own / (own + peers);
 }
 
 int WorkspaceLimits::AllowedInFlight(const Workspace& workspace,
                                      std::int64_t now_ms) const {
   int peers = 0;
-  bool told = false;
-  for (const PeerUse& use : workspace.peers) {
-    if (use.as_of_unix_ms + kPeerAgeMs >= now_ms) {
+  bool has_reports = false;
+  for (const PeerWorkspaceUsage& use : workspace.peers) {
+    if (use.as_of_unix_ms + kMaxPeerAgeMs >= now_ms) {
       peers += use.in_flight;
-      told = true;
+      has_reports = true;
     }
   }
-  const int even = std::max(1, workspace.limit.concurrent / this->hosts);
-  return told ? std::max(0, workspace.limit.concurrent - peers) : even;
+  const int even_share = std::max(1, workspace.limit.concurrent / this->hosts);
+  return has_reports ? std::max(0, workspace.limit.concurrent - peers)
+                     : even_share;
 }
 
-void WorkspaceLimits::NoteOffered(Workspace& workspace, std::int64_t tokens,
-                                  std::int64_t now_ms) {
-  Offered& offered = workspace.offered;
+void WorkspaceLimits::RecordOffered(Workspace& workspace, std::int64_t tokens,
+                                    std::int64_t now_ms) {
+  OfferedLoad& offered = workspace.offered;
   const double decay = Decay(offered.at_ms, now_ms);
   offered.requests = offered.requests * decay + 1.0;
   offered.tokens = offered.tokens * decay + static_cast<double>(tokens);
   offered.at_ms = now_ms;
 }
 
-void WorkspaceLimits::Fill(Bucket& bucket, double per_second,
-                           std::int64_t now_ms) {
-  const double most = std::max(1.0, per_second * kBurstSeconds);
-  if (!bucket.started) {
-    bucket.started = true;
-    bucket.level = most;
-    bucket.filled_ms = now_ms;
+void WorkspaceLimits::Refill(TokenBucket& bucket, double per_second,
+                             std::int64_t now_ms) {
+  const double capacity = std::max(1.0, per_second * kBurstSeconds);
+  if (!bucket.initialized) {
+    bucket.initialized = true;
+    bucket.level = capacity;
+    bucket.refilled_ms = now_ms;
     return;
   }
-  const auto since = static_cast<double>(now_ms - bucket.filled_ms);
-  const double filled = bucket.level + per_second * since / kMsPerSecond;
-  bucket.level = std::min(most, filled);
-  bucket.filled_ms = now_ms;
+  const auto since = static_cast<double>(now_ms - bucket.refilled_ms);
+  const double refilled = bucket.level + per_second * since / kMsPerSecond;
+  bucket.level = std::min(capacity, refilled);
+  bucket.refilled_ms = now_ms;
 }
 
-std::int64_t WorkspaceLimits::WaitMs(const Bucket& bucket, double per_second,
-                                     std::uint64_t random) {
+std::int64_t WorkspaceLimits::WaitMs(const TokenBucket& bucket,
+                                     double per_second, std::uint64_t random) {
   const double missing = std::max(0.0, 1.0 - bucket.level);
-  return Spread(missing / per_second * kMsPerSecond, random);
+  return AddJitter(missing / per_second * kMsPerSecond, random);
 }
 
 }  // namespace meadowthread
--- a/src/policy/workspace_limits.h
+++ b/src/policy/workspace_limits.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread {
 
-/// @brief A workspace's limits over all entry hosts; 0: none.
+/// @brief A workspace's limits summed over all hosts; 0: none.
 struct WorkspaceLimit {
   double requests_per_second = 0.0;
   double tokens_per_second = 0.0;  ///< prompt and output
@@ -21,58 +21,60 @@
                          const WorkspaceLimit&) = default;
 };
 
-/// @brief Which limit refused.
+/// @brief The limit that a request exceeded.
 enum class LimitReached { kNone, kRequests, kTokens, kConcurrent };
 
 /// @brief The limit's name in log lines.
 std::string_view LimitReachedName(LimitReached limit);
 
-/// @brief The answer to one request.
+/// @brief Result of WorkspaceLimits::Admit.
 struct LimitAnswer {
   LimitReached reached = LimitReached::kNone;
   std::int64_t retry_after_ms = 0;
 };
 
-/// @brief Enforces the limits of workspaces over all entry hosts without a
-/// call to the platform: each host allows its part, which follows from how
-/// much was offered to it and, as its peers report, to them.
+/// @brief Enforces the limits of workspaces over all hosts without a remote
+/// call: each host allows its share, which follows from the load offered to it
+/// and, as its peers report, to them.
 class WorkspaceLimits {
  public:
   /// @brief Sets or changes a workspace's limits.
   void SetLimit(std::string_view workspace, const WorkspaceLimit& limit);
 
-  /// @brief How many entry hosts share the limits, this one included.
+  /// @brief Sets the number of hosts that share the limits, including this one.
   void SetHosts(int hosts);
 
-  /// @brief Admits one request or says which limit it met.
-  /// @param[in] tokens expected, prompt and output
-  /// @param[in] random spreads the time to come back
+  /// @brief Admits a request, or tells which limit it exceeds.
+  /// @param[in] tokens expected tokens, prompt and output
+  /// @param[in] random source of the jitter in retry_after_ms
   LimitAnswer Admit(std::string_view workspace, std::int64_t tokens,
                     std::int64_t now_ms, std::uint64_t random);
 
-  /// @brief An admitted request is over.
-  /// @param[in] expected the tokens that Admit was given
-  /// @param[in] used what it really took; the difference is settled
+  /// @brief Records the end of an admitted request.
+  /// @param[in] expected the tokens passed to Admit
+  /// @param[in] used the tokens actually used; the difference is credited or
+  /// charged
   void Ended(std::string_view workspace, std::int64_t expected,
              std::int64_t used);
 
-  /// @brief What another entry host says of a workspace's use.
-  void NotePeerUse(const PeerUse& use);
+  /// @brief Applies a peer's report of a workspace's usage.
+  void NotePeerUse(const PeerWorkspaceUsage& use);
 
-  /// @brief What to tell the other entry hosts.
-  std::vector<PeerUse> OwnUse(std::string_view self, std::int64_t now_ms);
+  /// @brief The usage to report to the other hosts.
+  std::vector<PeerWorkspaceUsage> OwnUse(std::string_view self,
+                                         std::int64_t now_ms);
 
-  /// @brief This host's part of a workspace's rates, in (0, 1].
+  /// @brief This host's share of a workspace's rates, in (0, 1].
   double Share(std::string_view workspace, std::int64_t now_ms) const;
 
  private:
-  struct Bucket {
+  struct TokenBucket {
     double level = 0.0;
-    std::int64_t filled_ms = 0;
-    bool started = false;
+    std::int64_t refilled_ms = 0;
+    bool initialized = false;
   };
 
-  struct Offered {  ///< decaying sums
+  struct OfferedLoad {  ///< exponentially decaying sums
     double requests = 0.0;
     double tokens = 0.0;
     std::int64_t at_ms = 0;
@@ -80,19 +82,20 @@
 
   struct Workspace {
     WorkspaceLimit limit;
-    Bucket requests;
-    Bucket tokens;
-    Offered offered;
+    TokenBucket requests;
+    TokenBucket tokens;
+    OfferedLoad offered;
     int in_flight = 0;
-    std::vector<PeerUse> peers;
+    std::vector<PeerWorkspaceUsage> peers;
   };
 
   double ShareOf(const Workspace& workspace, std::int64_t now_ms) const;
   int AllowedInFlight(const Workspace& workspace, std::int64_t now_ms) const;
-  static void NoteOffered(Workspace& workspace, std::int64_t tokens,
-                          std::int64_t now_ms);
-  static void Fill(Bucket& bucket, double per_second, std::int64_t now_ms);
-  static std::int64_t WaitMs(const Bucket& bucket, double per_second,
+  static void RecordOffered(Workspace& workspace, std::int64_t tokens,
+                            std::int64_t now_ms);
+  static void Refill(TokenBucket& bucket, double per_second,
+                     std::int64_t now_ms);
+  static std::int64_t WaitMs(const TokenBucket& bucket, double per_second,
                              std::uint64_t random);
 
   int hosts = 1;
