--- a/src/policy/detail/fleet_state_helpers.h
+++ b/src/policy/detail/fleet_state_helpers.h
@@ -18,4 +18,4 @@
 
 }  // namespace meadowthread::detail
 
-#endif  // MEADOWTHREAD_POLICY_DETAIL_FLEET_KEYS_H_
+#endif  // MEADOWTHREAD_POLICY_DETAIL_FLEET_STATE_HELPERS_H_
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -67,7 +67,8 @@
   /// Unix ms; 0: no slow start in progress.
   std::int64_t slow_start_began_ms = 0;
   std::int64_t warm_at_ms = 0;  ///< unix ms; slow after its start until then
-  double failure_share = 0.0;   ///< fraction of its recent requests that failed
+  /// Fraction of its recent requests that failed, from 0 to 1.
+  double failure_share = 0.0;
   /// Unix ms; avoided until then because it could not be reached.
   std::int64_t aside_until_ms = 0;
   /// Unix ms; avoided until then because it refused a KV-cache copy.
--- a/src/policy/fleet_state_helpers.cc
+++ b/src/policy/fleet_state_helpers.cc
@@ -21,9 +21,8 @@
 }
 
 std::int64_t EstimateDecodedTokens(std::int64_t elapsed_ms) {
-  const auto elapsed =
-      static_cast<double>(std::max<std::int64_t>(elapsed_ms, 0));
-  return static_cast<std::int64_t>(elapsed * kDecodeTokensPerMs);
+  const auto span = static_cast<double>(std::max<std::int64_t>(elapsed_ms, 0));
+  return static_cast<std::int64_t>(span * kDecodeTokensPerMs);
 }
 
 }  // namespace meadowthread::detail
--- a/src/policy/memory_aware_chooser.cc
+++ b/src/policy/memory_aware_chooser.cc
@@ -11,8 +11,9 @@
 constexpr std::int64_t kNoRoomRetryMs = 1'000;
 // Number of requests on an engine whose effect on the token gap costs one unit.
 constexpr double kBatchUnitRequests = 64.0;
-// Picks at random among engines of nearly equal cost, so that hosts with the
-// same view do not all send to the same engine.
+// Engines whose costs differ by at most this count as equal. One of them is
+// picked at random, so that hosts with the same view do not all send to the
+// same engine.
 constexpr double kCostTolerance = 0.02;
 // Urgent work is short, so that a higher risk is acceptable.
 constexpr double kUrgentRiskFactor = 10.0;
@@ -90,8 +91,8 @@
   const auto capacity = static_cast<double>(fleet.View(engine).kv_capacity);
   const bool urgent = work.urgency == Urgency::kUrgent;
   double reserved = urgent ? 0.0 : this->options.urgent_room;
-  // Hosts that see the same last free memory on an engine would all fill it. So
-  // it is reserved for one host, and all hosts agree on which one.
+  // If several hosts saw the same last free memory of an engine, each would
+  // fill it. So it is reserved for one host, and all hosts agree on which one.
   if (!fleet.IsPreferred(engine)) {
     reserved += this->options.shared_room;
   }
--- a/src/policy/prefill_rate.h
+++ b/src/policy/prefill_rate.h
@@ -35,4 +35,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_POLICY_READING_RATE_H_
+#endif  // MEADOWTHREAD_POLICY_PREFILL_RATE_H_
