--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -183,9 +183,9 @@
   Fleet theirs(1);
   Fleet fleet(1);
   theirs.state.NoteSent(Work("a"), "e0", 10);
-  const std::vector<PeerLoad> told = theirs.state.OwnLoad("peer", 20);
-  cr_assert(told.size() == 1);
-  fleet.state.NotePeerLoad(told[0], 25);
+  const std::vector<PeerLoad> reported = theirs.state.OwnLoad("peer", 20);
+  cr_assert(reported.size() == 1);
+  fleet.state.NotePeerLoad(reported[0], 25);
   cr_assert(fleet.state.InFlight(0, 30) == 1);
   cr_assert(fleet.state.Forecast(0, 30).PeakMean() > 100);
   cr_assert(fleet.state.InFlight(0, 60'000) == 0);
@@ -286,20 +286,20 @@
 // long their prefill took.
 Test(a_first_event, measures_the_prefill_of_all_tokens_ahead) {
   testing::Fleet fleet(1);
-  std::vector<ReadingSeen> told;
+  std::vector<ReadingSeen> reported;
   fleet.state.OnReading(
-      [&told](const ReadingSeen& seen) { told.push_back(seen); });
+      [&reported](const ReadingSeen& seen) { reported.push_back(seen); });
   WorkItem work = testing::Work("r");
   work.prompt_tokens = 2'000;
   work.reading_ahead = 6'000;
   fleet.state.NoteSent(work, "e0", 1'000);
   fleet.state.NoteTokens("r", 4, 1'800);
   fleet.state.NoteTokens("r", 8, 1'900);
-  cr_assert(told.size() == 1 && told[0].engine == "e0");
-  cr_assert(told[0].tokens == 8'000 && told[0].took_ms == 800);
+  cr_assert(reported.size() == 1 && reported[0].engine == "e0");
+  cr_assert(reported[0].tokens == 8'000 && reported[0].took_ms == 800);
   testing::Fleet other(1);
   const double before = other.state.Prefill().MsPerToken();
-  other.state.ObserveReading(told[0]);
+  other.state.ObserveReading(reported[0]);
   cr_assert(other.state.Prefill().MsPerToken() < before,
             "the measured rate is 0.1 ms per token");
 }
--- a/src/policy/tests/pressure_chooser_test.cc
+++ b/src/policy/tests/pressure_chooser_test.cc
@@ -243,7 +243,7 @@
 }
 
 // Guards against asking the same engine again and again: while the object store
-// was down, a run asked an engine that was leaving itself, until its own engine
+// was down, a run asked an engine that was itself leaving, until its own engine
 // was gone.
 Test(an_engine_that_refused_a_copy, is_avoided_for_a_while) {
   PressureChooserFixture fixture;
