--- a/src/relay/tests/backend_list_test.cc
+++ b/src/relay/tests/backend_list_test.cc
@@ -1,4 +1,4 @@
-// The servers that a host may send to, as their entries come and go.
+// The list of backend servers while entries, zones and starts change.
 #include "relay/backend_list.h"
 
 #include <criterion/criterion.h>
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/manual_scheduler.h"
-#include "relay/tests/played_lapse.h"
+#include "relay/tests/fake_grace_period.h"
 
 namespace meadowthread {
 namespace {
@@ -20,25 +20,27 @@
   return entry;
 }
 
-struct Story {
+struct BackendListFixture {
   ManualClock clock{1'000};
   ManualScheduler scheduler{&this->clock};
-  testing::PlayedLapse lapse;
-  BackendList list{this->clock, this->scheduler, this->lapse};
-  std::vector<BackendChange> told;
+  testing::FakeGracePeriod grace;
+  BackendList list{this->clock, this->scheduler, this->grace};
+  std::vector<BackendChange> changes;
 
-  Story() {
+  BackendListFixture() {
     this->list.AddListener([this](BackendChange change, const Backend&) {
-      this->told.push_back(change);
+      this->changes.push_back(change);
     });
     this->list.Set(Entry("a"));
     this->list.Set(Entry("b"));
-    this->told.clear();
+    this->changes.clear();
   }
   std::size_t Usable() const { return this->list.Usable("pool").size(); }
-  /// @brief The store is back: entries may have lapsed.
-  void ComeBack() { this->lapse.until_ms = this->clock.MonotonicMs() + 2'200; }
-  void Pass(std::int64_t ms) {
+  /// @brief The store has just come back: removed entries may have expired.
+  void ReturnStore() {
+    this->grace.until_ms = this->clock.MonotonicMs() + 2'200;
+  }
+  void Advance(std::int64_t ms) {
     this->clock.Advance(ms);
     this->scheduler.RunDue();
   }
@@ -50,142 +52,146 @@
   return entry;
 }
 
-Test(an_emptied_zone, gets_nothing_new_until_it_is_taken_back) {
-  Story story;
-  story.list.Set(InZone("a", "west"));
-  story.told.clear();
-  story.list.SetZoneEmptied("west", true);
-  cr_assert(story.Usable() == 1 && !story.list.TakesNew("a"));
-  cr_assert(!story.list.Find("a")->leaving, "what runs there stays");
-  story.list.SetZoneEmptied("west", true);
-  cr_assert(story.told == std::vector<BackendChange>{BackendChange::kChanged});
-  story.list.SetZoneEmptied("west", false);
-  cr_assert(story.Usable() == 2);
+Test(an_emptied_zone, gets_no_new_requests_until_put_back_into_use) {
+  BackendListFixture fixture;
+  fixture.list.Set(InZone("a", "west"));
+  fixture.changes.clear();
+  fixture.list.SetZoneEmptied("west", true);
+  cr_assert(fixture.Usable() == 1 && !fixture.list.TakesNew("a"));
+  cr_assert(!fixture.list.Find("a")->leaving,
+            "it has not left, so its runs go on");
+  fixture.list.SetZoneEmptied("west", true);
+  cr_assert(fixture.changes ==
+            std::vector<BackendChange>{BackendChange::kChanged});
+  fixture.list.SetZoneEmptied("west", false);
+  cr_assert(fixture.Usable() == 2);
 }
 
-Test(an_emptied_zone, is_known_before_its_servers_are) {
-  Story story;
-  story.list.SetZoneEmptied("west", true);
-  story.list.Set(InZone("c", "west"));
-  cr_assert(!story.list.TakesNew("c"));
-  story.list.Set(InZone("c", "east"));
-  cr_assert(story.list.TakesNew("c"), "its entry tells another zone now");
-  story.list.Set(InZone("a", "west"));
-  cr_assert(!story.list.TakesNew("a"));
+Test(an_emptied_zone, applies_to_servers_listed_later) {
+  BackendListFixture fixture;
+  fixture.list.SetZoneEmptied("west", true);
+  fixture.list.Set(InZone("c", "west"));
+  cr_assert(!fixture.list.TakesNew("c"));
+  fixture.list.Set(InZone("c", "east"));
+  cr_assert(fixture.list.TakesNew("c"), "its entry has another zone now");
+  fixture.list.Set(InZone("a", "west"));
+  cr_assert(!fixture.list.TakesNew("a"));
 }
 
-Test(an_emptied_zone, lets_a_move_that_was_under_way_end_for_a_second) {
-  Story story;
-  story.list.Set(InZone("a", "west"));
-  story.list.SetZoneEmptied("west", true);
-  const std::int64_t now_ms = story.clock.MonotonicMs();
-  cr_assert(story.list.Find("a")->MayGoOn(now_ms + 999));
-  cr_assert(!story.list.Find("a")->MayGoOn(now_ms + 1'000));
-  story.Pass(2'000);
-  story.list.Set(InZone("a", "west"));
-  cr_assert(!story.list.Find("a")->MayGoOn(now_ms + 2'000),
-            "an entry that is written again is no news of the zone");
+Test(an_emptied_zone, lets_moves_in_progress_complete_for_a_second) {
+  BackendListFixture fixture;
+  fixture.list.Set(InZone("a", "west"));
+  fixture.list.SetZoneEmptied("west", true);
+  const std::int64_t now_ms = fixture.clock.MonotonicMs();
+  cr_assert(fixture.list.Find("a")->MayContinueRuns(now_ms + 999));
+  cr_assert(!fixture.list.Find("a")->MayContinueRuns(now_ms + 1'000));
+  fixture.Advance(2'000);
+  fixture.list.Set(InZone("a", "west"));
+  cr_assert(!fixture.list.Find("a")->MayContinueRuns(now_ms + 2'000),
+            "writing the entry again does not renew the time");
 }
 
-Test(a_service, whose_zones_are_all_emptied_is_so_only_while_servers_live) {
-  Story story;
-  cr_assert(!story.list.IsEmptied("pool"));
-  story.list.Set(InZone("a", "west"));
-  story.list.Set(InZone("b", "east"));
-  story.list.SetZoneEmptied("west", true);
-  cr_assert(!story.list.IsEmptied("pool"));
-  story.list.SetZoneEmptied("east", true);
-  cr_assert(story.list.IsEmptied("pool") && !story.list.IsEmptied("other"));
-  story.list.NoteLeaving("a");
-  story.list.NoteLeaving("b");
-  cr_assert(!story.list.IsEmptied("pool"), "it has none at all");
+Test(a_service, counts_as_emptied_only_while_it_has_live_servers) {
+  BackendListFixture fixture;
+  cr_assert(!fixture.list.IsEmptied("pool"));
+  fixture.list.Set(InZone("a", "west"));
+  fixture.list.Set(InZone("b", "east"));
+  fixture.list.SetZoneEmptied("west", true);
+  cr_assert(!fixture.list.IsEmptied("pool"));
+  fixture.list.SetZoneEmptied("east", true);
+  cr_assert(fixture.list.IsEmptied("pool") && !fixture.list.IsEmptied("other"));
+  fixture.list.NoteLeaving("a");
+  fixture.list.NoteLeaving("b");
+  cr_assert(!fixture.list.IsEmptied("pool"), "it has no live server");
 }
 
 Test(a_server, is_in_the_region_of_its_zone) {
-  Story story;
-  story.list.SetRegions({{"west", "cebu"}});
-  story.list.Set(InZone("a", "west"));
-  story.list.Set(InZone("b", "east"));
-  cr_assert(story.list.Find("a")->region == "cebu");
-  cr_assert(story.list.Find("b")->region.empty());
-  cr_assert(story.list.HasHome("pool", {{"cebu"}}));
-  cr_assert(!story.list.HasHome("pool", {{"luzon"}}));
+  BackendListFixture fixture;
+  fixture.list.SetRegions({{"west", "cebu"}});
+  fixture.list.Set(InZone("a", "west"));
+  fixture.list.Set(InZone("b", "east"));
+  cr_assert(fixture.list.Find("a")->region == "cebu");
+  cr_assert(fixture.list.Find("b")->region.empty());
+  cr_assert(fixture.list.HasServerInHomeRegions("pool", {{"cebu"}}));
+  cr_assert(!fixture.list.HasServerInHomeRegions("pool", {{"luzon"}}));
 }
 
-Test(a_server_whose_entry_names_it_no_more, gets_nothing_new_and_stays_known) {
-  Story story;
-  story.list.SetAside("a");
-  cr_assert(story.Usable() == 1);
-  cr_assert(story.list.Find("a") != nullptr && !story.list.Find("a")->leaving);
-  cr_assert(story.told == std::vector<BackendChange>{BackendChange::kChanged},
-            "its runs go on: nothing is told of leaving");
-  story.list.SetAside("a");
-  cr_assert(story.told.size() == 1, "told once however often it is rewritten");
-  story.Pass(3'600'000);
-  cr_assert(story.list.Find("a") != nullptr && story.Usable() == 1);
+Test(a_server_with_an_invalid_entry, gets_no_new_requests_and_stays_known) {
+  BackendListFixture fixture;
+  fixture.list.SetAside("a");
+  cr_assert(fixture.Usable() == 1);
+  cr_assert(fixture.list.Find("a") != nullptr &&
+            !fixture.list.Find("a")->leaving);
+  cr_assert(
+      fixture.changes == std::vector<BackendChange>{BackendChange::kChanged},
+      "it has not left, so its runs go on");
+  fixture.list.SetAside("a");
+  cr_assert(fixture.changes.size() == 1,
+            "further invalid entries are no change");
+  fixture.Advance(3'600'000);
+  cr_assert(fixture.list.Find("a") != nullptr && fixture.Usable() == 1);
 }
 
-Test(a_server_whose_entry_names_it_no_more, is_used_again_once_it_does) {
-  Story story;
-  story.list.SetAside("a");
-  story.list.Set(Entry("a"));
-  cr_assert(story.Usable() == 2);
+Test(a_server_with_an_invalid_entry, is_used_again_once_the_entry_is_valid) {
+  BackendListFixture fixture;
+  fixture.list.SetAside("a");
+  fixture.list.Set(Entry("a"));
+  cr_assert(fixture.Usable() == 2);
   BackendEntry leaving = Entry("a");
   leaving.leaving = true;
-  story.list.SetAside("a");
-  story.list.Set(leaving);
-  cr_assert(story.told.back() == BackendChange::kLeaving &&
-            story.Usable() == 1);
+  fixture.list.SetAside("a");
+  fixture.list.Set(leaving);
+  cr_assert(fixture.changes.back() == BackendChange::kLeaving &&
+            fixture.Usable() == 1);
 }
 
-Test(a_server_whose_entry_names_it_no_more, leaves_when_the_entry_is_removed) {
-  Story story;
-  story.list.SetAside("a");
-  story.list.Remove("a");
-  cr_assert(story.told.back() == BackendChange::kLeaving);
-  story.Pass(60'000);
-  cr_assert(story.list.Find("a") == nullptr);
+Test(a_server_with_an_invalid_entry, leaves_when_the_entry_is_removed) {
+  BackendListFixture fixture;
+  fixture.list.SetAside("a");
+  fixture.list.Remove("a");
+  cr_assert(fixture.changes.back() == BackendChange::kLeaving);
+  fixture.Advance(60'000);
+  cr_assert(fixture.list.Find("a") == nullptr);
 }
 
-Test(a_server_whose_entry_names_it_no_more, leaves_when_it_says_so_itself) {
-  Story story;
-  story.list.SetAside("a");
-  story.list.NoteLeaving("a");
-  cr_assert(story.told.back() == BackendChange::kLeaving);
-  story.list.Set(Entry("a"));
-  cr_assert(story.Usable() == 1, "what it said of leaving stands");
+Test(a_server_with_an_invalid_entry, leaves_when_it_reports_so_itself) {
+  BackendListFixture fixture;
+  fixture.list.SetAside("a");
+  fixture.list.NoteLeaving("a");
+  cr_assert(fixture.changes.back() == BackendChange::kLeaving);
+  fixture.list.Set(Entry("a"));
+  cr_assert(fixture.Usable() == 1, "its own report of leaving still holds");
 }
 
-Test(a_server_whose_entry_names_it_no_more, is_not_listed_anew_by_it) {
-  Story story;
-  story.ComeBack();
-  story.list.Remove("a");
-  cr_assert(story.Usable() == 2, "it may have lapsed");
-  story.list.SetAside("a");
-  cr_assert(story.Usable() == 1);
-  story.Pass(2'200);
-  cr_assert(story.told.back() == BackendChange::kLeaving);
+Test(a_server_with_an_invalid_entry, does_not_count_as_listed_again) {
+  BackendListFixture fixture;
+  fixture.ReturnStore();
+  fixture.list.Remove("a");
+  cr_assert(fixture.Usable() == 2, "its entry may only have expired");
+  fixture.list.SetAside("a");
+  cr_assert(fixture.Usable() == 1);
+  fixture.Advance(2'200);
+  cr_assert(fixture.changes.back() == BackendChange::kLeaving);
 }
 
-Test(a_server_whose_entry_names_it_no_more,
-     is_another_one_when_it_starts_anew) {
-  Story story;
+Test(a_server_with_an_invalid_entry, is_another_one_after_a_restart) {
+  BackendListFixture fixture;
   BackendEntry entry = Entry("a");
   entry.started_ms = 1'000;
-  story.list.Set(entry);
-  story.list.SetAside("a");
+  fixture.list.Set(entry);
+  fixture.list.SetAside("a");
   entry.started_ms = 2'000;
-  story.list.Set(entry);
-  cr_assert(story.Usable() == 2 && story.list.Count() == 2);
-  cr_assert(story.list.FindById("a")->entry.started_ms == 2'000);
+  fixture.list.Set(entry);
+  cr_assert(fixture.Usable() == 2 && fixture.list.Count() == 2);
+  cr_assert(fixture.list.FindById("a")->entry.started_ms == 2'000);
 }
 
-Test(a_name_that_was_never_a_servers, is_none_whatever_stands_there) {
-  Story story;
-  story.list.SetAside("c");
-  cr_assert(story.told.empty() && story.list.Count() == 2);
-  story.list.Remove("c");
-  cr_assert(story.told.empty() && story.list.All().size() == 2);
+Test(an_invalid_entry, under_an_unknown_id_adds_no_server) {
+  BackendListFixture fixture;
+  fixture.list.SetAside("c");
+  cr_assert(fixture.changes.empty() && fixture.list.Count() == 2);
+  fixture.list.Remove("c");
+  cr_assert(fixture.changes.empty() && fixture.list.All().size() == 2);
 }
 
 }  // namespace
--- a/src/relay/tests/departures_test.cc
+++ b/src/relay/tests/engine_drainer_test.cc
@@ -1,5 +1,7 @@
-// Moving a run: each row of the table in docs/design/moving-runs.md.
-#include "relay/departures.h"
+// Moving runs between engines: every failure listed in
+// docs/design/moving-runs.md, the turns of hosts at a shared link, and the
+// splitting of event streams.
+#include "relay/engine_drainer.h"
 
 #include <criterion/criterion.h>
 
@@ -10,7 +12,7 @@
 namespace meadowthread {
 namespace {
 
-using testing::FakeControl;
+using testing::FakeEngineControl;
 
 struct Owner final : public RunMoveOwner {
   void OnMoveReady(const Continuation& from,
@@ -26,7 +28,7 @@
 
 struct Fixture {
   ManualClock clock{1'000};
-  FakeControl control;
+  FakeEngineControl control;
   Owner owner;
   std::unique_ptr<RunMove> move = std::make_unique<RunMove>(
       control, clock, owner,
@@ -35,7 +37,7 @@
   Fixture() { move->Begin(); }
 };
 
-Test(a_move, copies_while_the_run_goes_on_then_stops_it) {
+Test(a_move, copies_while_the_run_continues_and_then_stops_it) {
   Fixture f;
   cr_assert(f.control.orders.size() == 1 && !f.control.orders[0].stop);
   cr_assert(!f.move->MayHaveStopped());
@@ -75,7 +77,7 @@
   }
 }
 
-Test(a_move, of_a_run_that_ended_is_over) {
+Test(a_move, of_a_run_that_ended_ends_too) {
   Fixture f;
   f.control.Answer(MoveResult::kNoRun);
   cr_assert(f.owner.ends[0] == MoveEnd::kRunEnded);
@@ -93,7 +95,7 @@
   f.control.Answer(MoveResult::kNoRoom, "h2");
   f.move->NoteStreamEnded();
   cr_assert(f.owner.ready.size() == 1 && f.owner.ready[0].handle == "h2");
-  cr_assert(f.owner.targets[0].empty(), "the source keeps the memory");
+  cr_assert(f.owner.targets[0].empty(), "the source keeps the KV cache");
 }
 
 Test(a_move, whose_stop_is_unanswered_goes_on_from_the_first_copy) {
@@ -115,7 +117,7 @@
   cr_assert(f.control.dropped == std::vector<std::string>{"h1"});
 }
 
-Test(a_move, that_stopped_the_run_goes_back_where_its_target_started_again) {
+Test(a_move, that_stopped_the_run_goes_back_if_its_target_restarted) {
   Fixture f;
   f.control.Answer(MoveResult::kCopied, "h1");
   f.control.Answer(MoveResult::kCopied, "h2");
@@ -127,7 +129,7 @@
 }
 
 Test(a_move, whose_source_starts_again_goes_on_from_the_copy) {
-  // By what the list tells, and by the answer of the new start itself.
+  // Learned from the list of servers, or from the answer of the new start.
   for (const bool listed : {true, false}) {
     Fixture f;
     f.control.Answer(MoveResult::kCopied, "h1", 5'000);
@@ -153,7 +155,7 @@
   cr_assert(f.owner.ready.size() == 1 && f.owner.targets[0] == "target");
 }
 
-Test(a_move, whose_both_ends_started_again_has_nothing_left) {
+Test(a_move, whose_both_engines_started_again_has_no_copy_left) {
   Fixture f;
   f.control.Answer(MoveResult::kCopied, "h1");
   f.move->NoteStartedAgain("source");
@@ -167,7 +169,7 @@
             "the handle may be another run's at the new start");
 }
 
-Test(a_move, given_up_frees_its_copy_and_hears_no_late_answer) {
+Test(a_move, that_is_dropped_frees_its_copy_and_ignores_answers) {
   Fixture f;
   f.control.Answer(MoveResult::kCopied, "h1");
   f.move.reset();
@@ -188,66 +190,69 @@
   return load;
 }
 
-// Long before a host's time is short; the notes are fresh.
-constexpr TurnClock kEarly{1'000, 0, 0};
+// Well before the host is short of time; the reports of peers are fresh.
+constexpr CopyTurnTimes kEarly{1'000, 0, 0};
 
-Test(turns_at_a_leaving_engine, go_by_the_hosts_names) {
+Test(turns_at_a_leaving_engine, follow_the_order_of_host_names) {
   const std::vector<PeerLoad> seen_by_a = {At("b", 3'500), At("c", 3'500)};
   const std::vector<PeerLoad> seen_by_b = {At("a", 7'000), At("c", 3'500)};
   const std::vector<PeerLoad> seen_by_c = {At("a", 7'000), At("b", 3'500)};
-  cr_assert(IsTurnOf("a", seen_by_a, kEarly, 0));
-  cr_assert(!IsTurnOf("b", seen_by_b, kEarly, 0));
-  cr_assert(!IsTurnOf("c", seen_by_c, kEarly, 0));
+  cr_assert(MayStartCopy("a", seen_by_a, kEarly, 0));
+  cr_assert(!MayStartCopy("b", seen_by_b, kEarly, 0));
+  cr_assert(!MayStartCopy("c", seen_by_c, kEarly, 0));
 }
 
-Test(turns_at_a_leaving_engine, come_when_those_before_have_nothing_left) {
-  cr_assert(IsTurnOf("b", std::vector<PeerLoad>{At("c", 3'500)}, kEarly, 0));
-  cr_assert(IsTurnOf("b", std::vector<PeerLoad>{At("a", 0)}, kEarly, 0));
+Test(turns_at_a_leaving_engine, come_when_hosts_before_have_no_runs_left) {
+  cr_assert(
+      MayStartCopy("b", std::vector<PeerLoad>{At("c", 3'500)}, kEarly, 0));
+  cr_assert(MayStartCopy("b", std::vector<PeerLoad>{At("a", 0)}, kEarly, 0));
 }
 
-Test(turns_at_a_leaving_engine, do_not_wait_for_prompts_that_are_being_read) {
+Test(turns_at_a_leaving_engine, do_not_wait_for_runs_in_prefill) {
   const std::vector<PeerLoad> reads = {At("a", 2'300, 0, 2'300)};
-  cr_assert(IsTurnOf("b", reads, kEarly, 0), "it can't be moved yet");
+  cr_assert(MayStartCopy("b", reads, kEarly, 0), "it can't be moved yet");
   const std::vector<PeerLoad> runs_too = {At("a", 5'800, 0, 2'300)};
-  cr_assert(!IsTurnOf("b", runs_too, kEarly, 0));
+  cr_assert(!MayStartCopy("b", runs_too, kEarly, 0));
 }
 
-// Named for the finding on recogida's quiet day: twelve reports were late, each
-// because its last step waited behind another host's copy.
-Test(turns_at_a_leaving_engine, wait_for_a_copy_that_is_on_its_way) {
+// Guards against moves that start behind another host's copy: at low
+// load twelve long generations were late, each because its final copy waited
+// for such a copy.
+Test(turns_at_a_leaving_engine, wait_for_a_copy_in_progress) {
   cr_assert(
-      !IsTurnOf("a", std::vector<PeerLoad>{At("b", 3'500, 1)}, kEarly, 0));
+      !MayStartCopy("a", std::vector<PeerLoad>{At("b", 3'500, 1)}, kEarly, 0));
 }
 
-// The pattern: an engine that leaves under load. Hosts whose time was short
-// began behind others' copies, and each last step then waited for a whole one.
-Test(turns_at_a_leaving_engine, wait_for_a_copy_also_when_time_is_short) {
+// Load pattern: an engine leaves under load. Hosts that were short of time
+// started behind copies of other hosts, and each final copy waited for a whole
+// other one.
+Test(turns_at_a_leaving_engine, wait_for_a_copy_even_if_time_is_short) {
   const std::vector<PeerLoad> copies = {At("a", 7'000, 1)};
-  cr_assert(!IsTurnOf("b", copies, {1'000, 1'200, 100}, 0));
+  cr_assert(!MayStartCopy("b", copies, {1'000, 1'200, 100}, 0));
 }
 
-Test(turns_at_a_leaving_engine, do_not_wait_for_order_when_time_is_short) {
+Test(turns_at_a_leaving_engine, ignore_the_order_if_time_is_short) {
   const std::vector<PeerLoad> has_more = {At("a", 7'000)};
-  cr_assert(!IsTurnOf("b", has_more, {1'000, 999, 0}, 0));
-  cr_assert(IsTurnOf("b", has_more, {1'000, 1'000, 0}, 0));
+  cr_assert(!MayStartCopy("b", has_more, {1'000, 999, 0}, 0));
+  cr_assert(MayStartCopy("b", has_more, {1'000, 1'000, 0}, 0));
 }
 
-Test(turns_at_a_leaving_engine, are_drawn_between_hosts_whose_time_is_short) {
+Test(turns_at_a_leaving_engine, are_random_among_hosts_short_of_time) {
   const std::vector<PeerLoad> others = {At("a", 7'000), At("c", 3'500)};
-  int begun = 0;
+  int started = 0;
   for (std::uint64_t random = 0; random < 300; ++random) {
-    begun += IsTurnOf("b", others, {1'000, 1'000, 0}, random) ? 1 : 0;
+    started += MayStartCopy("b", others, {1'000, 1'000, 0}, random) ? 1 : 0;
   }
-  cr_assert(begun == 100, "one of three");
+  cr_assert(started == 100, "one of three");
 }
 
 Test(turns_at_a_leaving_engine, do_not_wait_for_a_host_that_went_silent) {
   const std::vector<PeerLoad> stuck = {At("a", 7'000, 1)};
-  cr_assert(!IsTurnOf("b", stuck, {1'000, 1'000, 899}, 0));
-  cr_assert(IsTurnOf("b", stuck, {1'000, 1'000, 900}, 0));
+  cr_assert(!MayStartCopy("b", stuck, {1'000, 1'000, 899}, 0));
+  cr_assert(MayStartCopy("b", stuck, {1'000, 1'000, 900}, 0));
 }
 
-Test(a_stream_of_events, is_cut_without_changing_a_byte) {
+Test(an_event_stream, is_split_without_changing_a_byte) {
   const std::string whole =
       "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\n: comment\n\nid:2\ndata: "
       "c\n\n";
@@ -268,7 +273,7 @@
   }
 }
 
-Test(a_stream_of_events, torn_in_one_keeps_it_back) {
+Test(an_event_stream, holds_back_an_incomplete_event) {
   EventCutter cutter(1'000);
   std::vector<CutEvent> events;
   cutter.Feed("id: 0\ndata: a\n\nid: 1\ndata: hal", &events);
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -1,8 +1,8 @@
-// Requests that end the servers which run them, and those beside them: what a
-// host's sessions send, say and tell.
+// Requests that crash the servers running them, and requests that run beside
+// these: what the sessions of a host send and report.
 #include "quarantine/guarded_run.h"
 
-// Criterion's macros break Abseil's headers where these come after it.
+// Criterion's macros break Abseil's headers if those are included after it.
 // clang-format off
 #include "relay/stream_session.h"
 // clang-format on
@@ -23,11 +23,11 @@
 using testing::FakeClient;
 using testing::RelayFixture;
 
-constexpr char kGuilty[] = "ends its server";
-constexpr char kInnocent[] = "a prompt";
+constexpr char kCrashingPrompt[] = "crashes its server";
+constexpr char kHarmlessPrompt[] = "a prompt";
 
-/// @brief One try of a stream, and what its caller gets.
-struct Try {
+/// @brief One attempt at a stream, with its caller.
+struct StreamAttempt {
   FakeCaller caller;
   std::unique_ptr<StreamSession> session;
 
@@ -36,8 +36,8 @@
   }
 };
 
-struct Story : RelayFixture {
-  explicit Story(int servers) : RelayFixture(servers) {}
+struct QuarantineFixture : RelayFixture {
+  explicit QuarantineFixture(int servers) : RelayFixture(servers) {}
 
   RelayRequest Request(const std::string& body) {
     RelayRequest request;
@@ -61,14 +61,14 @@
     return terms;
   }
 
-  Try& Stream(const std::string& body,
-              const std::string& workspace = "makati") {
-    this->streams.push_back(std::make_unique<Try>());
-    Try& made = *this->streams.back();
+  StreamAttempt& Stream(const std::string& body,
+                        const std::string& workspace = "makati") {
+    this->streams.push_back(std::make_unique<StreamAttempt>());
+    StreamAttempt& made = *this->streams.back();
     RelayRequest request = this->Request(body);
     request.generation = GenerationSize{"m", 100, 100, 0};
     made.session = std::make_unique<StreamSession>(
-        this->parts, this->stream_parts, this->control, this->callers, request,
+        this->deps, this->stream_deps, this->control, this->callers, request,
         Terms(RunRule::kStream, workspace), 4, made.caller.TakeWriter(), [] {});
     made.session->Begin();
     return made;
@@ -76,17 +76,17 @@
 
   void Call(const std::string& body, RunRule rule) {
     this->calls.push_back(std::make_unique<CallSession>(
-        this->parts, this->Request(body), Terms(rule, "makati"),
-        [this](const absl::StatusOr<HttpResponse>& told) {
-          this->result = told;
+        this->deps, this->Request(body), Terms(rule, "makati"),
+        [this](const absl::StatusOr<HttpResponse>& outcome) {
+          this->result = outcome;
         }));
     this->calls.back()->Begin();
   }
 
   std::size_t Sent() const { return this->client.sent.size(); }
 
-  /// @brief The server of the last sending ends, and its entry lapses.
-  void EndServer() {
+  /// @brief The server of the last attempt crashes, and its entry is removed.
+  void CrashServer() {
     const std::size_t last = this->Sent() - 1;
     const std::string server = this->ServerOf(last);
     this->client.Break(last, true);
@@ -95,131 +95,133 @@
     this->fleet.RemoveEngine(server);
   }
 
-  void EndThree() {
+  void CrashThreeServers() {
     for (int n = 0; n < 3; ++n) {
       const std::size_t before = this->Sent();
-      this->Stream(kGuilty);
+      this->Stream(kCrashingPrompt);
       cr_assert(this->Sent() == before + 1);
-      this->EndServer();
+      this->CrashServer();
     }
   }
 
   int tries = 0;
-  std::vector<std::unique_ptr<Try>> streams;
+  std::vector<std::unique_ptr<StreamAttempt>> streams;
   std::vector<std::unique_ptr<CallSession>> calls;
-  absl::StatusOr<HttpResponse> result = absl::UnknownError("not told yet");
+  absl::StatusOr<HttpResponse> result = absl::UnknownError("no result yet");
 };
 
 Test(a_stream_in_quarantine, is_refused_at_once_as_not_run) {
-  Story story(6);
-  story.EndThree();
-  const std::size_t sent = story.Sent();
-  const Try& next = story.Stream(kGuilty);
-  cr_assert(story.Sent() == sent, "sent to no server");
+  QuarantineFixture fixture(6);
+  fixture.CrashThreeServers();
+  const std::size_t sent = fixture.Sent();
+  const StreamAttempt& next = fixture.Stream(kCrashingPrompt);
+  cr_assert(fixture.Sent() == sent, "sent to no server");
   cr_assert(next.Got(" 503 ") && next.Got("\"outcome\":\"not_run\""));
   cr_assert(next.Got("\"code\":208") && next.Got("Retry-After: 600"), "%s",
             next.caller.Got().c_str());
 }
 
-Test(a_stream_in_quarantine, keeps_no_other_from_being_served) {
-  Story story(6);
-  story.EndThree();
-  const std::size_t sent = story.Sent();
-  story.Stream(kInnocent);
-  story.Stream(kGuilty, "pasig");
-  cr_assert(story.Sent() == sent + 2, "another content, another workspace");
+Test(a_stream_in_quarantine, does_not_block_other_requests) {
+  QuarantineFixture fixture(6);
+  fixture.CrashThreeServers();
+  const std::size_t sent = fixture.Sent();
+  fixture.Stream(kHarmlessPrompt);
+  fixture.Stream(kCrashingPrompt, "pasig");
+  cr_assert(fixture.Sent() == sent + 2, "another content, another workspace");
 }
 
-Test(a_stream_in_quarantine, may_be_tried_again_when_its_time_is_over) {
-  Story story(6);
-  story.EndThree();
-  story.Pass(600'001);
-  const std::size_t sent = story.Sent();
-  story.Stream(kGuilty);
-  cr_assert(story.Sent() == sent + 1);
-  story.EndServer();
-  story.Stream(kGuilty);
-  cr_assert(story.Sent() == sent + 1, "one more end was enough");
+Test(a_stream_in_quarantine, may_be_tried_again_after_the_quarantine) {
+  QuarantineFixture fixture(6);
+  fixture.CrashThreeServers();
+  fixture.Advance(600'001);
+  const std::size_t sent = fixture.Sent();
+  fixture.Stream(kCrashingPrompt);
+  cr_assert(fixture.Sent() == sent + 1);
+  fixture.CrashServer();
+  fixture.Stream(kCrashingPrompt);
+  cr_assert(fixture.Sent() == sent + 1, "one more crash was enough");
 }
 
-Test(ends_that_were_announced, speak_against_no_request) {
-  Story story(6);
+Test(crashes_of_leaving_servers, are_blamed_on_no_request) {
+  QuarantineFixture fixture(6);
   for (int n = 0; n < 5; ++n) {
-    story.Stream(kGuilty);
-    const std::size_t last = story.Sent() - 1;
-    story.backends.NoteLeaving(story.ServerOf(last));
-    story.client.Break(last, true);
-    cr_assert(story.listen_check.asked.empty());
+    fixture.Stream(kCrashingPrompt);
+    const std::size_t last = fixture.Sent() - 1;
+    fixture.backends.NoteLeaving(fixture.ServerOf(last));
+    fixture.client.Break(last, true);
+    cr_assert(fixture.listen_check.asked.empty());
   }
 }
 
-Test(servers_that_go_on_after_a_broken_connection, speak_against_no_request) {
-  Story story(2);
+Test(broken_connections_to_live_servers, are_blamed_on_no_request) {
+  QuarantineFixture fixture(2);
   for (int n = 0; n < 6; ++n) {
-    const std::size_t before = story.Sent();
-    story.Stream(kInnocent);
-    cr_assert(story.Sent() == before + 1);
-    story.client.Break(before, true);
-    story.listen_check.Answer(ListenState::kListens);
-    story.Pass(10'000);
+    const std::size_t before = fixture.Sent();
+    fixture.Stream(kHarmlessPrompt);
+    cr_assert(fixture.Sent() == before + 1);
+    fixture.client.Break(before, true);
+    fixture.listen_check.Answer(ListenState::kListens);
+    fixture.Advance(10'000);
   }
 }
 
-Test(a_request_beside_one_that_ends_servers, is_cleared_by_one_good_end) {
-  Story story(8);
+Test(a_request_beside_one_that_crashes_servers, is_cleared_by_a_success) {
+  QuarantineFixture fixture(8);
   for (int n = 0; n < 6; ++n) {
-    const std::size_t before = story.Sent();
-    story.Stream(kInnocent);
-    cr_assert(story.Sent() == before + 1);
+    const std::size_t before = fixture.Sent();
+    fixture.Stream(kHarmlessPrompt);
+    cr_assert(fixture.Sent() == before + 1);
     if (n % 3 == 2) {
-      story.client.Head(before, 200,
-                        {{std::string(testing::kSignedHeader), "yes"},
-                         {"Content-Type", "text/event-stream"}});
-      story.client.Data(before, "id: 0\ndata: t\n\n");
-      story.client.End(before, FakeClient::Whole(200));
-      story.Pass(10);
+      fixture.client.Head(before, 200,
+                          {{std::string(testing::kSignedHeader), "yes"},
+                           {"Content-Type", "text/event-stream"}});
+      fixture.client.Data(before, "id: 0\ndata: t\n\n");
+      fixture.client.End(before, FakeClient::Whole(200));
+      fixture.Advance(10);
     } else {
-      story.EndServer();
+      fixture.CrashServer();
     }
   }
 }
 
-Test(a_call_that_may_be_repeated, is_not_sent_on_once_it_is_in_quarantine) {
-  Story story(6);
-  story.Call(kGuilty, RunRule::kRepeatable);
-  story.EndServer();  // it was sent to a second one meanwhile
-  cr_assert(story.Sent() == 2);
-  story.EndServer();
-  story.Call(kGuilty, RunRule::kRepeatable);
-  cr_assert(story.Sent() == 3);
-  // Known to have ended a third one before the first's connection breaks.
+Test(a_repeatable_call, is_not_retried_once_it_is_in_quarantine) {
+  QuarantineFixture fixture(6);
+  fixture.Call(kCrashingPrompt, RunRule::kRepeatable);
+  fixture.CrashServer();  // by now the call has been sent to a second server
+  cr_assert(fixture.Sent() == 2);
+  fixture.CrashServer();
+  fixture.Call(kCrashingPrompt, RunRule::kRepeatable);
+  cr_assert(fixture.Sent() == 3);
+  // Another host reports a crash of a third server before this call's
+  // connection breaks.
   CrashRecord record;
-  record.id = {"makati", ContentKeyOf(story.calls.back()->Request(),
-                                      story.calls.back()->Terms())};
+  record.id = {"makati", ContentKeyOf(fixture.calls.back()->Request(),
+                                      fixture.calls.back()->Terms())};
   record.request = "elsewhere";
-  record.ends = {{"s-9", true, story.clock.WallMs()}};
-  story.quarantine.Book().Take(record, story.clock.WallMs());
-  story.client.Break(2, true);
-  cr_assert(story.Sent() == 3);
-  const ErrorDetail detail = DetailOf(story.result.status());
+  record.ends = {{"s-9", true, fixture.clock.WallMs()}};
+  fixture.quarantine.Book().Take(record, fixture.clock.WallMs());
+  fixture.client.Break(2, true);
+  cr_assert(fixture.Sent() == 3);
+  const ErrorDetail detail = DetailOf(fixture.result.status());
   cr_assert(detail.id == ErrorId::kQuarantined);
   cr_assert(detail.outcome == Outcome::kUnknown, "its first attempt may run");
   cr_assert(detail.retry_after_ms < 0);
 }
 
 Test(a_request_that_was_just_sent, ends_when_its_content_is_put_in_quarantine) {
-  Story story(6);
-  Try& waiting = story.Stream(kGuilty);
-  Try& answered = story.Stream(kInnocent);
-  story.quarantine.AddListener([&](const CrashRecordId& quarantined) {
-    for (const auto& one : story.streams) {
+  QuarantineFixture fixture(6);
+  StreamAttempt& waiting = fixture.Stream(kCrashingPrompt);
+  StreamAttempt& answered = fixture.Stream(kHarmlessPrompt);
+  fixture.quarantine.AddListener([&](const CrashRecordId& quarantined) {
+    for (const auto& one : fixture.streams) {
       one->session->EndIfQuarantined(quarantined);
     }
   });
-  story.EndThree();
+  fixture.CrashThreeServers();
   cr_assert(waiting.session->Phase() == StreamPhase::kEnded);
   cr_assert(waiting.Got(" 502 ") || waiting.Got("\"outcome\":\"unknown\""));
-  cr_assert_not(story.client.IsOpen(0), "its engine is told to leave it");
+  cr_assert_not(fixture.client.IsOpen(0),
+                "its request is cancelled at the engine");
   cr_assert(answered.session->Phase() == StreamPhase::kSent);
 }
 
--- a/src/relay/tests/relay_fixture.h
+++ b/src/relay/tests/relay_fixture.h
@@ -31,7 +31,7 @@
 inline constexpr std::string_view kNotRunHeader = "Test-Not-Run";
 inline constexpr std::string_view kSignedHeader = "Test-Signed";
 
-/// @brief A client whose peers are played by the test.
+/// @brief An HTTP client whose servers are simulated by the test.
 class FakeClient final : public HttpClient {
  public:
   HttpCallId Start(const HttpRequest& request, HttpHandler* handler) override {
@@ -47,7 +47,7 @@
     this->paused = is_paused;
   }
 
-  /// @brief Whether the n-th sending still waits for its end.
+  /// @brief Whether the n-th attempt is in progress.
   bool IsOpen(std::size_t n) const { return this->handlers.at(n) != nullptr; }
 
   void Head(std::size_t n, int status, std::vector<HttpHeader> headers) {
@@ -65,18 +65,18 @@
     }
   }
 
-  /// @brief The server's own whole answer.
+  /// @brief Sends a complete answer of the server.
   void Answer(std::size_t n, int status, std::string_view body) {
     this->Head(n, status, {{std::string(kSignedHeader), "yes"}});
     this->Data(n, body);
     this->End(n, Whole(status));
   }
-  /// @brief The server's word that it did not run the request.
+  /// @brief Sends an answer stating that the server did not run the request.
   void Reject(std::size_t n) {
     this->Head(n, 503, {{std::string(kNotRunHeader), "full"}});
     this->End(n, Whole(503));
   }
-  /// @param[in] left whether bytes may have left before it broke
+  /// @param[in] left whether bytes of the request may have been sent before
   void Break(std::size_t n, bool left) {
     HttpEnd end;
     ErrorDetail detail;
@@ -101,8 +101,8 @@
   std::vector<HttpHandler*> handlers;
 };
 
-/// @brief A wire that shows what the sessions decided.
-class FakeWire final : public BackendWire {
+/// @brief A protocol that exposes the sessions' decisions as headers.
+class FakeBackendWire final : public BackendWire {
  public:
   HttpRequest RequestFor(const RelayRequest& request,
                          const SendTerms& terms) const override {
@@ -130,8 +130,8 @@
   }
 };
 
-/// @brief Answers in the product's own form.
-class FakeCallers final : public CallerWire {
+/// @brief Answers with the real problem documents.
+class FakeCallerWire final : public CallerWire {
  public:
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
     return RelayRequest{};
@@ -141,8 +141,8 @@
   }
 };
 
-/// @brief Engines' answers to orders, given by the test.
-struct FakeControl final : public EngineControl {
+/// @brief Engine control whose answers are given by the test.
+struct FakeEngineControl final : public EngineControl {
   void Move(const MoveOrder& order, const MoveDone& done) override {
     this->orders.push_back(order);
     this->waiting.push_back(done);
@@ -154,7 +154,7 @@
     this->asked.push_back(done);
   }
 
-  /// @param[in] started_ms the start that the answering engine tells
+  /// @param[in] started_ms the start time that the engine reports
   void Answer(MoveResult result, const std::string& handle = "",
               std::optional<std::int64_t> started_ms = std::nullopt) {
     const MoveDone done = this->waiting.front();
@@ -168,6 +168,7 @@
   std::vector<StateDone> asked;
 };
 
+/// @brief Collects the summaries of ended requests.
 struct FakeObserver final : public RelayObserver {
   void OnRequestEnded(const RelayEnd& end) override {
     this->ends.push_back(end);
@@ -175,9 +176,11 @@
   std::vector<RelayEnd> ends;
 };
 
-/// @brief What a session of a relay works with, all of it played by the test.
+/// @brief The dependencies of a relay's sessions, with the network simulated by
+/// the test.
 struct RelayFixture {
-  /// @param[in] servers of the service "svc", named s-1, s-2 and so on
+  /// @param[in] servers number of servers of the service "svc", named s-1, s-2
+  /// and so on
   explicit RelayFixture(int servers) {
     for (int n = 1; n <= servers; ++n) {
       BackendEntry entry;
@@ -194,13 +197,13 @@
     }
   }
 
-  void Pass(std::int64_t ms) {
+  void Advance(std::int64_t ms) {
     this->clock.Advance(ms);
     this->scheduler.RunDue();
   }
 
-  /// @brief A server starts again under its id and address.
-  /// @return the key of its new start
+  /// @brief Starts a server again under the same id and address.
+  /// @return the key of the new start
   std::string StartAgain(const std::string& key) {
     BackendEntry entry = this->backends.Find(key)->entry;
     entry.started_ms = entry.started_ms.value_or(1'000);
@@ -211,7 +214,7 @@
     return absl::StrCat(entry.id, "/", *entry.started_ms);
   }
 
-  /// @brief The server that the n-th sending went to.
+  /// @brief The id of the server that the n-th attempt was sent to.
   std::string ServerOf(std::size_t n) const {
     const std::string& url = this->client.sent.at(n).url;
     const std::size_t at = url.find("10.0.0.") + 7;
@@ -224,9 +227,9 @@
   ManualClock clock{1'000'000};
   ManualScheduler scheduler{&this->clock};
   FakeClient client;
-  FakeWire wire;
-  NoEntryLapses lapses;
-  BackendList backends{this->clock, this->scheduler, this->lapses};
+  FakeBackendWire wire;
+  NoEntryLapses no_grace;
+  BackendList backends{this->clock, this->scheduler, this->no_grace};
   BackendHealth health;
   RetryBudgets budgets{{1.0, 100.0}};
   FakeObserver observer;
@@ -234,10 +237,10 @@
   Quarantine quarantine{this->listen_check, this->clock, this->scheduler};
   ArrivalLimits arrivals{"self"};
   std::mt19937_64 random{7};
-  RelayParts parts{this->clock,    this->scheduler, this->client,
-                   this->wire,     this->backends,  this->health,
-                   this->budgets,  this->observer,  this->quarantine,
-                   this->arrivals, this->random};
+  RelayParts deps{this->clock,    this->scheduler, this->client,
+                  this->wire,     this->backends,  this->health,
+                  this->budgets,  this->observer,  this->quarantine,
+                  this->arrivals, this->random};
   LearnedLengthModel lengths;
   FleetState fleet{this->lengths, FleetOptions{0, 7'000}};
   PressureChooser chooser{PressureOptions{}};
@@ -247,13 +250,14 @@
   LinkQuality links{"z"};
   LocalAllocation allocation{this->chooser, this->fleet, this->clock,
                              this->random};
-  StreamParts stream_parts{this->allocation,  this->dispatcher, this->fleet,
-                           this->first_tries, this->admission,  this->links};
-  FakeControl control;
-  FakeCallers callers;
+  StreamDependencies stream_deps{this->allocation, this->dispatcher,
+                                 this->fleet,      this->first_tries,
+                                 this->admission,  this->links};
+  FakeEngineControl control;
+  FakeCallerWire callers;
 };
 
-/// @brief A caller whose one request waits to be answered.
+/// @brief A caller with one request in progress.
 class FakeCaller final : public PlayedConnection {
  public:
   FakeCaller() { this->Feed("GET / HTTP/1.1\r\nHost: h\r\n\r\n"); }
@@ -261,7 +265,8 @@
   std::unique_ptr<ResponseWriter> TakeWriter() {
     return std::move(this->writer);
   }
-  /// @brief Whether the connection ended before the answer's last chunk.
+  /// @brief Whether the connection was closed before the last chunk of the
+  /// answer.
   bool IsBroken() const {
     return this->IsClosed() && !this->Got().ends_with("0\r\n\r\n");
   }
--- a/src/relay/tests/relay_test.cc
+++ b/src/relay/tests/relay_test.cc
@@ -1,4 +1,4 @@
-// A relay over engines that start again under their id.
+// A relay whose engines start again under the same id.
 #include "relay/relay.h"
 
 #include <criterion/criterion.h>
@@ -11,8 +11,8 @@
 using testing::FakeCaller;
 using testing::RelayFixture;
 
-/// @brief Takes whatever comes for one generation.
-class OneCaller final : public CallerWire {
+/// @brief Reads every request as the same generation.
+class SingleStreamCaller final : public CallerWire {
  public:
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
     RelayRequest request;
@@ -29,9 +29,9 @@
   }
 };
 
-/// @brief One stream at s-1, which started at 1,000.
-struct RelayStory : RelayFixture {
-  RelayStory() : RelayFixture(1) {
+/// @brief A relay with one stream at s-1, whose start time is 1,000.
+struct RestartingEngineFixture : RelayFixture {
+  RestartingEngineFixture() : RelayFixture(1) {
     ServicePlan made;
     RouteRule route;
     route.name = "route";
@@ -42,7 +42,7 @@
     route.target_latency_ms = 1'000;
     route.services = {{"svc", 1}};
     made.routes = {route};
-    this->plan.Take(std::move(made), 1);
+    this->config.Take(std::move(made), 1);
     BackendEntry entry = this->backends.Find("s-1")->entry;
     entry.started_ms = 1'000;
     this->backends.Set(entry);
@@ -67,56 +67,56 @@
   }
 
   FakeCaller caller;
-  OneCaller one;
-  PlanInForce plan;
-  Relay relay{"host",        this->parts, this->stream_parts,
-              this->control, this->one,   this->plan};
+  SingleStreamCaller caller_wire;
+  PlanInForce config;
+  Relay relay{"host",        this->deps,        this->stream_deps,
+              this->control, this->caller_wire, this->config};
 };
 
-Test(a_relay, does_not_take_another_starts_word_for_its_engines) {
-  RelayStory story;
-  story.relay.AskEngines();
-  cr_assert(story.control.asked.size() == 1);
-  story.control.asked[0](story.State(true, 2'000));
-  cr_assert(!story.backends.Find("s-1")->leaving);
-  story.relay.AskEngines();
-  story.control.asked.at(1)(story.State(true, 1'000));
-  cr_assert(story.backends.Find("s-1")->leaving);
+Test(a_relay, ignores_reports_from_another_start_of_an_engine) {
+  RestartingEngineFixture fixture;
+  fixture.relay.AskEngines();
+  cr_assert(fixture.control.asked.size() == 1);
+  fixture.control.asked[0](fixture.State(true, 2'000));
+  cr_assert(!fixture.backends.Find("s-1")->leaving);
+  fixture.relay.AskEngines();
+  fixture.control.asked.at(1)(fixture.State(true, 1'000));
+  cr_assert(fixture.backends.Find("s-1")->leaving);
 }
 
-Test(a_relay, asks_an_engine_of_which_its_entry_does_not_tell) {
-  RelayStory story;
-  story.relay.AskEngines(true);
-  cr_assert(story.control.asked.empty(), "its entry tells");
-  story.backends.SetAside("s-1");
-  story.relay.AskEngines(true);
-  cr_assert(story.control.asked.size() == 1);
-  story.control.asked[0](story.State(true, 1'000));
-  cr_assert(story.backends.Find("s-1")->leaving);
+Test(a_relay, asks_an_engine_whose_entry_is_invalid) {
+  RestartingEngineFixture fixture;
+  fixture.relay.AskEngines(true);
+  cr_assert(fixture.control.asked.empty(), "its entry is valid");
+  fixture.backends.SetAside("s-1");
+  fixture.relay.AskEngines(true);
+  cr_assert(fixture.control.asked.size() == 1);
+  fixture.control.asked[0](fixture.State(true, 1'000));
+  cr_assert(fixture.backends.Find("s-1")->leaving);
 }
 
-Test(a_relay, passes_over_a_report_whose_start_has_gone_since) {
-  RelayStory story;
-  story.relay.AskEngines();
-  const std::string next = story.StartAgain("s-1");
-  story.control.asked.at(0)(story.State(true, 1'000));
-  cr_assert(!story.backends.Find(next)->leaving);
+Test(a_relay, ignores_a_report_of_a_replaced_start) {
+  RestartingEngineFixture fixture;
+  fixture.relay.AskEngines();
+  const std::string next = fixture.StartAgain("s-1");
+  fixture.control.asked.at(0)(fixture.State(true, 1'000));
+  cr_assert(!fixture.backends.Find(next)->leaving);
 }
 
 Test(a_relay, ends_the_silent_streams_of_an_engine_that_started_again) {
-  RelayStory story;
-  story.StartAgain("s-1");
-  story.Pass(900);
-  story.client.Data(0, "id: 1\ndata: t1\n\n");
+  RestartingEngineFixture fixture;
+  fixture.StartAgain("s-1");
+  fixture.Advance(900);
+  fixture.client.Data(0, "id: 1\ndata: t1\n\n");
   for (int i = 0; i < 9; ++i) {
-    story.Pass(100);
+    fixture.Advance(100);
   }
-  cr_assert(story.relay.Running() == 1);
+  cr_assert(fixture.relay.Running() == 1);
   for (int i = 0; i < 2; ++i) {
-    story.Pass(100);
+    fixture.Advance(100);
   }
-  cr_assert(story.relay.Running() == 0 && story.caller.IsBroken());
-  cr_assert(story.client.sent.size() == 1, "it is not run again");
+  cr_assert(fixture.relay.Running() == 0 && fixture.caller.IsBroken());
+  cr_assert(fixture.client.sent.size() == 1, "it is not run again");
 }
 
 }  // namespace
--- a/src/relay/tests/stream_session_test.cc
+++ b/src/relay/tests/stream_session_test.cc
@@ -1,4 +1,5 @@
-// Streams: in order, whole, from one run, whatever their engines do.
+// Streams arrive in order, complete and from a single run, whatever happens to
+// their engines.
 #include "relay/stream_session.h"
 
 #include <criterion/criterion.h>
@@ -16,8 +17,8 @@
   return absl::StrCat("id: ", id, "\ndata: t", id, "\n\n");
 }
 
-struct StreamStory : RelayFixture {
-  explicit StreamStory(int engines) : RelayFixture(engines) {
+struct StreamSessionFixture : RelayFixture {
+  explicit StreamSessionFixture(int engines) : RelayFixture(engines) {
     this->request.id = "r-1";
     this->request.method = "POST";
     this->request.target = "/x";
@@ -32,14 +33,14 @@
 
   StreamSession& Begin() {
     this->session = std::make_unique<StreamSession>(
-        this->parts, this->stream_parts, this->control, this->callers,
+        this->deps, this->stream_deps, this->control, this->callers,
         this->request, this->terms, 4, this->caller.TakeWriter(),
         [this] { ++this->ended; });
     this->session->Begin();
     return *this->session;
   }
 
-  /// @brief Begins, and its engine sends the first event.
+  /// @brief Begins the stream and lets its engine send the first event.
   StreamSession& BeginWithEvent() {
     StreamSession& begun = this->Begin();
     this->Open(0);
@@ -47,14 +48,15 @@
     return begun;
   }
 
-  /// @brief The n-th sending's engine begins to stream.
+  /// @brief The engine of the n-th attempt begins to stream.
   void Open(std::size_t n) {
     this->client.Head(n, 200,
                       {{std::string(testing::kSignedHeader), "yes"},
                        {"Content-Type", "text/event-stream"}});
   }
 
-  /// @brief Its engine's copy is made, it is stopped, and its stream ends.
+  /// @brief Moves the run: its KV cache is copied, it is stopped and its stream
+  /// ends.
   void Move(const std::string& target) {
     cr_assert(this->session->MoveTo(target));
     this->control.Answer(MoveResult::kCopied, "h1");
@@ -62,7 +64,7 @@
     this->CloseStream(this->client.sent.size() - 1);
   }
 
-  /// @brief The engine closes a stream without its end.
+  /// @brief The engine closes the connection without a final chunk.
   void CloseStream(std::size_t n) {
     HttpEnd end = FakeClient::Whole(200);
     end.ended_by_close = true;
@@ -72,7 +74,7 @@
   bool Got(std::string_view text) const {
     return this->caller.Got().find(text) != std::string::npos;
   }
-  /// @brief Times that an event reached the caller.
+  /// @brief How often an event reached the caller.
   int Count(int id) const {
     int count = 0;
     const std::string event = Event(id);
@@ -82,22 +84,24 @@
     }
     return count;
   }
-  /// @brief Whether the caller's answer ended as a whole one does.
+  /// @brief Whether the caller's answer has been completed.
   bool IsWhole() const { return this->caller.Got().ends_with("0\r\n\r\n"); }
   std::string Outcome() const { return this->observer.ends.at(0).outcome; }
-  /// @brief An engine's availability zone is its own, and emptied.
-  void Emptied(const std::string& engine) {
+  /// @brief Puts an engine into an availability zone of its own and empties
+  /// that.
+  void EmptyZoneOf(const std::string& engine) {
     BackendEntry entry = this->backends.Find(engine)->entry;
     entry.zone = "zone-of-" + engine;
     this->backends.Set(entry);
     this->backends.SetZoneEmptied(entry.zone, true);
   }
-  std::string Other() const {
+  std::string OtherEngine() const {
     return this->session->Engine() == "s-1" ? "s-2" : "s-1";
   }
 
-  /// @brief Another host tells how many prompt tokens an engine has to read.
-  void Read(const std::string& engine, std::int64_t tokens) {
+  /// @brief Another host reports that many prompt tokens in prefill at an
+  /// engine.
+  void SetPeerPrefill(const std::string& engine, std::int64_t tokens) {
     PeerLoad load;
     load.peer = "other";
     load.engine = engine;
@@ -105,8 +109,8 @@
     load.reading = tokens;
     this->fleet.NotePeerLoad(load, this->clock.WallMs());
   }
-  /// @brief Callers of the route wait ten seconds at first.
-  void LearnFirstTries() {
+  /// @brief Makes ten seconds the usual initial timeout of the route's callers.
+  void LearnInitialTimeouts() {
     for (int i = 0; i < 10; ++i) {
       this->first_tries.Elapsed(this->terms.route, 10'000);
     }
@@ -119,471 +123,482 @@
   int ended = 0;
 };
 
-Test(a_stream, is_passed_on_event_by_event_and_ends_whole) {
-  StreamStory story(2);
-  story.Begin();
-  story.Open(0);
-  story.client.Data(0, Event(0) + Event(1).substr(0, 5));
-  cr_assert(story.Count(0) == 1 && !story.Got("t1"), "half an event waits");
-  story.client.Data(0, Event(1).substr(5));
-  cr_assert(story.Count(1) == 1);
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Outcome() == "complete");
-  cr_assert(story.ended == 1 && story.client.sent.size() == 1);
-}
-
-Test(a_stream, torn_in_an_event_never_looks_whole) {
-  StreamStory story(2);
-  story.Begin();
-  story.Open(0);
-  story.client.Data(0, Event(0) + "id: 1\ndata: ha");
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.caller.IsBroken() && !story.IsWhole());
-  cr_assert(!story.Got("data: ha") && story.Outcome() == "interrupted");
-}
-
-Test(a_stream, that_breaks_midway_is_broken_off_and_never_begun_anew) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.client.Break(0, true);
-  cr_assert(story.caller.IsBroken() && story.client.sent.size() == 1);
-}
-
-Test(a_stream, of_which_events_are_missing_is_broken_off) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.client.Data(0, Event(2));
-  cr_assert(story.caller.IsBroken() && story.Count(2) == 0);
-  cr_assert(!story.client.IsOpen(0), "its engine need not go on");
-}
-
-Test(a_stream, with_an_event_that_came_already_leaves_it_out) {
-  StreamStory story(2);
-  story.Begin();
-  story.Open(0);
-  story.client.Data(0, Event(0) + Event(1) + Event(1) + Event(2));
-  cr_assert(story.Count(1) == 1 && story.Count(2) == 1);
-}
-
-Test(a_stream, that_reached_no_engine_goes_to_the_next) {
-  StreamStory story(3);
-  story.Begin();
-  story.client.Break(0, false);
-  cr_assert(story.client.sent.size() == 2);
-  cr_assert(!story.caller.IsBroken());
-}
-
-Test(a_stream, cut_before_its_first_event_may_have_run) {
-  StreamStory story(3);
-  story.Begin();
-  story.client.Break(0, true);
-  cr_assert(story.client.sent.size() == 1);
-  cr_assert(story.Got("unknown") && story.Outcome() == "unknown");
-}
-
-Test(a_rejected_stream, is_told_so_at_once_with_when_to_come_back) {
-  StreamStory story(2);
-  story.Begin();
-  story.client.Reject(0);
-  cr_assert(story.client.sent.size() == 1, "its route allows one engine");
-  cr_assert(story.Got("not_run") && story.Got("Retry-After"));
-  cr_assert(story.ended == 1);
+Test(a_stream, is_forwarded_event_by_event_and_completes) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.Open(0);
+  fixture.client.Data(0, Event(0) + Event(1).substr(0, 5));
+  cr_assert(fixture.Count(0) == 1 && !fixture.Got("t1"),
+            "an incomplete event is held back");
+  fixture.client.Data(0, Event(1).substr(5));
+  cr_assert(fixture.Count(1) == 1);
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Outcome() == "complete");
+  cr_assert(fixture.ended == 1 && fixture.client.sent.size() == 1);
+}
+
+Test(a_stream, that_ends_within_an_event_is_not_completed) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.Open(0);
+  fixture.client.Data(0, Event(0) + "id: 1\ndata: ha");
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.caller.IsBroken() && !fixture.IsWhole());
+  cr_assert(!fixture.Got("data: ha") && fixture.Outcome() == "interrupted");
+}
+
+Test(a_stream, that_breaks_midway_is_interrupted_and_not_restarted) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.client.Break(0, true);
+  cr_assert(fixture.caller.IsBroken() && fixture.client.sent.size() == 1);
+}
+
+Test(a_stream, with_a_missing_event_is_interrupted) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.client.Data(0, Event(2));
+  cr_assert(fixture.caller.IsBroken() && fixture.Count(2) == 0);
+  cr_assert(!fixture.client.IsOpen(0),
+            "the request to its engine is cancelled");
+}
+
+Test(a_stream, with_a_duplicate_event_drops_it) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.Open(0);
+  fixture.client.Data(0, Event(0) + Event(1) + Event(1) + Event(2));
+  cr_assert(fixture.Count(1) == 1 && fixture.Count(2) == 1);
+}
+
+Test(a_stream, that_could_not_connect_goes_to_the_next_engine) {
+  StreamSessionFixture fixture(3);
+  fixture.Begin();
+  fixture.client.Break(0, false);
+  cr_assert(fixture.client.sent.size() == 2);
+  cr_assert(!fixture.caller.IsBroken());
+}
+
+Test(a_stream, that_breaks_before_its_first_event_may_have_run) {
+  StreamSessionFixture fixture(3);
+  fixture.Begin();
+  fixture.client.Break(0, true);
+  cr_assert(fixture.client.sent.size() == 1);
+  cr_assert(fixture.Got("unknown") && fixture.Outcome() == "unknown");
+}
+
+Test(a_rejected_stream, is_refused_at_once_with_a_retry_delay) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.client.Reject(0);
+  cr_assert(fixture.client.sent.size() == 1, "its route allows one engine");
+  cr_assert(fixture.Got("not_run") && fixture.Got("Retry-After"));
+  cr_assert(fixture.ended == 1);
 }
 
 Test(a_stream_without_an_engine, has_not_run) {
-  StreamStory story(0);
-  story.Begin();
-  story.Pass(1'000);
-  cr_assert(story.ended == 1 && story.Got("not_run"));
-  cr_assert(story.Got("Retry-After: 1") || story.Got("Retry-After: 0.4"));
+  StreamSessionFixture fixture(0);
+  fixture.Begin();
+  fixture.Advance(1'000);
+  cr_assert(fixture.ended == 1 && fixture.Got("not_run"));
+  cr_assert(fixture.Got("Retry-After: 1") || fixture.Got("Retry-After: 0.4"));
 }
 
-// The pattern: a crowd. Forced onto engines without room, all were late.
+// Load pattern: a load peak. When streams were forced onto engines without
+// room, all of them were late.
 Test(a_stream_that_cannot_begin_in_time, is_refused_at_once) {
-  StreamStory story(1);
-  story.Read("s-1", 20'000);
-  story.Begin();
-  cr_assert(story.ended == 1 && story.Got("not_run"));
-  cr_assert(story.Got("Retry-After") && story.client.sent.empty());
-}
-
-Test(a_stream_that_came_back_late, waits_for_room_that_others_leave) {
-  StreamStory story(1);
-  story.LearnFirstTries();
-  story.request.allowed_ms = 7'000;
-  story.Read("s-1", 20'000);
-  story.Begin();
-  story.Pass(500);
-  cr_assert(story.ended == 0 && story.client.sent.empty());
-  story.Read("s-1", 0);
+  StreamSessionFixture fixture(1);
+  fixture.SetPeerPrefill("s-1", 20'000);
+  fixture.Begin();
+  cr_assert(fixture.ended == 1 && fixture.Got("not_run"));
+  cr_assert(fixture.Got("Retry-After") && fixture.client.sent.empty());
+}
+
+Test(a_stream_that_was_retried, waits_for_room) {
+  StreamSessionFixture fixture(1);
+  fixture.LearnInitialTimeouts();
+  fixture.request.allowed_ms = 7'000;
+  fixture.SetPeerPrefill("s-1", 20'000);
+  fixture.Begin();
+  fixture.Advance(500);
+  cr_assert(fixture.ended == 0 && fixture.client.sent.empty());
+  fixture.SetPeerPrefill("s-1", 0);
   for (const SendOrder& order :
-       story.dispatcher.Drain(story.clock.WallMs(), story.random())) {
-    story.session->SendTo(order.decision);
+       fixture.dispatcher.Drain(fixture.clock.WallMs(), fixture.random())) {
+    fixture.session->SendTo(order.decision);
   }
-  cr_assert(story.client.sent.size() == 1);
+  cr_assert(fixture.client.sent.size() == 1);
 }
 
-Test(a_stream_that_came_back_late, is_told_before_its_caller_gives_up) {
-  StreamStory story(1);
-  story.LearnFirstTries();
-  story.request.allowed_ms = 7'000;
-  story.Read("s-1", 20'000);
-  story.Begin();
-  story.Pass(3'400);
-  cr_assert(story.ended == 0);
-  story.Pass(200);
-  cr_assert(story.ended == 1 && story.Got("not_run"));
+Test(a_stream_that_was_retried, is_refused_before_its_caller_gives_up) {
+  StreamSessionFixture fixture(1);
+  fixture.LearnInitialTimeouts();
+  fixture.request.allowed_ms = 7'000;
+  fixture.SetPeerPrefill("s-1", 20'000);
+  fixture.Begin();
+  fixture.Advance(3'400);
+  cr_assert(fixture.ended == 0);
+  fixture.Advance(200);
+  cr_assert(fixture.ended == 1 && fixture.Got("not_run"));
 }
 
-Test(a_stream_that_pauses, speaks_against_the_way_from_its_zone) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.Pass(100);
-  story.client.Data(0, Event(1));
-  cr_assert(story.links.StallRate("z", 1, story.clock.WallMs()) == 0.0);
-  story.Pass(200);
-  story.client.Data(0, Event(2));
-  cr_assert(story.links.StallRate("z", 1, story.clock.WallMs()) > 0.0);
+Test(a_stream_that_pauses, counts_as_a_stall_of_the_link_to_its_zone) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.Advance(100);
+  fixture.client.Data(0, Event(1));
+  cr_assert(fixture.links.StallRate("z", 1, fixture.clock.WallMs()) == 0.0);
+  fixture.Advance(200);
+  fixture.client.Data(0, Event(2));
+  cr_assert(fixture.links.StallRate("z", 1, fixture.clock.WallMs()) > 0.0);
 }
 
-Test(an_engines_own_failure, is_passed_on_as_it_is) {
-  StreamStory story(2);
-  story.Begin();
-  story.client.Answer(0, 500, "out of luck");
-  cr_assert(story.Got("HTTP/1.1 500") && story.Got("out of luck"));
-  cr_assert(story.Outcome() == "answered");
+Test(an_engines_own_failure, is_forwarded_unchanged) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.client.Answer(0, 500, "internal failure");
+  cr_assert(fixture.Got("HTTP/1.1 500") && fixture.Got("internal failure"));
+  cr_assert(fixture.Outcome() == "answered");
 }
 
 Test(a_stream_at_its_deadline, ends_at_once) {
   {
-    StreamStory story(2);
-    story.Begin();
-    story.Pass(10'000);
-    cr_assert(story.Outcome() == "unknown" && !story.client.IsOpen(0));
+    StreamSessionFixture fixture(2);
+    fixture.Begin();
+    fixture.Advance(10'000);
+    cr_assert(fixture.Outcome() == "unknown" && !fixture.client.IsOpen(0));
   }
   {
-    StreamStory story(2);
-    story.BeginWithEvent();
-    story.Pass(10'000);
-    cr_assert(story.caller.IsBroken() && !story.client.IsOpen(0));
+    StreamSessionFixture fixture(2);
+    fixture.BeginWithEvent();
+    fixture.Advance(10'000);
+    cr_assert(fixture.caller.IsBroken() && !fixture.client.IsOpen(0));
   }
 }
 
 Test(a_caller_that_leaves, ends_the_run_at_its_engine) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.caller.Leave();
-  cr_assert(story.ended == 1 && !story.client.IsOpen(0));
-  cr_assert(story.Outcome() == "caller_gone");
-}
-
-Test(a_caller_that_reads_slowly, holds_its_engine_back) {
-  StreamStory story(2);
-  story.Begin();
-  story.Open(0);
-  story.caller.SetPending(std::int64_t{1024} * 1024);
-  story.client.Data(0, Event(0));
-  cr_assert(story.client.paused);
-  story.caller.Drain();
-  cr_assert(!story.client.paused);
-}
-
-Test(a_moved_stream, goes_on_behind_its_last_event) {
-  StreamStory story(2);
-  StreamSession& session = story.Begin();
-  story.Open(0);
-  story.client.Data(0, Event(0) + Event(1));
-  const std::string target = story.Other();
-  story.Move(target);
-  cr_assert(story.client.sent.size() == 2 && story.ServerOf(1) == target);
-  cr_assert(story.Header(1, "After") == "1");
-  cr_assert(story.Header(1, "From").ends_with("/h2"));
-  story.Open(1);
-  story.client.Data(1, Event(1) + Event(2));
-  cr_assert(story.Count(1) == 1 && story.Count(2) == 1);
-  story.client.End(1, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && session.Phase() == StreamPhase::kEnded);
-  cr_assert(story.observer.ends[0].moves == 1);
-}
-
-Test(a_moved_stream, waits_until_its_first_engine_has_ended_it) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  cr_assert(story.session->MoveTo(story.Other()));
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.control.Answer(MoveResult::kCopied, "h2");
-  cr_assert(story.client.sent.size() == 1, "two engines never work on one run");
-  story.client.Data(0, Event(1));
-  story.CloseStream(0);
-  cr_assert(story.client.sent.size() == 2);
-  cr_assert(story.Header(1, "After") == "1");
-}
-
-Test(a_moved_stream, that_its_target_rejects_goes_on_at_its_source) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  story.Move(story.Other());
-  story.client.Reject(1);
-  cr_assert(story.client.sent.size() == 3 && story.ServerOf(2) == source);
-  story.Open(2);
-  story.client.Data(2, Event(1));
-  story.client.End(2, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Count(1) == 1);
-}
-
-// The word of its zone came while the run was copied there.
-Test(a_moved_stream, ends_at_a_target_whose_zone_is_being_emptied) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  const std::string target = story.Other();
-  cr_assert(story.session->MoveTo(target));
-  story.Emptied(target);
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.control.Answer(MoveResult::kCopied, "h2");
-  story.CloseStream(0);
-  cr_assert(story.ServerOf(1) == target, "the bound leaves time for that");
-}
-
-Test(a_moved_stream, goes_back_where_its_target_s_zone_was_emptied_long_ago) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  const std::string target = story.Other();
-  cr_assert(story.session->MoveTo(target));
-  story.Emptied(target);
-  story.Pass(Backend::kGoesOnMs);
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.control.Answer(MoveResult::kCopied, "h2");
-  story.CloseStream(0);
-  cr_assert(story.client.sent.size() == 2 && story.ServerOf(1) == source);
-}
-
-Test(a_moved_stream, goes_on_nowhere_where_all_zones_are_emptied) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  cr_assert(story.session->MoveTo(story.Other()));
-  story.Emptied("s-1");
-  story.Emptied("s-2");
-  story.Pass(Backend::kGoesOnMs);
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.control.Answer(MoveResult::kCopied, "h2");
-  story.CloseStream(0);
-  cr_assert(story.client.sent.size() == 1 && story.Outcome() == "interrupted");
-}
-
-// A rejection at the target sends it back: only outside emptied zones.
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.caller.Leave();
+  cr_assert(fixture.ended == 1 && !fixture.client.IsOpen(0));
+  cr_assert(fixture.Outcome() == "caller_gone");
+}
+
+Test(a_caller_that_reads_slowly, pauses_reading_from_its_engine) {
+  StreamSessionFixture fixture(2);
+  fixture.Begin();
+  fixture.Open(0);
+  fixture.caller.SetPending(std::int64_t{1024} * 1024);
+  fixture.client.Data(0, Event(0));
+  cr_assert(fixture.client.paused);
+  fixture.caller.Drain();
+  cr_assert(!fixture.client.paused);
+}
+
+Test(a_moved_stream, continues_after_its_last_event) {
+  StreamSessionFixture fixture(2);
+  StreamSession& session = fixture.Begin();
+  fixture.Open(0);
+  fixture.client.Data(0, Event(0) + Event(1));
+  const std::string target = fixture.OtherEngine();
+  fixture.Move(target);
+  cr_assert(fixture.client.sent.size() == 2 && fixture.ServerOf(1) == target);
+  cr_assert(fixture.Header(1, "After") == "1");
+  cr_assert(fixture.Header(1, "From").ends_with("/h2"));
+  fixture.Open(1);
+  fixture.client.Data(1, Event(1) + Event(2));
+  cr_assert(fixture.Count(1) == 1 && fixture.Count(2) == 1);
+  fixture.client.End(1, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && session.Phase() == StreamPhase::kEnded);
+  cr_assert(fixture.observer.ends[0].moves == 1);
+}
+
+Test(a_moved_stream, waits_until_its_source_has_ended_its_stream) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  cr_assert(fixture.session->MoveTo(fixture.OtherEngine()));
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.control.Answer(MoveResult::kCopied, "h2");
+  cr_assert(fixture.client.sent.size() == 1,
+            "two engines never work on one run");
+  fixture.client.Data(0, Event(1));
+  fixture.CloseStream(0);
+  cr_assert(fixture.client.sent.size() == 2);
+  cr_assert(fixture.Header(1, "After") == "1");
+}
+
+Test(a_moved_stream, that_its_target_rejects_continues_at_its_source) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  fixture.Move(fixture.OtherEngine());
+  fixture.client.Reject(1);
+  cr_assert(fixture.client.sent.size() == 3 && fixture.ServerOf(2) == source);
+  fixture.Open(2);
+  fixture.client.Data(2, Event(1));
+  fixture.client.End(2, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Count(1) == 1);
+}
+
+// The zone of the target is emptied while the run is being copied there.
+Test(a_moved_stream, continues_at_a_target_whose_zone_was_just_emptied) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  const std::string target = fixture.OtherEngine();
+  cr_assert(fixture.session->MoveTo(target));
+  fixture.EmptyZoneOf(target);
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.control.Answer(MoveResult::kCopied, "h2");
+  fixture.CloseStream(0);
+  cr_assert(fixture.ServerOf(1) == target,
+            "moves in progress may still complete");
+}
+
+Test(a_moved_stream, goes_back_if_its_targets_zone_was_emptied_long_ago) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  const std::string target = fixture.OtherEngine();
+  cr_assert(fixture.session->MoveTo(target));
+  fixture.EmptyZoneOf(target);
+  fixture.Advance(Backend::kGoesOnMs);
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.control.Answer(MoveResult::kCopied, "h2");
+  fixture.CloseStream(0);
+  cr_assert(fixture.client.sent.size() == 2 && fixture.ServerOf(1) == source);
+}
+
+Test(a_moved_stream, is_interrupted_if_all_zones_are_emptied) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  cr_assert(fixture.session->MoveTo(fixture.OtherEngine()));
+  fixture.EmptyZoneOf("s-1");
+  fixture.EmptyZoneOf("s-2");
+  fixture.Advance(Backend::kGoesOnMs);
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.control.Answer(MoveResult::kCopied, "h2");
+  fixture.CloseStream(0);
+  cr_assert(fixture.client.sent.size() == 1 &&
+            fixture.Outcome() == "interrupted");
+}
+
+// After a rejection by the target a run returns to its source only if that is
+// not in an emptied zone.
 Test(a_moved_stream, does_not_go_back_to_an_emptied_zone) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  story.Move(story.Other());
-  story.Emptied(source);
-  story.Pass(Backend::kGoesOnMs);
-  story.client.Reject(1);
-  cr_assert(story.client.sent.size() == 2 && story.Outcome() == "interrupted");
-}
-
-Test(a_moved_stream, waits_until_its_source_may_be_sent_something_again) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  story.arrivals.SetHosts(std::vector<std::string>{"self"});
-  story.arrivals.SetServer(source, {1.0, 1.0}, 0);
-  story.Move(story.Other());
-  story.arrivals.NoteSent(source, story.clock.MonotonicMs());
-  story.client.Reject(1);
-  cr_assert(story.client.sent.size() == 2, "it has had its second's request");
-  story.Pass(500);
-  cr_assert(story.client.sent.size() == 2);
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  fixture.Move(fixture.OtherEngine());
+  fixture.EmptyZoneOf(source);
+  fixture.Advance(Backend::kGoesOnMs);
+  fixture.client.Reject(1);
+  cr_assert(fixture.client.sent.size() == 2 &&
+            fixture.Outcome() == "interrupted");
+}
+
+Test(a_moved_stream, waits_for_the_arrival_limit_of_its_source) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  fixture.arrivals.SetHosts(std::vector<std::string>{"self"});
+  fixture.arrivals.SetServer(source, {1.0, 1.0}, 0);
+  fixture.Move(fixture.OtherEngine());
+  fixture.arrivals.NoteSent(source, fixture.clock.MonotonicMs());
+  fixture.client.Reject(1);
+  cr_assert(fixture.client.sent.size() == 2,
+            "its limit of one request per second is used up");
+  fixture.Advance(500);
+  cr_assert(fixture.client.sent.size() == 2);
   for (int step = 0; step < 40; ++step) {
-    story.Pass(20);
+    fixture.Advance(20);
   }
-  cr_assert(story.client.sent.size() == 3 && story.ServerOf(2) == source);
-}
-
-// A copy's run is sent there for certain, so that it counts from the start.
-Test(a_moving_stream, holds_its_place_at_the_target) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string target = story.Other();
-  story.arrivals.SetHosts(std::vector<std::string>{"self"});
-  story.arrivals.SetServer(target, {1.0, 1.0}, 0);
-  cr_assert(story.session->MoveTo(target));
-  cr_assert(!story.arrivals.May(target, story.clock.MonotonicMs()));
-  story.Pass(3'000);
-  cr_assert(!story.arrivals.May(target, story.clock.MonotonicMs()));
-  story.control.Answer(MoveResult::kNoRoom);
-  cr_assert(story.arrivals.May(target, story.clock.MonotonicMs()));
-}
-
-Test(a_moved_stream, that_nobody_takes_is_broken_off) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.Move(story.Other());
-  story.client.Reject(1);
-  story.client.Reject(2);
-  cr_assert(story.ended == 1 && story.caller.IsBroken());
-}
-
-// The target may be at work on it: sent back to its source, two would be.
-Test(a_moved_stream, cut_after_it_was_sent_is_not_sent_to_its_source) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  story.Move(story.Other());
-  story.client.Break(1, true);
-  cr_assert(story.client.sent.size() == 2 && story.caller.IsBroken());
-}
-
-Test(a_stream_whose_engine_starts_again, is_broken_off_once_it_is_silent) {
-  StreamStory story(1);
-  story.BeginWithEvent();
-  const std::string before = story.session->Engine();
-  const std::string next = story.StartAgain(before);
-  story.session->NoteStartedAgain(before);
-  cr_assert(!story.session->EndIfSilent(1'000));
-  story.client.Data(0, Event(1));
-  story.Pass(999);
-  cr_assert(!story.session->EndIfSilent(1'000) && story.Count(1) == 1);
-  story.Pass(1);
-  cr_assert(story.session->EndIfSilent(1'000));
-  cr_assert(story.ended == 1 && story.caller.IsBroken());
-  cr_assert(story.client.sent.size() == 1, "it is not run again");
-  // What it did is the start's before.
-  cr_assert(story.health.FailureShare(next, 0) == 0.0);
-}
-
-Test(a_stream_whose_engine_starts_again, ends_whole_where_all_of_it_came) {
-  StreamStory story(1);
-  story.BeginWithEvent();
-  const std::string before = story.session->Engine();
-  story.StartAgain(before);
-  story.session->NoteStartedAgain(before);
-  story.client.Data(0, Event(1));
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Count(1) == 1);
+  cr_assert(fixture.client.sent.size() == 3 && fixture.ServerOf(2) == source);
+}
+
+// A run that is being copied will certainly be sent to the target, so it counts
+// against the target's arrival limit from the start.
+Test(a_moving_stream, reserves_an_arrival_at_its_target) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string target = fixture.OtherEngine();
+  fixture.arrivals.SetHosts(std::vector<std::string>{"self"});
+  fixture.arrivals.SetServer(target, {1.0, 1.0}, 0);
+  cr_assert(fixture.session->MoveTo(target));
+  cr_assert(!fixture.arrivals.May(target, fixture.clock.MonotonicMs()));
+  fixture.Advance(3'000);
+  cr_assert(!fixture.arrivals.May(target, fixture.clock.MonotonicMs()));
+  fixture.control.Answer(MoveResult::kNoRoom);
+  cr_assert(fixture.arrivals.May(target, fixture.clock.MonotonicMs()));
+}
+
+Test(a_moved_stream, that_both_engines_reject_is_interrupted) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.Move(fixture.OtherEngine());
+  fixture.client.Reject(1);
+  fixture.client.Reject(2);
+  cr_assert(fixture.ended == 1 && fixture.caller.IsBroken());
+}
+
+// The target may be running it, so sending it back to the source could run it
+// twice.
+Test(a_moved_stream, that_breaks_at_its_target_does_not_go_back) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  fixture.Move(fixture.OtherEngine());
+  fixture.client.Break(1, true);
+  cr_assert(fixture.client.sent.size() == 2 && fixture.caller.IsBroken());
+}
+
+Test(a_stream_whose_engine_starts_again, is_interrupted_once_it_is_silent) {
+  StreamSessionFixture fixture(1);
+  fixture.BeginWithEvent();
+  const std::string before = fixture.session->Engine();
+  const std::string next = fixture.StartAgain(before);
+  fixture.session->NoteStartedAgain(before);
+  cr_assert(!fixture.session->EndIfSilent(1'000));
+  fixture.client.Data(0, Event(1));
+  fixture.Advance(999);
+  cr_assert(!fixture.session->EndIfSilent(1'000) && fixture.Count(1) == 1);
+  fixture.Advance(1);
+  cr_assert(fixture.session->EndIfSilent(1'000));
+  cr_assert(fixture.ended == 1 && fixture.caller.IsBroken());
+  cr_assert(fixture.client.sent.size() == 1, "it is not run again");
+  // Its attempts are attributed to the previous start only.
+  cr_assert(fixture.health.FailureRate(next, 0) == 0.0);
+}
+
+Test(a_stream_whose_engine_starts_again, completes_if_all_of_it_arrived) {
+  StreamSessionFixture fixture(1);
+  fixture.BeginWithEvent();
+  const std::string before = fixture.session->Engine();
+  fixture.StartAgain(before);
+  fixture.session->NoteStartedAgain(before);
+  fixture.client.Data(0, Event(1));
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Count(1) == 1);
 }
 
 Test(a_stream_whose_engine_starts_again, waits_for_a_caller_that_reads_slowly) {
-  StreamStory story(1);
-  story.BeginWithEvent();
-  story.caller.SetPending(std::int64_t{1024} * 1024);
-  story.client.Data(0, Event(1));
-  cr_assert(story.client.paused);
-  story.caller.SetPending(1);
-  story.StartAgain("s-1");
-  story.session->NoteStartedAgain("s-1");
-  story.Pass(5'000);
-  cr_assert(!story.session->EndIfSilent(1'000));
-  // What waited at the engine's end of the connection comes now.
-  story.caller.Drain();
-  cr_assert(!story.session->EndIfSilent(1'000));
-  story.client.Data(0, Event(2));
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Count(2) == 1);
-}
-
-Test(a_stream_whose_engine_starts_again, may_not_have_begun_there) {
-  StreamStory story(1);
-  story.Begin();
-  story.StartAgain("s-1");
-  story.session->NoteStartedAgain("s-1");
-  story.Pass(3'000);
-  cr_assert(!story.session->EndIfSilent(1'000),
-            "the new start may read its prompt");
-}
-
-Test(a_stream_whose_engine_starts_again, goes_on_at_the_target_of_its_copy) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string target = story.Other();
-  cr_assert(story.session->MoveTo(target));
-  story.control.Answer(MoveResult::kCopied, "h1");
-  const std::string source = story.session->Engine();
-  story.StartAgain(source);
-  story.session->NoteStartedAgain(source);
-  story.control.Answer(MoveResult::kNoRun);
-  story.Pass(1'000);
-  cr_assert(story.session->EndIfSilent(1'000));
-  cr_assert(story.client.sent.size() == 2 && story.ServerOf(1) == target);
-  cr_assert(story.Header(1, "From").ends_with("/h1"));
-  story.client.Reject(1);
-  cr_assert(story.client.sent.size() == 2 && story.caller.IsBroken(),
-            "the source's new start knows nothing of the handle");
-}
-
-Test(a_moved_stream, whose_target_starts_again_goes_on_at_its_source) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  const std::string target = story.Other();
-  cr_assert(story.session->MoveTo(target));
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.control.Answer(MoveResult::kCopied, "h2");
-  story.StartAgain(target);
-  story.session->NoteStartedAgain(target);
-  story.CloseStream(0);
-  cr_assert(story.client.sent.size() == 2 && story.ServerOf(1) == source);
-  cr_assert(story.Header(1, "From").ends_with("/h2"));
-}
-
-Test(a_moved_stream, that_its_targets_new_start_rejects_goes_back) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  const std::string source = story.session->Engine();
-  const std::string target = story.Other();
-  story.Move(target);
-  story.StartAgain(target);
-  story.session->NoteStartedAgain(target);
-  story.client.Reject(1);
-  cr_assert(story.client.sent.size() == 3 && story.ServerOf(2) == source);
-}
-
-Test(a_move_that_found_no_room, leaves_the_stream_as_it_was) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  cr_assert(story.session->MoveTo(story.Other()));
-  story.control.Answer(MoveResult::kNoRoom);
-  cr_assert(!story.session->IsMoving());
-  cr_assert(story.fleet.Find(story.Other())->no_room_until_ms >
-            story.clock.WallMs());
-  story.client.Data(0, Event(1));
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Count(1) == 1);
-}
-
-Test(a_stream_that_ends_while_it_moves, is_whole_and_frees_its_copy) {
-  StreamStory story(2);
-  story.BeginWithEvent();
-  cr_assert(story.session->MoveTo(story.Other()));
-  story.control.Answer(MoveResult::kCopied, "h1");
-  story.client.End(0, FakeClient::Whole(200));
-  cr_assert(story.IsWhole() && story.Outcome() == "complete");
-  cr_assert(story.control.dropped == std::vector<std::string>{"h1"});
-}
-
-Test(a_stream_whose_host_ends, is_refused_as_not_run_while_no_engine_has_it) {
-  StreamStory story(0);
-  story.terms.target_latency_ms = 10'000;
-  story.Begin().EndWithHost(700);
-  cr_assert(story.Got("HTTP/1.1 503") && story.Got("Retry-After: 1"));
-  cr_assert(story.Outcome() == "not_run" && story.ended == 1);
-}
-
-Test(a_stream_whose_host_ends, never_looks_whole_nor_as_not_run_where_it_ran) {
-  StreamStory waiting(1);
+  StreamSessionFixture fixture(1);
+  fixture.BeginWithEvent();
+  fixture.caller.SetPending(std::int64_t{1024} * 1024);
+  fixture.client.Data(0, Event(1));
+  cr_assert(fixture.client.paused);
+  fixture.caller.SetPending(1);
+  fixture.StartAgain("s-1");
+  fixture.session->NoteStartedAgain("s-1");
+  fixture.Advance(5'000);
+  cr_assert(!fixture.session->EndIfSilent(1'000));
+  // The data that waited at the engine's end of the connection arrives now.
+  fixture.caller.Drain();
+  cr_assert(!fixture.session->EndIfSilent(1'000));
+  fixture.client.Data(0, Event(2));
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Count(2) == 1);
+}
+
+Test(a_stream_whose_engine_starts_again, is_kept_if_it_has_no_event_yet) {
+  StreamSessionFixture fixture(1);
+  fixture.Begin();
+  fixture.StartAgain("s-1");
+  fixture.session->NoteStartedAgain("s-1");
+  fixture.Advance(3'000);
+  cr_assert(!fixture.session->EndIfSilent(1'000),
+            "the new start may have received it");
+}
+
+Test(a_stream_whose_engine_starts_again, continues_at_the_target_of_its_copy) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string target = fixture.OtherEngine();
+  cr_assert(fixture.session->MoveTo(target));
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  const std::string source = fixture.session->Engine();
+  fixture.StartAgain(source);
+  fixture.session->NoteStartedAgain(source);
+  fixture.control.Answer(MoveResult::kNoRun);
+  fixture.Advance(1'000);
+  cr_assert(fixture.session->EndIfSilent(1'000));
+  cr_assert(fixture.client.sent.size() == 2 && fixture.ServerOf(1) == target);
+  cr_assert(fixture.Header(1, "From").ends_with("/h1"));
+  fixture.client.Reject(1);
+  cr_assert(fixture.client.sent.size() == 2 && fixture.caller.IsBroken(),
+            "the handle is unknown to the source's new start");
+}
+
+Test(a_moved_stream, whose_target_starts_again_continues_at_its_source) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  const std::string target = fixture.OtherEngine();
+  cr_assert(fixture.session->MoveTo(target));
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.control.Answer(MoveResult::kCopied, "h2");
+  fixture.StartAgain(target);
+  fixture.session->NoteStartedAgain(target);
+  fixture.CloseStream(0);
+  cr_assert(fixture.client.sent.size() == 2 && fixture.ServerOf(1) == source);
+  cr_assert(fixture.Header(1, "From").ends_with("/h2"));
+}
+
+Test(a_moved_stream, that_its_restarted_target_rejects_goes_back) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  const std::string source = fixture.session->Engine();
+  const std::string target = fixture.OtherEngine();
+  fixture.Move(target);
+  fixture.StartAgain(target);
+  fixture.session->NoteStartedAgain(target);
+  fixture.client.Reject(1);
+  cr_assert(fixture.client.sent.size() == 3 && fixture.ServerOf(2) == source);
+}
+
+Test(a_move_that_found_no_room, leaves_the_stream_unchanged) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  cr_assert(fixture.session->MoveTo(fixture.OtherEngine()));
+  fixture.control.Answer(MoveResult::kNoRoom);
+  cr_assert(!fixture.session->IsMoving());
+  cr_assert(fixture.fleet.Find(fixture.OtherEngine())->no_room_until_ms >
+            fixture.clock.WallMs());
+  fixture.client.Data(0, Event(1));
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Count(1) == 1);
+}
+
+Test(a_stream_that_ends_while_it_moves, completes_and_frees_its_copy) {
+  StreamSessionFixture fixture(2);
+  fixture.BeginWithEvent();
+  cr_assert(fixture.session->MoveTo(fixture.OtherEngine()));
+  fixture.control.Answer(MoveResult::kCopied, "h1");
+  fixture.client.End(0, FakeClient::Whole(200));
+  cr_assert(fixture.IsWhole() && fixture.Outcome() == "complete");
+  cr_assert(fixture.control.dropped == std::vector<std::string>{"h1"});
+}
+
+Test(a_stream_at_shutdown, is_reported_as_not_run_if_never_sent) {
+  StreamSessionFixture fixture(0);
+  fixture.terms.target_latency_ms = 10'000;
+  fixture.Begin().EndWithHost(700);
+  cr_assert(fixture.Got("HTTP/1.1 503") && fixture.Got("Retry-After: 1"));
+  cr_assert(fixture.Outcome() == "not_run" && fixture.ended == 1);
+}
+
+Test(a_stream_at_shutdown, is_neither_complete_nor_not_run_after_sending) {
+  StreamSessionFixture waiting(1);
   waiting.Begin().EndWithHost(700);
   cr_assert(!waiting.Got("Retry-After") && waiting.Outcome() == "unknown");
-  StreamStory streaming(1);
+  StreamSessionFixture streaming(1);
   streaming.BeginWithEvent().EndWithHost(700);
   cr_assert(streaming.Count(0) == 1 && !streaming.IsWhole());
   cr_assert(streaming.Outcome() == "interrupted");
   cr_assert(streaming.client.cancelled == 1);
 }
 
-/// @brief A host that hands out places by what it knew a moment ago.
-class BelatedAllocation final : public EngineAllocation {
+/// @brief Shared allocation that chooses engines by outdated information.
+class StaleAllocation final : public EngineAllocation {
  public:
   void Choose(const WorkItem&, const Chosen& chosen) override {
     this->asked.push_back(chosen);
@@ -594,7 +609,7 @@
   }
   void MoveOver(const MoveAsk&) override {}
 
-  /// @brief The n-th ask is answered.
+  /// @brief Answers the n-th request for a placement.
   void Give(std::size_t n, const std::string& engine) {
     Decision decision;
     decision.engine = engine;
@@ -603,32 +618,34 @@
   std::vector<Chosen> asked;
 };
 
-// The host that handed out the place had not heard of it.
-Test(an_engine_that_left, gets_no_stream_that_another_host_placed_there) {
-  StreamStory story(2);
-  BelatedAllocation allocation;
-  StreamParts parts{allocation,        story.dispatcher, story.fleet,
-                    story.first_tries, story.admission,  story.links};
-  StreamSession session(story.parts, parts, story.control, story.callers,
-                        story.request, story.terms, 4,
-                        story.caller.TakeWriter(), [] {});
+// The host that allocated the engine had not learned of the removal yet.
+Test(an_engine_that_left, gets_no_stream_placed_there_by_another_host) {
+  StreamSessionFixture fixture(2);
+  StaleAllocation allocation;
+  StreamDependencies deps{allocation,        fixture.dispatcher,
+                          fixture.fleet,     fixture.first_tries,
+                          fixture.admission, fixture.links};
+  StreamSession session(fixture.deps, deps, fixture.control, fixture.callers,
+                        fixture.request, fixture.terms, 4,
+                        fixture.caller.TakeWriter(), [] {});
   session.Begin();
-  story.backends.Remove("s-1");
+  fixture.backends.Remove("s-1");
   allocation.Give(0, "s-1");
-  cr_assert(story.client.sent.empty(), "not sent where it can't stay");
-  story.Pass(1'000);
-  cr_assert(allocation.asked.size() == 2, "asked for another place");
+  cr_assert(fixture.client.sent.empty(), "not sent to an engine that has left");
+  fixture.Advance(1'000);
+  cr_assert(allocation.asked.size() == 2, "another placement is requested");
   allocation.Give(1, "s-2");
-  cr_assert(story.client.sent.size() == 1 && story.ServerOf(0) == "s-2");
+  cr_assert(fixture.client.sent.size() == 1 && fixture.ServerOf(0) == "s-2");
 }
 
-// Its host hears that the target leaves between the order and its turn.
+// The host learns that the target has left after it was chosen and before the
+// move starts.
 Test(an_engine_that_left, is_no_target_of_a_run_that_moves) {
-  StreamStory story(3);
-  StreamSession& session = story.BeginWithEvent();
-  story.backends.Remove(story.Other());
-  cr_assert(!session.MoveTo(story.Other()));
-  cr_assert(story.control.orders.empty());
+  StreamSessionFixture fixture(3);
+  StreamSession& session = fixture.BeginWithEvent();
+  fixture.backends.Remove(fixture.OtherEngine());
+  cr_assert(!session.MoveTo(fixture.OtherEngine()));
+  cr_assert(fixture.control.orders.empty());
 }
 
 }  // namespace
