--- a/src/allocation/allocation_duty.h
+++ b/src/allocation/allocation_duty.h
@@ -13,8 +13,8 @@
 
 #include "allocation/allocation_datagrams.h"
 #include "allocation/allocator.h"
+#include "allocation/allocator_client.h"
 #include "allocation/engine_groups.h"
-#include "allocation/group_allocation.h"
 #include "base/lifetime.h"
 #include "exchange/load_note.h"
 
--- a/src/allocation/allocator.h
+++ b/src/allocation/allocator.h
@@ -12,7 +12,7 @@
 
 #include "allocation/allocation_messages.h"
 #include "allocation/engine_groups.h"
-#include "allocation/link_turns.h"
+#include "allocation/link_queues.h"
 #include "base/clock.h"
 #include "exchange/load_note.h"
 #include "policy/arrival_limits.h"
--- a/src/allocation/group_allocation.cc
+++ b/src/allocation/allocator_client.cc
@@ -1,4 +1,4 @@
-#include "allocation/group_allocation.h"
+#include "allocation/allocator_client.h"
 
 #include <xxhash.h>
 
--- a/src/allocation/link_turns.cc
+++ b/src/allocation/link_queues.cc
@@ -1,4 +1,4 @@
-#include "allocation/link_turns.h"
+#include "allocation/link_queues.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/allocation/tests/group_allocation_test.cc
+++ b/src/allocation/tests/allocator_client_test.cc
@@ -1,5 +1,5 @@
 // Asking for an engine, and what is done where nobody answers.
-#include "allocation/group_allocation.h"
+#include "allocation/allocator_client.h"
 
 #include <criterion/criterion.h>
 
--- a/src/allocation/tests/link_turns_test.cc
+++ b/src/allocation/tests/link_queues_test.cc
@@ -1,5 +1,5 @@
 // Turns at the links of engines that leave.
-#include "allocation/link_turns.h"
+#include "allocation/link_queues.h"
 
 #include <criterion/criterion.h>
 
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -14,7 +14,7 @@
 #include "base/scheduler.h"
 #include "net/listen_check.h"
 #include "quarantine/crash_book.h"
-#include "quarantine/server_end_watch.h"
+#include "quarantine/server_crash_detector.h"
 
 namespace meadowthread {
 
--- a/src/quarantine/server_end_watch.cc
+++ b/src/quarantine/server_crash_detector.cc
@@ -1,4 +1,4 @@
-#include "quarantine/server_end_watch.h"
+#include "quarantine/server_crash_detector.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/quarantine/tests/server_end_watch_test.cc
+++ b/src/quarantine/tests/server_crash_detector_test.cc
@@ -1,5 +1,5 @@
 // Which cut runs speak of a server's end, and which of nothing.
-#include "quarantine/server_end_watch.h"
+#include "quarantine/server_crash_detector.h"
 
 #include <criterion/criterion.h>
 
