--- a/src/allocation/allocation_channel.h
+++ b/src/allocation/allocation_channel.h
@@ -7,40 +7,46 @@
 
 namespace meadowthread {
 
-/// @brief Carries messages between hosts; each may be lost, doubled or late.
-/// What a host sends to itself comes at once.
+/// @brief Sends allocation messages to other hosts. A message may be lost,
+/// duplicated or delayed; one that a host sends to itself is delivered before
+/// Send returns.
 class AllocationChannel {
  public:
   virtual ~AllocationChannel() = default;
 
-  virtual void Send(std::string_view host, const PlaceAsk& ask) = 0;
-  virtual void Send(std::string_view host, const PlaceAnswer& answer) = 0;
-  virtual void Send(std::string_view host, const TurnOver& over) = 0;
+  virtual void Send(std::string_view host, const PlacementRequest& request) = 0;
+  virtual void Send(std::string_view host,
+                    const PlacementResponse& response) = 0;
+  virtual void Send(std::string_view host, const LinkRelease& release) = 0;
   virtual void Send(std::string_view host, const GroupPressure& pressure) = 0;
   virtual void Send(std::string_view host, const EngineAttempt& attempt) = 0;
   virtual void Send(std::string_view host, const ReadingSeen& seen) = 0;
 
-  /// @brief Asks all hosts to tell of their work: this one knows nothing.
-  virtual void AskAllToTell() = 0;
+  /// @brief Asks all other hosts to report their loads.
+  virtual void RequestLoadReports() = 0;
 
-  /// @brief Lets all hosts hear this one.
-  virtual void LetAllHear() = 0;
+  /// @brief Sends a heartbeat to all other hosts.
+  virtual void SendHeartbeats() = 0;
 };
 
-/// @brief Takes what other hosts send.
+/// @brief Receives the allocation messages of other hosts.
 class AllocationReceiver {
  public:
   virtual ~AllocationReceiver() = default;
 
-  virtual void On(std::string_view host, const PlaceAsk& ask) = 0;
-  virtual void On(std::string_view host, const PlaceAnswer& answer) = 0;
-  virtual void On(std::string_view host, const TurnOver& over) = 0;
-  virtual void On(std::string_view host, const GroupPressure& pressure) = 0;
-  virtual void On(std::string_view host, const EngineAttempt& attempt) = 0;
-  virtual void On(std::string_view host, const ReadingSeen& seen) = 0;
-
-  /// @brief A host wants to be told of all work.
-  virtual void OnAskedToTell() = 0;
+  virtual void OnMessage(std::string_view host,
+                         const PlacementRequest& request) = 0;
+  virtual void OnMessage(std::string_view host,
+                         const PlacementResponse& response) = 0;
+  virtual void OnMessage(std::string_view host, const LinkRelease& release) = 0;
+  virtual void OnMessage(std::string_view host,
+                         const GroupPressure& pressure) = 0;
+  virtual void OnMessage(std::string_view host,
+                         const EngineAttempt& attempt) = 0;
+  virtual void OnMessage(std::string_view host, const ReadingSeen& seen) = 0;
+
+  /// @brief Another host asks this one to report all of its loads.
+  virtual void OnLoadReportsRequested() = 0;
 };
 
 }  // namespace meadowthread
--- a/src/allocation/allocation_datagrams.cc
+++ b/src/allocation/allocation_datagrams.cc
@@ -7,14 +7,14 @@
 
 using nlohmann::json;
 
-constexpr char kAskTopic[] = "place";
-constexpr char kAnswerTopic[] = "placed";
-constexpr char kOverTopic[] = "turn-over";
+constexpr char kRequestTopic[] = "place";
+constexpr char kResponseTopic[] = "placed";
+constexpr char kReleaseTopic[] = "turn-over";
 constexpr char kPressureTopic[] = "pressure";
 constexpr char kAttemptTopic[] = "attempt";
 constexpr char kReadingTopic[] = "reading";
-constexpr char kTellTopic[] = "tell-loads";
-constexpr char kHearTopic[] = "hear";
+constexpr char kReportLoadsTopic[] = "tell-loads";
+constexpr char kHeartbeatTopic[] = "hear";
 
 }  // namespace
 
@@ -22,16 +22,16 @@
                                          DatagramHub& hub,
                                          AllocationReceiver& receiver)
     : self(self), hub(hub), receiver(receiver) {
-  this->Register(kAskTopic, &PlaceAskFrom);
-  this->Register(kAnswerTopic, &PlaceAnswerFrom);
-  this->Register(kOverTopic, &TurnOverFrom);
+  this->Register(kRequestTopic, &PlaceAskFrom);
+  this->Register(kResponseTopic, &PlaceAnswerFrom);
+  this->Register(kReleaseTopic, &TurnOverFrom);
   this->Register(kPressureTopic, &GroupPressureFrom);
   this->Register(kAttemptTopic, &EngineAttemptFrom);
   this->Register(kReadingTopic, &ReadingSeenFrom);
-  hub.Register(kTellTopic, [this](std::string_view, const json&) {
-    this->receiver.OnAskedToTell();
+  hub.Register(kReportLoadsTopic, [this](std::string_view, const json&) {
+    this->receiver.OnLoadReportsRequested();
   });
-  hub.Register(kHearTopic, [](std::string_view, const json&) {});
+  hub.Register(kHeartbeatTopic, [](std::string_view, const json&) {});
 }
 
 template <typename Message>
@@ -47,54 +47,56 @@
           .WriteImportant();
       return;
     }
-    this->receiver.On(host, *message);
+    this->receiver.OnMessage(host, *message);
   });
 }
 
 template <typename Message>
-void AllocationDatagrams::SendOrTake(std::string_view host,
-                                     std::string_view topic,
-                                     const Message& message) {
+void AllocationDatagrams::SendOrDeliver(std::string_view host,
+                                        std::string_view topic,
+                                        const Message& message) {
   if (host == this->self) {
-    this->receiver.On(host, message);
+    this->receiver.OnMessage(host, message);
   } else {
     this->hub.SendToOne(topic, ToJson(message), host);
   }
 }
 
-void AllocationDatagrams::Send(std::string_view host, const PlaceAsk& ask) {
-  this->SendOrTake(host, kAskTopic, ask);
+void AllocationDatagrams::Send(std::string_view host,
+                               const PlacementRequest& request) {
+  this->SendOrDeliver(host, kRequestTopic, request);
 }
 
 void AllocationDatagrams::Send(std::string_view host,
-                               const PlaceAnswer& answer) {
-  this->SendOrTake(host, kAnswerTopic, answer);
+                               const PlacementResponse& response) {
+  this->SendOrDeliver(host, kResponseTopic, response);
 }
 
-void AllocationDatagrams::Send(std::string_view host, const TurnOver& over) {
-  this->SendOrTake(host, kOverTopic, over);
+void AllocationDatagrams::Send(std::string_view host,
+                               const LinkRelease& release) {
+  this->SendOrDeliver(host, kReleaseTopic, release);
 }
 
 void AllocationDatagrams::Send(std::string_view host,
                                const GroupPressure& pressure) {
-  this->SendOrTake(host, kPressureTopic, pressure);
+  this->SendOrDeliver(host, kPressureTopic, pressure);
 }
 
 void AllocationDatagrams::Send(std::string_view host,
                                const EngineAttempt& attempt) {
-  this->SendOrTake(host, kAttemptTopic, attempt);
+  this->SendOrDeliver(host, kAttemptTopic, attempt);
 }
 
 void AllocationDatagrams::Send(std::string_view host, const ReadingSeen& seen) {
-  this->SendOrTake(host, kReadingTopic, seen);
+  this->SendOrDeliver(host, kReadingTopic, seen);
 }
 
-void AllocationDatagrams::AskAllToTell() {
-  this->hub.SendToSome(kTellTopic, json::array(), this->hub.Peers());
+void AllocationDatagrams::RequestLoadReports() {
+  this->hub.SendToSome(kReportLoadsTopic, json::array(), this->hub.Peers());
 }
 
-void AllocationDatagrams::LetAllHear() {
-  this->hub.SendToSome(kHearTopic, json::array(), this->hub.Peers());
+void AllocationDatagrams::SendHeartbeats() {
+  this->hub.SendToSome(kHeartbeatTopic, json::array(), this->hub.Peers());
 }
 
 }  // namespace meadowthread
--- a/src/allocation/allocation_datagrams.h
+++ b/src/allocation/allocation_datagrams.h
@@ -10,29 +10,29 @@
 
 namespace meadowthread {
 
-/// @brief Carries messages by datagrams: one that comes late is worth nothing,
-/// so that none is sent again by itself.
+/// @brief Sends allocation messages as datagrams. They are not retransmitted,
+/// as a late message is of no use.
 class AllocationDatagrams final : public AllocationChannel {
  public:
-  /// @param[in] hub,receiver outlive this
+  /// @param[in] hub,receiver must outlive this
   AllocationDatagrams(std::string_view self, DatagramHub& hub,
                       AllocationReceiver& receiver);
   AllocationDatagrams(const AllocationDatagrams&) = delete;
   AllocationDatagrams& operator=(const AllocationDatagrams&) = delete;
 
-  void Send(std::string_view host, const PlaceAsk& ask) override;
-  void Send(std::string_view host, const PlaceAnswer& answer) override;
-  void Send(std::string_view host, const TurnOver& over) override;
+  void Send(std::string_view host, const PlacementRequest& request) override;
+  void Send(std::string_view host, const PlacementResponse& response) override;
+  void Send(std::string_view host, const LinkRelease& release) override;
   void Send(std::string_view host, const GroupPressure& pressure) override;
   void Send(std::string_view host, const EngineAttempt& attempt) override;
   void Send(std::string_view host, const ReadingSeen& seen) override;
-  void AskAllToTell() override;
-  void LetAllHear() override;
+  void RequestLoadReports() override;
+  void SendHeartbeats() override;
 
  private:
   template <typename Message>
-  void SendOrTake(std::string_view host, std::string_view topic,
-                  const Message& message);
+  void SendOrDeliver(std::string_view host, std::string_view topic,
+                     const Message& message);
   template <typename Message>
   void Register(std::string_view topic,
                 absl::StatusOr<Message> (*read)(const nlohmann::json&));
--- a/src/allocation/allocation_duty.cc
+++ b/src/allocation/allocation_duty.cc
@@ -9,108 +9,111 @@
 namespace meadowthread {
 namespace {
 
-// How often lists of hosts and engines, pressures and turns are looked at.
+// Period of the updates of hosts, engines, groups and pressures.
 constexpr std::int64_t kTickMs = 250;
-// A host that stood still for so long beyond its tick has missed what others
-// began and ended meanwhile: what it has read since is out of order.
-constexpr std::int64_t kStoodStillMs = 500;
-// Within this the others have told all of their work: a datagram each way, and
-// a step of their notes' timer.
-constexpr std::int64_t kCollectMs = 200;
-// Groups that are told of the pressure at one: of a few, all; of hundreds, some
-// each time, so that what it costs does not grow with them.
-constexpr std::size_t kMostTold = 8;
-// Hosts are taken for gone after a minute of silence, and have duties while
-// they were heard within ten seconds.
-constexpr std::int64_t kLetHearMs = 8'000;
+// A tick that is late by more than this means that the process was stalled. It
+// missed requests that other hosts began and ended meanwhile, and what it has
+// received since is out of order.
+constexpr std::int64_t kStallMs = 500;
+// By then the other hosts have reported all of their loads: a datagram each way
+// and one period of their report timer.
+constexpr std::int64_t kSyncMs = 200;
+// A group's pressure is sent to at most this many groups per tick, drawn at
+// random, so that the cost does not grow with the number of groups.
+constexpr std::size_t kMaxPressureGroups = 8;
+// A host is considered gone after a minute of silence, and is assigned groups
+// only if it was heard from in the last ten seconds.
+constexpr std::int64_t kHeartbeatPeriodMs = 8'000;
 
 }  // namespace
 
 AllocationDuty::AllocationDuty(const AllocationOptions& options,
-                               const AllocationParts& parts)
+                               const AllocationDependencies& dependencies)
     : options(options),
-      parts(parts),
-      channel(options.self.host, parts.hub, *this),
-      allocator(options.self.host, options.pressure, parts.fleet, this->groups),
-      asking(options.self, this->groups, parts.fleet, parts.local,
-             this->channel, parts.scheduler, parts.clock) {
-  this->allocator.SetArrivals(parts.arrivals, parts.clock);
-  this->asking.SetArrivals(parts.arrivals);
+      dependencies(dependencies),
+      channel(options.self.host, dependencies.hub, *this),
+      allocator(options.self.host, options.pressure, dependencies.fleet,
+                this->groups),
+      client(options.self, this->groups, dependencies.fleet, dependencies.local,
+             this->channel, dependencies.scheduler, dependencies.clock) {
+  this->allocator.SetArrivals(dependencies.arrivals, dependencies.clock);
+  this->client.SetArrivals(dependencies.arrivals);
 }
 
 void AllocationDuty::Start(
     const std::function<std::vector<AllocatorHost>()>& hosts) {
-  this->hosts_now = hosts;
-  this->ticked_ms = this->parts.clock.MonotonicMs();
+  this->current_hosts = hosts;
+  this->last_tick_ms = this->dependencies.clock.MonotonicMs();
   this->Tick();
 }
 
 void AllocationDuty::Tick() {
-  const std::int64_t now_ms = this->parts.clock.MonotonicMs();
-  const bool stood_still = this->HasStoodStill();
-  this->ticked_ms = now_ms;
-  this->TakeHosts();
-  if (this->asking.IsShared()) {
-    this->TakeDuties(stood_still);
-    this->allocator.DropOld(this->parts.clock.WallMs());
-    this->GrantTurns();
-    this->TellPressures();
-    if (now_ms - this->heard_by_all_ms >= kLetHearMs) {
-      this->heard_by_all_ms = now_ms;
-      this->channel.LetAllHear();
+  const std::int64_t now_ms = this->dependencies.clock.MonotonicMs();
+  const bool was_stalled = this->WasStalled();
+  this->last_tick_ms = now_ms;
+  this->UpdateHosts();
+  if (this->client.IsShared()) {
+    this->UpdateOwnGroups(was_stalled);
+    this->allocator.DropExpired(this->dependencies.clock.WallMs());
+    this->GrantLinks();
+    this->SendPressures();
+    if (now_ms - this->last_heartbeat_ms >= kHeartbeatPeriodMs) {
+      this->last_heartbeat_ms = now_ms;
+      this->channel.SendHeartbeats();
     }
   }
-  this->parts.scheduler.After(kTickMs,
-                              this->life.Guarded([this] { this->Tick(); }));
+  this->dependencies.scheduler.After(
+      kTickMs, this->life.Guarded([this] { this->Tick(); }));
 }
 
-bool AllocationDuty::HasStoodStill() const {
-  return this->parts.clock.MonotonicMs() - this->ticked_ms >
-         kTickMs + kStoodStillMs;
+bool AllocationDuty::WasStalled() const {
+  return this->dependencies.clock.MonotonicMs() - this->last_tick_ms >
+         kTickMs + kStallMs;
 }
 
-void AllocationDuty::TakeHosts() {
-  const std::vector<AllocatorHost> hosts = this->hosts_now();
-  this->groups.CountEngines(this->parts.fleet);
+void AllocationDuty::UpdateHosts() {
+  const std::vector<AllocatorHost> hosts = this->current_hosts();
+  this->groups.CountEngines(this->dependencies.fleet);
   this->groups.SetHosts(hosts);
-  // A host that is stopping is not among them and asks like the others.
+  // A host that is stopping is not in the list; it still asks the allocators.
   const bool is_shared = hosts.size() > this->options.direct_hosts;
-  if (is_shared != this->asking.IsShared()) {
+  if (is_shared != this->client.IsShared()) {
     LogLine("allocation-shared")
         .Add("hosts", hosts.size())
         .Add("shared", is_shared ? "yes" : "no")
         .WriteImportant();
-    this->asking.SetShared(is_shared);
+    this->client.SetShared(is_shared);
   }
 }
 
-// A host that has just got a group knows nothing of it, and one that stood
-// still knows what was.
-void AllocationDuty::TakeDuties(bool stood_still) {
-  std::set<std::string> now;
+// After getting a new group this host has no loads of it, and after a stall its
+// loads are outdated: in both cases all hosts are asked for reports.
+void AllocationDuty::UpdateOwnGroups(bool was_stalled) {
+  std::set<std::string> assigned;
   for (const std::string& group : this->groups.Groups()) {
     if (this->groups.IsAllocator(this->options.self.host, group)) {
-      now.insert(group);
+      assigned.insert(group);
     }
   }
-  const bool has_new = !std::includes(
-      this->own_groups.begin(), this->own_groups.end(), now.begin(), now.end());
-  this->own_groups = std::move(now);
-  if (this->own_groups.empty() || (!has_new && !stood_still)) {
+  const bool has_new =
+      !std::includes(this->own_groups.begin(), this->own_groups.end(),
+                     assigned.begin(), assigned.end());
+  this->own_groups = std::move(assigned);
+  if (this->own_groups.empty() || (!has_new && !was_stalled)) {
     return;
   }
-  this->allocator.SetTrustedFrom(this->parts.clock.WallMs() + kCollectMs);
-  this->channel.AskAllToTell();
+  this->allocator.SetReadyFrom(this->dependencies.clock.WallMs() + kSyncMs);
+  this->channel.RequestLoadReports();
   LogLine("allocates")
       .Add("groups", this->own_groups.size())
       .Add("first", *this->own_groups.begin())
-      .Add("stood_still", stood_still ? "yes" : "no")
+      .Add("stood_still", was_stalled ? "yes" : "no")
       .WriteImportant();
 }
 
-void AllocationDuty::TellPressures() {
-  const std::int64_t now_ms = this->parts.clock.WallMs();
-  if (this->own_groups.empty() || !this->allocator.IsTrusted(now_ms)) {
+void AllocationDuty::SendPressures() {
+  const std::int64_t now_ms = this->dependencies.clock.WallMs();
+  if (this->own_groups.empty() || !this->allocator.IsReady(now_ms)) {
     return;
   }
   const std::vector<std::string> all = this->groups.Groups();
@@ -119,14 +122,14 @@
       continue;
     }
     const std::optional<GroupPressure> pressure =
-        this->allocator.PressureOf(own, now_ms);
+        this->allocator.MinPressure(own, now_ms);
     if (!pressure.has_value()) {
       continue;
     }
-    std::vector<std::string> told;
-    std::sample(all.begin(), all.end(), std::back_inserter(told), kMostTold,
-                this->parts.random);
-    for (const std::string& group : told) {
+    std::vector<std::string> receivers;
+    std::sample(all.begin(), all.end(), std::back_inserter(receivers),
+                kMaxPressureGroups, this->dependencies.random);
+    for (const std::string& group : receivers) {
       for (const std::string& host : this->groups.AllocatorsOf(group)) {
         if (group != own) {
           this->channel.Send(host, *pressure);
@@ -136,15 +139,15 @@
   }
 }
 
-void AllocationDuty::GrantTurns() {
-  for (const GrantedTurn& granted : this->allocator.GrantTurns(
-           this->parts.clock.WallMs(), this->parts.random())) {
-    this->channel.Send(granted.turn.host, granted.answer);
+void AllocationDuty::GrantLinks() {
+  for (const LinkGrant& grant : this->allocator.GrantLinks(
+           this->dependencies.clock.WallMs(), this->dependencies.random())) {
+    this->channel.Send(grant.migration.host, grant.response);
   }
 }
 
 template <typename Message>
-void AllocationDuty::TellAllocators(const Message& message) {
+void AllocationDuty::SendToAllocators(const Message& message) {
   if (this->IsEverybody()) {
     return;
   }
@@ -154,16 +157,16 @@
 }
 
 void AllocationDuty::TellAttempt(const EngineAttempt& attempt) {
-  this->TellAllocators(attempt);
+  this->SendToAllocators(attempt);
 }
 
 void AllocationDuty::TellReading(const ReadingSeen& seen) {
-  this->TellAllocators(seen);
+  this->SendToAllocators(seen);
 }
 
 std::vector<std::string> AllocationDuty::HostsFor(
     std::string_view engine) const {
-  const EngineView* const view = this->parts.fleet.Find(engine);
+  const EngineView* const view = this->dependencies.fleet.Find(engine);
   if (view == nullptr) {
     return {};
   }
@@ -173,73 +176,79 @@
   return hosts;
 }
 
-void AllocationDuty::On(std::string_view host, const PlaceAsk& ask) {
-  const std::int64_t now_ms = this->parts.clock.WallMs();
-  // What came meanwhile is read before the tick that is overdue.
-  if (this->HasStoodStill()) {
-    this->allocator.SetTrustedFrom(now_ms + kCollectMs);
+void AllocationDuty::OnMessage(std::string_view host,
+                               const PlacementRequest& request) {
+  const std::int64_t now_ms = this->dependencies.clock.WallMs();
+  // After a stall the datagrams that piled up are read before the overdue tick
+  // runs.
+  if (this->WasStalled()) {
+    this->allocator.SetReadyFrom(now_ms + kSyncMs);
   }
-  AllocatorReply reply =
-      this->allocator.Answer(ask, now_ms, this->parts.random());
-  const std::vector<std::string>* const others =
-      reply.pass_on_to.empty() ? nullptr
-                               : &this->groups.AllocatorsOf(reply.pass_on_to);
+  AllocatorResult result =
+      this->allocator.Allocate(request, now_ms, this->dependencies.random());
+  const std::vector<std::string>* const forward_allocators =
+      result.forward_to.empty() ? nullptr
+                                : &this->groups.AllocatorsOf(result.forward_to);
   LogLine("allocate")
-      .Add("request", ask.work.request)
+      .Add("request", request.work.request)
       .Add("host", host)
-      .Add("group", ask.group)
-      .Add("passed_on", reply.pass_on_to)
-      .Add("source", ask.source)
-      .Add("verdict", static_cast<int>(reply.answer.verdict))
-      .Add("engine", reply.answer.engine)
-      .Add("cost", reply.answer.cost)
-      .Add("first_event_ms", reply.answer.first_event_ms)
+      .Add("group", request.group)
+      .Add("passed_on", result.forward_to)
+      .Add("source", request.source)
+      .Add("verdict", static_cast<int>(result.response.status))
+      .Add("engine", result.response.engine)
+      .Add("cost", result.response.cost)
+      .Add("first_event_ms", result.response.first_event_ms)
       .Write();
-  if (others == nullptr || others->empty()) {
-    this->channel.Send(ask.origin, reply.answer);
+  if (forward_allocators == nullptr || forward_allocators->empty()) {
+    this->channel.Send(request.origin, result.response);
     return;
   }
-  PlaceAsk passed = ask;
-  passed.group = reply.pass_on_to;
-  passed.is_passed_on = true;
-  this->channel.Send(others->front(), passed);
+  PlacementRequest forwarded = request;
+  forwarded.group = result.forward_to;
+  forwarded.is_forwarded = true;
+  this->channel.Send(forward_allocators->front(), forwarded);
 }
 
-void AllocationDuty::On(std::string_view /*host*/, const PlaceAnswer& answer) {
-  this->asking.TakeAnswer(answer);
+void AllocationDuty::OnMessage(std::string_view /*host*/,
+                               const PlacementResponse& response) {
+  this->client.OnResponse(response);
 }
 
-void AllocationDuty::On(std::string_view host, const TurnOver& over) {
-  this->allocator.TakeTurnOver(host, over);
-  this->GrantTurns();
+void AllocationDuty::OnMessage(std::string_view host,
+                               const LinkRelease& release) {
+  this->allocator.ReleaseLink(host, release);
+  this->GrantLinks();
 }
 
-void AllocationDuty::On(std::string_view /*host*/,
-                        const GroupPressure& pressure) {
-  this->allocator.TakePressure(pressure, this->parts.clock.WallMs());
+void AllocationDuty::OnMessage(std::string_view /*host*/,
+                               const GroupPressure& pressure) {
+  this->allocator.UpdatePressure(pressure, this->dependencies.clock.WallMs());
 }
 
-void AllocationDuty::On(std::string_view /*host*/,
-                        const EngineAttempt& attempt) {
-  if (this->attempt_told) {
-    this->attempt_told(attempt);
+void AllocationDuty::OnMessage(std::string_view /*host*/,
+                               const EngineAttempt& attempt) {
+  if (this->on_attempt) {
+    this->on_attempt(attempt);
   }
 }
 
-void AllocationDuty::On(std::string_view /*host*/, const ReadingSeen& seen) {
-  this->parts.fleet.ObserveReading(seen);
+void AllocationDuty::OnMessage(std::string_view /*host*/,
+                               const ReadingSeen& seen) {
+  this->dependencies.fleet.ObserveReading(seen);
 }
 
-void AllocationDuty::OnAskedToTell() {
-  if (this->tell_all) {
-    this->tell_all();
+void AllocationDuty::OnLoadReportsRequested() {
+  if (this->report_all_loads) {
+    this->report_all_loads();
   }
 }
 
 void AllocationDuty::OnNotes(std::string_view host,
                              std::span<const EngineLoadNote> notes) {
-  this->parts.loads.OnNotes(host, notes);
-  this->allocator.NoteTold(host, notes, this->parts.clock.WallMs());
+  this->dependencies.loads.OnNotes(host, notes);
+  this->allocator.ConfirmReservations(host, notes,
+                                      this->dependencies.clock.WallMs());
 }
 
 }  // namespace meadowthread
--- a/src/allocation/allocation_duty.h
+++ b/src/allocation/allocation_duty.h
@@ -20,105 +20,117 @@
 
 namespace meadowthread {
 
-/// @brief What an AllocationDuty needs of its host.
-struct AllocationParts {
+/// @brief Objects of the host that an AllocationDuty uses.
+struct AllocationDependencies {
   DatagramHub& hub;
   FleetState& fleet;
-  EngineAllocation& local;
-  LoadSink& loads;
+  EngineAllocation& local;  ///< chooses where no allocator does
+  LoadSink& loads;          ///< is passed the loads of other hosts
   Scheduler& scheduler;
   const Clock& clock;
   const ArrivalLimits& arrivals;
   std::mt19937_64& random;
 };
 
-/// @brief What an AllocationDuty may be set to.
+/// @brief Settings of an AllocationDuty.
 struct AllocationOptions {
-  AllocationSelf self;
+  HostLocation self;
   PressureOptions pressure;
-  /// Up to so many hosts tell each other everything, and each chooses by
-  /// itself: what they tell grows with the square of their number.
+  /// With at most this many hosts, every host sends its loads to all others and
+  /// chooses engines itself. With more there are allocators, as that traffic
+  /// grows with the square of the number of hosts.
   std::size_t direct_hosts = 0;
 };
 
-/// @brief A host's part in handing out engines: asks for its own requests, and
-/// hands out places where that is its duty.
+/// @brief One host's part in the distributed allocation of engines: it asks
+/// allocators to place the host's own requests, and is the allocator of the
+/// engine groups that are assigned to this host.
 class AllocationDuty final : public AllocationReceiver,
                              public LoadSink,
                              public LoadAudience {
  public:
-  using AttemptTold = std::function<void(const EngineAttempt& attempt)>;
+  using AttemptListener = std::function<void(const EngineAttempt& attempt)>;
 
-  /// @param[in] parts all outlive the duty
+  /// @param[in] dependencies must all outlive this
   AllocationDuty(const AllocationOptions& options,
-                 const AllocationParts& parts);
+                 const AllocationDependencies& dependencies);
   AllocationDuty(const AllocationDuty&) = delete;
   AllocationDuty& operator=(const AllocationDuty&) = delete;
 
-  /// @brief Told of attempts that other hosts made at engines of this host's
-  /// groups.
-  void OnAttempt(const AttemptTold& told) { this->attempt_told = told; }
+  /// @brief Sets the listener for results of other hosts' attempts at engines
+  /// of this host's groups.
+  void OnAttempt(const AttemptListener& listener) {
+    this->on_attempt = listener;
+  }
 
-  /// @brief Called where a host asks for all that this one has at engines.
-  void OnTellAll(const std::function<void()>& tell) { this->tell_all = tell; }
+  /// @brief Sets the function that reports all loads of this host; called when
+  /// another host asks for them.
+  void OnTellAll(const std::function<void()>& report) {
+    this->report_all_loads = report;
+  }
 
-  /// @brief Begins its upkeep.
-  /// @param[in] hosts gives the hosts that may hand out places now
+  /// @brief Starts the periodic work.
+  /// @param[in] hosts returns the hosts that may be allocators now
   void Start(const std::function<std::vector<AllocatorHost>()>& hosts);
 
-  /// @brief An attempt of this host at an engine is over.
+  /// @brief Sends the result of one of this host's attempts to the engine's
+  /// allocators.
   void TellAttempt(const EngineAttempt& attempt);
 
-  /// @brief Something came from a host.
-  void NoteHeard(std::string_view host) { this->asking.NoteHeard(host); }
+  /// @brief A message of any kind came from another host.
+  void NoteHeard(std::string_view host) { this->client.NoteHeard(host); }
 
-  /// @brief A first event of an own stream came.
+  /// @brief Sends the prefill time of one of this host's streams to the
+  /// engine's allocators, when the stream's first event has come.
   void TellReading(const ReadingSeen& seen);
 
-  EngineAllocation& Allocation() { return this->asking; }
+  /// @brief Chooses engines for this host's own requests.
+  EngineAllocation& Allocation() { return this->client; }
 
-  /// @brief Groups whose places this host hands out.
+  /// @brief Number of groups that this host is an allocator of.
   std::size_t Duties() const { return this->own_groups.size(); }
 
   // AllocationReceiver
-  void On(std::string_view host, const PlaceAsk& ask) override;
-  void On(std::string_view host, const PlaceAnswer& answer) override;
-  void On(std::string_view host, const TurnOver& over) override;
-  void On(std::string_view host, const GroupPressure& pressure) override;
-  void On(std::string_view host, const EngineAttempt& attempt) override;
-  void On(std::string_view host, const ReadingSeen& seen) override;
-  void OnAskedToTell() override;
+  void OnMessage(std::string_view host,
+                 const PlacementRequest& request) override;
+  void OnMessage(std::string_view host,
+                 const PlacementResponse& response) override;
+  void OnMessage(std::string_view host, const LinkRelease& release) override;
+  void OnMessage(std::string_view host, const GroupPressure& pressure) override;
+  void OnMessage(std::string_view host, const EngineAttempt& attempt) override;
+  void OnMessage(std::string_view host, const ReadingSeen& seen) override;
+  void OnLoadReportsRequested() override;
 
   // LoadSink
   void OnNotes(std::string_view host,
                std::span<const EngineLoadNote> notes) override;
 
   // LoadAudience
-  bool IsEverybody() const override { return !this->asking.IsShared(); }
+  bool IsEverybody() const override { return !this->client.IsShared(); }
   std::vector<std::string> HostsFor(std::string_view engine) const override;
 
  private:
   void Tick();
-  bool HasStoodStill() const;
-  void TakeHosts();
-  void TakeDuties(bool stood_still);
+  bool WasStalled() const;
+  void UpdateHosts();
+  void UpdateOwnGroups(bool was_stalled);
   template <typename Message>
-  void TellAllocators(const Message& message);
-  void TellPressures();
-  void GrantTurns();
+  void SendToAllocators(const Message& message);
+  void SendPressures();
+  void GrantLinks();
 
   AllocationOptions options;
-  AllocationParts parts;
+  AllocationDependencies dependencies;
   EngineGroups groups;
   AllocationDatagrams channel;
   Allocator allocator;
-  GroupAllocation asking;
-  AttemptTold attempt_told;
-  std::function<void()> tell_all;
-  std::function<std::vector<AllocatorHost>()> hosts_now;
+  AllocatorClient client;
+  AttemptListener on_attempt;
+  std::function<void()> report_all_loads;
+  std::function<std::vector<AllocatorHost>()> current_hosts;
   std::set<std::string> own_groups;
-  std::int64_t ticked_ms = 0;
-  std::int64_t heard_by_all_ms = 0;
+  std::int64_t last_tick_ms = 0;
+  std::int64_t last_heartbeat_ms = 0;
   Lifetime life;
 };
 
--- a/src/allocation/allocation_messages.cc
+++ b/src/allocation/allocation_messages.cc
@@ -11,16 +11,17 @@
 
 using nlohmann::json;
 
-// Beyond this a count of tokens or milliseconds is no prompt's and no wait's.
-constexpr std::int64_t kMostCount = 1'000'000'000;
+// Larger counts of tokens or milliseconds are clamped to this: no prompt and no
+// wait is as long.
+constexpr std::int64_t kMaxCount = 1'000'000'000;
 
-enum class Field { kText, kCount, kNumber, kFlag, kTexts };
+enum class Field { kText, kCount, kNumber, kFlag, kTextArray };
 
-absl::Status Malformed(std::string_view what) {
+absl::Status Malformed(std::string_view message) {
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
   detail.step = "read-allocation";
-  return MakeError(absl::StatusCode::kInvalidArgument, detail, what);
+  return MakeError(absl::StatusCode::kInvalidArgument, detail, message);
 }
 
 bool IsCount(const json& value) {
@@ -28,13 +29,13 @@
          (value.is_number_unsigned() || value.get<std::int64_t>() >= 0);
 }
 
-bool AreTexts(const json& value) {
-  return value.is_array() && value.size() <= kMostAvoided &&
+bool IsTextArray(const json& value) {
+  return value.is_array() && value.size() <= kMaxAvoidedEngines &&
          std::all_of(value.begin(), value.end(),
-                     [](const json& one) { return one.is_string(); });
+                     [](const json& element) { return element.is_string(); });
 }
 
-bool Fits(const json& value, Field field) {
+bool Matches(const json& value, Field field) {
   switch (field) {
     case Field::kText:
       return value.is_string();
@@ -44,113 +45,115 @@
       return value.is_number() && std::isfinite(value.get<double>());
     case Field::kFlag:
       return value.is_boolean();
-    case Field::kTexts:
-      return AreTexts(value);
+    case Field::kTextArray:
+      return IsTextArray(value);
   }
   return false;
 }
 
-bool Fits(const json& payload, std::initializer_list<Field> fields) {
+bool Matches(const json& payload, std::initializer_list<Field> fields) {
   return payload.is_array() && payload.size() == fields.size() &&
-         std::equal(
-             fields.begin(), fields.end(), payload.begin(),
-             [](Field field, const json& value) { return Fits(value, field); });
+         std::equal(fields.begin(), fields.end(), payload.begin(),
+                    [](Field field, const json& value) {
+                      return Matches(value, field);
+                    });
 }
 
-std::int64_t CountOf(const json& value) {
+std::int64_t ClampedCount(const json& value) {
   return static_cast<std::int64_t>(
-      std::min<std::uint64_t>(value.get<std::uint64_t>(), kMostCount));
+      std::min<std::uint64_t>(value.get<std::uint64_t>(), kMaxCount));
 }
 
 }  // namespace
 
-json ToJson(const PlaceAsk& ask) {
-  const WorkItem& work = ask.work;
-  return json::array({ask.ticket, ask.origin, ask.group, ask.source, ask.avoid,
-                      ask.may_pass_on, work.request, work.workspace,
-                      work.template_name, work.model, work.prompt_tokens,
-                      work.max_output_tokens, static_cast<int>(work.urgency),
+json ToJson(const PlacementRequest& request) {
+  const WorkItem& work = request.work;
+  return json::array({request.ticket, request.origin, request.group,
+                      request.source, request.avoid, request.may_forward,
+                      work.request, work.workspace, work.template_name,
+                      work.model, work.prompt_tokens, work.max_output_tokens,
+                      static_cast<int>(work.urgency),
                       work.first_event_within_ms, work.is_late,
-                      ask.is_passed_on, work.homes.has_value(),
+                      request.is_forwarded, work.homes.has_value(),
                       work.homes.value_or(std::vector<std::string>{})});
 }
 
-absl::StatusOr<PlaceAsk> PlaceAskFrom(const json& payload) {
+absl::StatusOr<PlacementRequest> PlaceAskFrom(const json& payload) {
   constexpr Field kText = Field::kText;
   constexpr Field kCount = Field::kCount;
-  if (!Fits(payload,
-            {kCount, kText, kText, kText, Field::kTexts, Field::kFlag, kText,
-             kText, kText, kText, kCount, kCount, kCount, kCount, Field::kFlag,
-             Field::kFlag, Field::kFlag, Field::kTexts})) {
-    return Malformed("not an asking for an engine");
+  if (!Matches(payload,
+               {kCount, kText, kText, kText, Field::kTextArray, Field::kFlag,
+                kText, kText, kText, kText, kCount, kCount, kCount, kCount,
+                Field::kFlag, Field::kFlag, Field::kFlag, Field::kTextArray})) {
+    return Malformed("malformed placement request");
   }
-  PlaceAsk ask;
+  PlacementRequest request;
   auto at = payload.begin();
-  ask.ticket = (at++)->get<std::uint64_t>();
-  ask.origin = (at++)->get<std::string>();
-  ask.group = (at++)->get<std::string>();
-  ask.source = (at++)->get<std::string>();
-  ask.avoid = (at++)->get<std::vector<std::string>>();
-  ask.may_pass_on = (at++)->get<bool>();
-  ask.work.request = (at++)->get<std::string>();
-  ask.work.workspace = (at++)->get<std::string>();
-  ask.work.template_name = (at++)->get<std::string>();
-  ask.work.model = (at++)->get<std::string>();
-  ask.work.prompt_tokens = CountOf(*at++);
-  ask.work.max_output_tokens = CountOf(*at++);
-  ask.work.urgency =
-      static_cast<Urgency>(std::min<std::int64_t>(CountOf(*at++), 2));
-  ask.work.first_event_within_ms = CountOf(*at++);
-  ask.work.is_late = (at++)->get<bool>();
-  ask.is_passed_on = (at++)->get<bool>();
+  request.ticket = (at++)->get<std::uint64_t>();
+  request.origin = (at++)->get<std::string>();
+  request.group = (at++)->get<std::string>();
+  request.source = (at++)->get<std::string>();
+  request.avoid = (at++)->get<std::vector<std::string>>();
+  request.may_forward = (at++)->get<bool>();
+  request.work.request = (at++)->get<std::string>();
+  request.work.workspace = (at++)->get<std::string>();
+  request.work.template_name = (at++)->get<std::string>();
+  request.work.model = (at++)->get<std::string>();
+  request.work.prompt_tokens = ClampedCount(*at++);
+  request.work.max_output_tokens = ClampedCount(*at++);
+  request.work.urgency =
+      static_cast<Urgency>(std::min<std::int64_t>(ClampedCount(*at++), 2));
+  request.work.first_event_within_ms = ClampedCount(*at++);
+  request.work.is_late = (at++)->get<bool>();
+  request.is_forwarded = (at++)->get<bool>();
   const bool has_homes = (at++)->get<bool>();
   if (has_homes) {
-    ask.work.homes = at->get<std::vector<std::string>>();
+    request.work.homes = at->get<std::vector<std::string>>();
   }
-  ask.work.is_copy = !ask.source.empty();
-  ask.work.forced = ask.work.is_copy;
-  return ask;
+  request.work.is_copy = !request.source.empty();
+  request.work.forced = request.work.is_copy;
+  return request;
 }
 
-json ToJson(const PlaceAnswer& answer) {
-  return json::array({answer.ticket, static_cast<int>(answer.verdict),
-                      answer.engine, static_cast<float>(answer.cost),
-                      static_cast<float>(answer.memory_part), answer.in_flight,
-                      answer.first_event_ms, answer.reading_ahead,
-                      answer.is_of_other_group});
+json ToJson(const PlacementResponse& response) {
+  return json::array({response.ticket, static_cast<int>(response.status),
+                      response.engine, static_cast<float>(response.cost),
+                      static_cast<float>(response.memory_share),
+                      response.in_flight, response.first_event_ms,
+                      response.prefill_tokens_ahead, response.was_forwarded});
 }
 
-absl::StatusOr<PlaceAnswer> PlaceAnswerFrom(const json& payload) {
-  if (!Fits(payload, {Field::kCount, Field::kCount, Field::kText,
-                      Field::kNumber, Field::kNumber, Field::kCount,
-                      Field::kCount, Field::kCount, Field::kFlag}) ||
-      CountOf(payload[1]) > static_cast<int>(PlaceVerdict::kDeclined)) {
-    return Malformed("not an answer with an engine");
+absl::StatusOr<PlacementResponse> PlaceAnswerFrom(const json& payload) {
+  if (!Matches(payload, {Field::kCount, Field::kCount, Field::kText,
+                         Field::kNumber, Field::kNumber, Field::kCount,
+                         Field::kCount, Field::kCount, Field::kFlag}) ||
+      ClampedCount(payload[1]) > static_cast<int>(PlacementStatus::kDeclined)) {
+    return Malformed("malformed placement response");
   }
-  PlaceAnswer answer;
+  PlacementResponse response;
   auto at = payload.begin();
-  answer.ticket = (at++)->get<std::uint64_t>();
-  answer.verdict = static_cast<PlaceVerdict>(CountOf(*at++));
-  answer.engine = (at++)->get<std::string>();
-  answer.cost = (at++)->get<double>();
-  answer.memory_part = (at++)->get<double>();
-  answer.in_flight = static_cast<int>(CountOf(*at++));
-  answer.first_event_ms = CountOf(*at++);
-  answer.reading_ahead = CountOf(*at++);
-  answer.is_of_other_group = at->get<bool>();
-  return answer;
+  response.ticket = (at++)->get<std::uint64_t>();
+  response.status = static_cast<PlacementStatus>(ClampedCount(*at++));
+  response.engine = (at++)->get<std::string>();
+  response.cost = (at++)->get<double>();
+  response.memory_share = (at++)->get<double>();
+  response.in_flight = static_cast<int>(ClampedCount(*at++));
+  response.first_event_ms = ClampedCount(*at++);
+  response.prefill_tokens_ahead = ClampedCount(*at++);
+  response.was_forwarded = at->get<bool>();
+  return response;
 }
 
-json ToJson(const TurnOver& over) {
-  return json::array({over.engine, over.ticket});
+json ToJson(const LinkRelease& release) {
+  return json::array({release.engine, release.ticket});
 }
 
-absl::StatusOr<TurnOver> TurnOverFrom(const json& payload) {
-  if (!Fits(payload, {Field::kText, Field::kCount})) {
-    return Malformed("not the end of a turn");
+absl::StatusOr<LinkRelease> TurnOverFrom(const json& payload) {
+  if (!Matches(payload, {Field::kText, Field::kCount})) {
+    return Malformed("malformed link release");
   }
-  return TurnOver{payload[0].get<std::string>(),
-                  payload[1].get<std::uint64_t>()};
+  return LinkRelease{payload[0].get<std::string>(),
+                     payload[1].get<std::uint64_t>()};
 }
 
 json ToJson(const GroupPressure& pressure) {
@@ -158,8 +161,8 @@
 }
 
 absl::StatusOr<GroupPressure> GroupPressureFrom(const json& payload) {
-  if (!Fits(payload, {Field::kText, Field::kNumber})) {
-    return Malformed("not a group's pressure");
+  if (!Matches(payload, {Field::kText, Field::kNumber})) {
+    return Malformed("malformed group pressure");
   }
   return GroupPressure{payload[0].get<std::string>(), payload[1].get<double>()};
 }
@@ -169,11 +172,11 @@
 }
 
 absl::StatusOr<EngineAttempt> EngineAttemptFrom(const json& payload) {
-  if (!Fits(payload, {Field::kText, Field::kCount})) {
-    return Malformed("not an attempt at an engine");
+  if (!Matches(payload, {Field::kText, Field::kCount})) {
+    return Malformed("malformed engine attempt");
   }
   return EngineAttempt{payload[0].get<std::string>(),
-                       static_cast<int>(CountOf(payload[1]))};
+                       static_cast<int>(ClampedCount(payload[1]))};
 }
 
 json ToJson(const ReadingSeen& seen) {
@@ -181,11 +184,11 @@
 }
 
 absl::StatusOr<ReadingSeen> ReadingSeenFrom(const json& payload) {
-  if (!Fits(payload, {Field::kText, Field::kCount, Field::kCount})) {
-    return Malformed("not what a first event shows");
+  if (!Matches(payload, {Field::kText, Field::kCount, Field::kCount})) {
+    return Malformed("malformed prefill time");
   }
-  return ReadingSeen{payload[0].get<std::string>(), CountOf(payload[1]),
-                     CountOf(payload[2])};
+  return ReadingSeen{payload[0].get<std::string>(), ClampedCount(payload[1]),
+                     ClampedCount(payload[2])};
 }
 
 }  // namespace meadowthread
--- a/src/allocation/allocation_messages.h
+++ b/src/allocation/allocation_messages.h
@@ -14,73 +14,76 @@
 
 namespace meadowthread {
 
-/// @brief Engines that a host may name as not usable in one asking.
-inline constexpr std::size_t kMostAvoided = 64;
+/// @brief Most engines that one PlacementRequest may exclude.
+inline constexpr std::size_t kMaxAvoidedEngines = 64;
 
-/// @brief A host asks for an engine.
-struct PlaceAsk {
-  std::uint64_t ticket = 0;
-  std::string origin;  ///< the host to be answered
+/// @brief A host asks an allocator for an engine.
+struct PlacementRequest {
+  std::uint64_t ticket = 0;  ///< identifies the request within its origin
+  std::string origin;        ///< the host that gets the response
   std::string group;
-  std::string source;  ///< the engine that a run is copied off; empty: new work
+  /// The engine that a generation is migrated from; empty: a new generation.
+  std::string source;
   WorkItem work;
   std::vector<std::string> avoid;  ///< engines that the host can't use now
-  bool may_pass_on = true;         ///< to another group's allocator
-  bool is_passed_on = false;       ///< by the allocator that was asked
+  bool may_forward = true;         ///< to the allocator of another group
+  bool is_forwarded = false;       ///< another group's allocator sent it on
 };
 
-/// @brief What came of a PlaceAsk.
-enum class PlaceVerdict {
+/// @brief Result of a PlacementRequest.
+enum class PlacementStatus {
   kPlaced,    ///< an engine was chosen
-  kNoRoom,    ///< none can begin it in time
-  kNoEngine,  ///< none can be used
-  kQueued,    ///< its turn will be told
-  kDeclined,  ///< the host asked does not know the group's work
+  kNoRoom,    ///< no usable engine can begin it in time
+  kNoEngine,  ///< no engine is usable
+  kQueued,    ///< a migration that waits for its source engine's link
+  kDeclined,  ///< not the group's allocator, or its load data is incomplete
 };
 
-/// @brief The answer to a PlaceAsk.
-struct PlaceAnswer {
-  std::uint64_t ticket = 0;
-  PlaceVerdict verdict = PlaceVerdict::kDeclined;
-  std::string engine;  ///< the chosen one, or the best that was looked at
-  double cost = 0.0;
-  double memory_part = 0.0;
-  int in_flight = 0;
-  std::int64_t first_event_ms = 0;  ///< expected from now
-  std::int64_t reading_ahead = 0;   ///< prompt tokens that it reads before
-  bool is_of_other_group = false;   ///< the request was passed on
+/// @brief Response to a PlacementRequest.
+struct PlacementResponse {
+  std::uint64_t ticket = 0;  ///< of the request
+  PlacementStatus status = PlacementStatus::kDeclined;
+  std::string engine;         ///< the chosen one, or else the best candidate
+  double cost = 0.0;          ///< placement cost, see PressureOptions
+  double memory_share = 0.0;  ///< expected to be used, of the engine's memory
+  int in_flight = 0;          ///< requests at the engine
+  std::int64_t first_event_ms = 0;        ///< expected until the first event
+  std::int64_t prefill_tokens_ahead = 0;  ///< queued at the engine before it
+  bool was_forwarded = false;             ///< sent by another group's allocator
 };
 
-/// @brief A run's copy is over, or it waits no longer for its turn.
-struct TurnOver {
+/// @brief Releases the link of an engine after a migration, or withdraws a
+/// migration that waits for the link.
+struct LinkRelease {
   std::string engine;
-  std::uint64_t ticket = 0;
+  std::uint64_t ticket = 0;  ///< of the migration's PlacementRequest
 };
 
-/// @brief How much pressure is on the engine of a group that has the least.
+/// @brief The lowest placement cost among the engines of a group.
 struct GroupPressure {
   std::string group;
   double cost = 0.0;
 };
 
-/// @brief What became of an attempt at an engine.
+/// @brief Result of an attempt to use an engine.
 struct EngineAttempt {
   std::string engine;
-  int result = 0;  ///< as the sending slice numbers them
+  int result = 0;  ///< an AttemptResult of the relay
 };
 
-/// @brief Messages as they travel.
-nlohmann::json ToJson(const PlaceAsk& ask);
-nlohmann::json ToJson(const PlaceAnswer& answer);
-nlohmann::json ToJson(const TurnOver& over);
+/// @brief Encodes a message for the wire: an array of its fields.
+nlohmann::json ToJson(const PlacementRequest& request);
+nlohmann::json ToJson(const PlacementResponse& response);
+nlohmann::json ToJson(const LinkRelease& release);
 nlohmann::json ToJson(const GroupPressure& pressure);
 nlohmann::json ToJson(const EngineAttempt& attempt);
 nlohmann::json ToJson(const ReadingSeen& seen);
 
-/// @brief Reads a message; whatever was sent, it gives one or an error.
-absl::StatusOr<PlaceAsk> PlaceAskFrom(const nlohmann::json& payload);
-absl::StatusOr<PlaceAnswer> PlaceAnswerFrom(const nlohmann::json& payload);
-absl::StatusOr<TurnOver> TurnOverFrom(const nlohmann::json& payload);
+/// @brief Decodes a message; an error for any payload that does not fit.
+absl::StatusOr<PlacementRequest> PlaceAskFrom(const nlohmann::json& payload);
+absl::StatusOr<PlacementResponse> PlaceAnswerFrom(
+    const nlohmann::json& payload);
+absl::StatusOr<LinkRelease> TurnOverFrom(const nlohmann::json& payload);
 absl::StatusOr<GroupPressure> GroupPressureFrom(const nlohmann::json& payload);
 absl::StatusOr<EngineAttempt> EngineAttemptFrom(const nlohmann::json& payload);
 absl::StatusOr<ReadingSeen> ReadingSeenFrom(const nlohmann::json& payload);
--- a/src/allocation/allocator.cc
+++ b/src/allocation/allocator.cc
@@ -9,44 +9,49 @@
 namespace meadowthread {
 namespace {
 
-// A host's word of its work tells of a place given so long before, whatever it
-// says: the way there and back in a zone, and a step of its notes' timer.
-constexpr std::int64_t kKnownAfterMs = 40;
-// A place of which the host has said nothing for so long was not taken, or its
-// word was lost: it comes again with all others. Hosts whose share of processor
-// time is used up stand still for less.
-constexpr std::int64_t kGivenMs = 300;
-// Pressures are told each quarter of a second; three may be lost.
-constexpr std::int64_t kPressureAgeMs = 1'000;
-// Another zone's engine has to be better by so much, a third of an engine's
-// memory: its streams cross between zones, and so do the copies of its runs.
-constexpr double kOtherGroupCost = 0.3;
-// What a place passed on adds to what is known of the other group, until it
-// tells anew: one prompt's reading over some dozen engines, as many times as
-// there are groups that see the same and pass on as well.
-constexpr double kPassedOnCost = 0.1;
+// A host's load report includes a placement made this long before, even if its
+// counts do not show it: a round trip within a zone and one period of the
+// report timer.
+constexpr std::int64_t kReportLagMs = 40;
+// A reservation that no load report has covered for this long was not used, or
+// the report was lost; later reports repeat it. Stalls of hosts that have used
+// up their share of CPU time are shorter than this.
+constexpr std::int64_t kReservationMs = 300;
+// Pressures are sent every quarter of a second, so three in a row may be lost.
+constexpr std::int64_t kMaxPressureAgeMs = 1'000;
+// An engine of another group has to be cheaper by this much, a third of an
+// engine's memory: in another zone its streams, and migrations to and from it,
+// would cross between zones.
+constexpr double kCrossGroupCost = 0.3;
+// Added to the known pressure of another group for each request forwarded to
+// it, until its next report: the prefill of one prompt, spread over a few dozen
+// engines, times the number of groups that see the same pressure and forward to
+// the same group.
+constexpr double kForwardCost = 0.1;
 
-PlaceAnswer AnswerOf(const PlaceAsk& ask, const Decision& decision) {
-  PlaceAnswer answer;
-  answer.ticket = ask.ticket;
+PlacementResponse ResponseOf(const PlacementRequest& request,
+                             const Decision& decision) {
+  PlacementResponse response;
+  response.ticket = request.ticket;
   if (!decision.considered.empty()) {
     const Candidate& best = decision.considered.front();
-    answer.engine = best.engine;
-    answer.cost = best.cost;
-    answer.memory_part = best.overfill_chance;
-    answer.in_flight = best.in_flight;
-    answer.first_event_ms = std::max<std::int64_t>(0, best.first_event_ms);
+    response.engine = best.engine;
+    response.cost = best.cost;
+    response.memory_share = best.overfill_chance;
+    response.in_flight = best.in_flight;
+    response.first_event_ms = std::max<std::int64_t>(0, best.first_event_ms);
   }
   if (decision.engine.has_value()) {
-    answer.verdict = PlaceVerdict::kPlaced;
-    answer.engine = *decision.engine;
-    answer.reading_ahead = std::max<std::int64_t>(0, decision.reading_ahead);
+    response.status = PlacementStatus::kPlaced;
+    response.engine = *decision.engine;
+    response.prefill_tokens_ahead =
+        std::max<std::int64_t>(0, decision.reading_ahead);
   } else {
-    answer.verdict = decision.reason == DecisionReason::kNoneHasRoom
-                         ? PlaceVerdict::kNoRoom
-                         : PlaceVerdict::kNoEngine;
+    response.status = decision.reason == DecisionReason::kNoneHasRoom
+                          ? PlacementStatus::kNoRoom
+                          : PlacementStatus::kNoEngine;
   }
-  return answer;
+  return response;
 }
 
 }  // namespace
@@ -55,115 +60,121 @@
                      FleetState& fleet, const EngineGroups& groups)
     : self(self), options(options), fleet(fleet), groups(groups) {}
 
-AllocatorReply Allocator::Answer(const PlaceAsk& ask, std::int64_t now_ms,
-                                 std::uint64_t random) {
-  if (!this->IsTrusted(now_ms) ||
-      !this->groups.IsAllocator(this->self, ask.group)) {
-    PlaceAnswer declined;
-    declined.ticket = ask.ticket;
+AllocatorResult Allocator::Allocate(const PlacementRequest& request,
+                                    std::int64_t now_ms, std::uint64_t random) {
+  if (!this->IsReady(now_ms) ||
+      !this->groups.IsAllocator(this->self, request.group)) {
+    PlacementResponse declined;
+    declined.ticket = request.ticket;
     return {declined, ""};
   }
-  if (!ask.source.empty()) {
-    return this->AnswerMove(ask, now_ms, random);
+  if (!request.source.empty()) {
+    return this->AllocateMigration(request, now_ms, random);
   }
-  const Decision decision = this->ChooseFor(ask, now_ms, random);
-  const std::string lighter = this->LighterGroup(ask, decision, now_ms);
-  if (!lighter.empty()) {
-    return {PlaceAnswer{}, lighter};
+  const Decision decision = this->ChooseEngine(request, now_ms, random);
+  const std::string forward_to =
+      this->LessLoadedGroup(request, decision, now_ms);
+  if (!forward_to.empty()) {
+    return {PlacementResponse{}, forward_to};
   }
   if (decision.engine.has_value()) {
-    this->Give(ask, *decision.engine, now_ms);
+    this->Reserve(request, *decision.engine, now_ms);
   }
-  this->last_work[ask.group] = ask.work;
-  PlaceAnswer answer = AnswerOf(ask, decision);
-  answer.is_of_other_group = ask.is_passed_on;
-  return {answer, ""};
+  this->last_work[request.group] = request.work;
+  PlacementResponse response = ResponseOf(request, decision);
+  response.was_forwarded = request.is_forwarded;
+  return {response, ""};
 }
 
-bool Allocator::HasPart(std::string_view host, std::string_view engine) const {
+bool Allocator::HasArrivalShare(std::string_view host,
+                                std::string_view engine) const {
   return host.empty() || this->arrivals == nullptr ||
          this->arrivals->HasPart(host, engine,
                                  this->arrivals_clock->MonotonicMs());
 }
 
-Decision Allocator::ChooseFor(const PlaceAsk& ask, std::int64_t now_ms,
-                              std::uint64_t random) {
-  PressureOptions with = this->options;
-  // All engines of a group are as near to the host that asks.
-  with.zone_cost = 0.0;
-  // Nobody else chooses here, so that the best is the best.
-  with.near_equal = 0.0;
-  // Moves look for a link without another copy on it.
-  if (!ask.source.empty()) {
-    with.busy_link_cost = kBusyLinkCost;
+Decision Allocator::ChooseEngine(const PlacementRequest& request,
+                                 std::int64_t now_ms, std::uint64_t random) {
+  PressureOptions group_options = this->options;
+  // All engines of a group are in the same zone.
+  group_options.zone_cost = 0.0;
+  // Only this allocator places work on the group, so that the best engine can
+  // be taken without spreading choices over near-equal ones.
+  group_options.near_equal = 0.0;
+  // Prefer migration targets whose link carries no other copy.
+  if (!request.source.empty()) {
+    group_options.busy_link_cost = kBusyLinkCost;
   }
-  PressureChooser chooser(with);
-  chooser.SetWithin([this, &ask](const EngineView& view) {
-    const bool is_avoided = std::find(ask.avoid.begin(), ask.avoid.end(),
-                                      view.engine) != ask.avoid.end();
-    return !is_avoided && this->HasPart(ask.origin, view.engine) &&
-           this->groups.GroupOf(view.engine, view.zone) == ask.group;
+  PressureChooser chooser(group_options);
+  chooser.SetWithin([this, &request](const EngineView& view) {
+    const bool is_avoided =
+        std::find(request.avoid.begin(), request.avoid.end(), view.engine) !=
+        request.avoid.end();
+    return !is_avoided && this->HasArrivalShare(request.origin, view.engine) &&
+           this->groups.GroupOf(view.engine, view.zone) == request.group;
   });
-  return chooser.Choose(ask.work, this->fleet, now_ms, random);
+  return chooser.Choose(request.work, this->fleet, now_ms, random);
 }
 
-// Work that finds no room here, or a far better engine elsewhere, is passed on
-// once.
-std::string Allocator::LighterGroup(const PlaceAsk& ask,
-                                    const Decision& decision,
-                                    std::int64_t now_ms) {
-  if (!ask.may_pass_on || ask.is_passed_on) {
+// A request is forwarded, at most once, if no engine is usable here or another
+// group is cheaper by more than kCrossGroupCost.
+std::string Allocator::LessLoadedGroup(const PlacementRequest& request,
+                                       const Decision& decision,
+                                       std::int64_t now_ms) {
+  if (!request.may_forward || request.is_forwarded) {
     return "";
   }
-  ToldPressure* best = nullptr;
+  ReportedPressure* best = nullptr;
   std::string_view best_group;
-  for (auto& [group, told] : this->pressures) {
-    const bool is_fresh = now_ms - told.told_ms <= kPressureAgeMs;
-    if (is_fresh && group != ask.group &&
-        (best == nullptr || told.cost < best->cost)) {
-      best = &told;
+  for (auto& [group, pressure] : this->pressures) {
+    const bool is_fresh = now_ms - pressure.reported_ms <= kMaxPressureAgeMs;
+    if (is_fresh && group != request.group &&
+        (best == nullptr || pressure.cost < best->cost)) {
+      best = &pressure;
       best_group = group;
     }
   }
   const bool is_better =
       best != nullptr &&
       (decision.considered.empty() ||
-       best->cost + kOtherGroupCost < decision.considered.front().cost);
+       best->cost + kCrossGroupCost < decision.considered.front().cost);
   if (!is_better) {
     return "";
   }
-  best->cost += kPassedOnCost;
+  best->cost += kForwardCost;
   return std::string(best_group);
 }
 
-// Until the host tells of it, the place counts as another host's work.
-void Allocator::Give(const PlaceAsk& ask, const std::string& engine,
-                     std::int64_t now_ms) {
-  if (ask.origin == this->self) {
-    return;  // its own work is known
+// Until the host reports the request, its reservation counts as the load of an
+// additional peer.
+void Allocator::Reserve(const PlacementRequest& request,
+                        const std::string& engine, std::int64_t now_ms) {
+  if (request.origin == this->self) {
+    return;  // this host's own requests are in the fleet state already
   }
-  Given one{ask.origin, engine,
-            absl::StrCat(ask.origin, "/", ++this->last_given), now_ms,
-            this->RequestsOf(ask.origin, engine, now_ms)};
+  Reservation reservation{
+      request.origin, engine,
+      absl::StrCat(request.origin, "/", ++this->last_reservation), now_ms,
+      this->RequestsOf(request.origin, engine, now_ms)};
   PeerLoad load;
-  load.peer = one.name;
+  load.peer = reservation.name;
   load.engine = engine;
   load.as_of_unix_ms = now_ms;
   load.in_flight = 1;
-  load.reading = ask.work.is_copy ? 0 : ask.work.prompt_tokens;
-  load.copies = ask.work.is_copy ? 1 : 0;
+  load.reading = request.work.is_copy ? 0 : request.work.prompt_tokens;
+  load.copies = request.work.is_copy ? 1 : 0;
   load.forecast.AddStream(
-      {ask.work.prompt_tokens, 0, ask.work.max_output_tokens},
-      *this->fleet.Lengths().CurveOf(LengthKeyOf(ask.work)));
+      {request.work.prompt_tokens, 0, request.work.max_output_tokens},
+      *this->fleet.Lengths().CurveOf(LengthKeyOf(request.work)));
   this->fleet.NotePeerLoad(load, now_ms);
-  this->given.push_back(std::move(one));
+  this->reservations.push_back(std::move(reservation));
 }
 
-void Allocator::Forget(const Given& one) {
-  this->fleet.ForgetPeerLoad(one.engine, one.name);
+void Allocator::DropReservation(const Reservation& reservation) {
+  this->fleet.ForgetPeerLoad(reservation.engine, reservation.name);
 }
 
-// Told, and given but not told of yet.
+// Requests of the host at the engine: those it reported, and reservations.
 std::int64_t Allocator::RequestsOf(std::string_view host,
                                    std::string_view engine,
                                    std::int64_t now_ms) const {
@@ -171,114 +182,121 @@
   for (const PeerLoad& load : this->fleet.PeersAt(engine, now_ms)) {
     requests += load.peer == host ? load.in_flight : 0;
   }
-  return requests + std::count_if(this->given.begin(), this->given.end(),
-                                  [&](const Given& one) {
-                                    return one.host == host &&
-                                           one.engine == engine;
+  return requests + std::count_if(this->reservations.begin(),
+                                  this->reservations.end(),
+                                  [&](const Reservation& reservation) {
+                                    return reservation.host == host &&
+                                           reservation.engine == engine;
                                   });
 }
 
-// One request more than before is the one that was given; with as many, an
-// older one may have ended, or the word left before the place was known.
-void Allocator::NoteTold(std::string_view host,
-                         std::span<const EngineLoadNote> notes,
-                         std::int64_t now_ms) {
-  std::erase_if(this->given, [&](const Given& one) {
-    const auto note = std::find_if(notes.begin(), notes.end(),
-                                   [&one](const EngineLoadNote& told) {
-                                     return told.engine == one.engine;
-                                   });
-    const bool is_told = one.host == host && note != notes.end() &&
-                         (note->in_flight > one.before ||
-                          now_ms - one.given_ms >= kKnownAfterMs);
-    if (is_told) {
-      this->Forget(one);
+// If the host reports more requests than before the reservation, the new one is
+// included. If not, an older request may have ended, or the report was sent
+// before the host got the placement; kReportLagMs decides between the two.
+void Allocator::ConfirmReservations(std::string_view host,
+                                    std::span<const EngineLoadNote> notes,
+                                    std::int64_t now_ms) {
+  std::erase_if(this->reservations, [&](const Reservation& reservation) {
+    const auto found = std::find_if(notes.begin(), notes.end(),
+                                    [&reservation](const EngineLoadNote& note) {
+                                      return note.engine == reservation.engine;
+                                    });
+    const bool is_covered = reservation.host == host && found != notes.end() &&
+                            (found->in_flight > reservation.requests_before ||
+                             now_ms - reservation.reserved_ms >= kReportLagMs);
+    if (is_covered) {
+      this->DropReservation(reservation);
     }
-    return is_told;
+    return is_covered;
   });
 }
 
-/////////
-// Moves
-/////////
+/////////////
+// Migrations
+/////////////
 
-AllocatorReply Allocator::AnswerMove(const PlaceAsk& ask, std::int64_t now_ms,
-                                     std::uint64_t random) {
-  const LinkTurn turn{ask.origin, ask.ticket};
-  if (this->turns.Ask(ask.source, turn, now_ms)) {
-    this->waiting_runs.erase({turn.host, turn.ticket});
-    return {this->GiveTarget(ask, now_ms, random), ""};
+AllocatorResult Allocator::AllocateMigration(const PlacementRequest& request,
+                                             std::int64_t now_ms,
+                                             std::uint64_t random) {
+  const MigrationId migration{request.origin, request.ticket};
+  if (this->links.Request(request.source, migration, now_ms)) {
+    this->queued_migrations.erase({migration.host, migration.ticket});
+    return {this->ReserveTarget(request, now_ms, random), ""};
   }
-  this->waiting_runs[{turn.host, turn.ticket}] = {ask, now_ms};
-  PlaceAnswer queued;
-  queued.ticket = ask.ticket;
-  queued.verdict = PlaceVerdict::kQueued;
+  this->queued_migrations[{migration.host, migration.ticket}] = {request,
+                                                                 now_ms};
+  PlacementResponse queued;
+  queued.ticket = request.ticket;
+  queued.status = PlacementStatus::kQueued;
   return {queued, ""};
 }
 
-PlaceAnswer Allocator::GiveTarget(const PlaceAsk& ask, std::int64_t now_ms,
-                                  std::uint64_t random) {
-  const Decision decision = this->ChooseFor(ask, now_ms, random);
+PlacementResponse Allocator::ReserveTarget(const PlacementRequest& request,
+                                           std::int64_t now_ms,
+                                           std::uint64_t random) {
+  const Decision decision = this->ChooseEngine(request, now_ms, random);
   if (decision.engine.has_value()) {
-    this->Give(ask, *decision.engine, now_ms);
+    this->Reserve(request, *decision.engine, now_ms);
   }
-  return AnswerOf(ask, decision);
+  return ResponseOf(request, decision);
 }
 
-std::vector<GrantedTurn> Allocator::GrantTurns(std::int64_t now_ms,
-                                               std::uint64_t random) {
+std::vector<LinkGrant> Allocator::GrantLinks(std::int64_t now_ms,
+                                             std::uint64_t random) {
   std::set<std::string> engines;
-  for (const auto& [who, run] : this->waiting_runs) {
-    engines.insert(run.ask.source);
+  for (const auto& [id, queued] : this->queued_migrations) {
+    engines.insert(queued.request.source);
   }
-  std::vector<GrantedTurn> granted;
+  std::vector<LinkGrant> granted;
   for (const std::string& engine : engines) {
-    const std::optional<LinkTurn> next = this->turns.Next(engine, now_ms);
+    const std::optional<MigrationId> next =
+        this->links.GrantNext(engine, now_ms);
     if (!next.has_value()) {
       continue;
     }
-    const auto run = this->waiting_runs.find({next->host, next->ticket});
-    if (run == this->waiting_runs.end()) {
-      this->turns.Over(engine, *next);
+    const auto queued =
+        this->queued_migrations.find({next->host, next->ticket});
+    if (queued == this->queued_migrations.end()) {
+      this->links.Release(engine, *next);
       continue;
     }
     granted.push_back(
-        {*next, this->GiveTarget(run->second.ask, now_ms, random)});
-    this->waiting_runs.erase(run);
+        {*next, this->ReserveTarget(queued->second.request, now_ms, random)});
+    this->queued_migrations.erase(queued);
   }
   return granted;
 }
 
-///////////////
-// Its upkeep
-///////////////
+//////////////////////////
+// Pressure and expiration
+//////////////////////////
 
-std::optional<GroupPressure> Allocator::PressureOf(std::string_view group,
-                                                   std::int64_t now_ms) {
+std::optional<GroupPressure> Allocator::MinPressure(std::string_view group,
+                                                    std::int64_t now_ms) {
   const auto work = this->last_work.find(group);
   if (work == this->last_work.end()) {
     return std::nullopt;
   }
-  PlaceAsk ask;
-  ask.group = std::string(group);
-  ask.work = work->second;
-  const Decision decision = this->ChooseFor(ask, now_ms, 0);
-  // A group without room is no place to pass work on to.
+  PlacementRequest request;
+  request.group = std::string(group);
+  request.work = work->second;
+  const Decision decision = this->ChooseEngine(request, now_ms, 0);
+  // Without room the group must not attract requests from other groups.
   if (!decision.engine.has_value()) {
     return std::nullopt;
   }
-  return GroupPressure{ask.group, decision.considered.front().cost};
+  return GroupPressure{request.group, decision.considered.front().cost};
 }
 
-void Allocator::DropOld(std::int64_t now_ms) {
-  this->turns.DropOld(now_ms);
-  std::erase_if(this->waiting_runs, [now_ms](const auto& entry) {
-    return now_ms - entry.second.asked_ms > kPressureAgeMs;
+void Allocator::DropExpired(std::int64_t now_ms) {
+  this->links.DropExpired(now_ms);
+  std::erase_if(this->queued_migrations, [now_ms](const auto& entry) {
+    return now_ms - entry.second.queued_ms > kMaxPressureAgeMs;
   });
-  while (!this->given.empty() &&
-         now_ms - this->given.front().given_ms > kGivenMs) {
-    this->Forget(this->given.front());
-    this->given.pop_front();
+  while (!this->reservations.empty() &&
+         now_ms - this->reservations.front().reserved_ms > kReservationMs) {
+    this->DropReservation(this->reservations.front());
+    this->reservations.pop_front();
   }
 }
 
--- a/src/allocation/allocator.h
+++ b/src/allocation/allocator.h
@@ -21,107 +21,113 @@
 
 namespace meadowthread {
 
-/// @brief What an allocator says to a PlaceAsk.
-struct AllocatorReply {
-  PlaceAnswer answer;
-  std::string pass_on_to;  ///< a group whose allocator answers instead
+/// @brief What an allocator does with a PlacementRequest: it responds, or
+/// forwards the request to another group.
+struct AllocatorResult {
+  PlacementResponse response;  ///< only where forward_to is empty
+  std::string forward_to;      ///< a group whose allocator is to respond
 };
 
-/// @brief A turn at a link that has come.
-struct GrantedTurn {
-  LinkTurn turn;
-  PlaceAnswer answer;
+/// @brief A queued migration that may begin now.
+struct LinkGrant {
+  MigrationId migration;
+  PlacementResponse response;
 };
 
-/// @brief Hands out places at the engines of the groups that this host has.
+/// @brief Places requests on the engines of the groups that this host is an
+/// allocator of.
 ///
-/// Answers the load pattern "hundreds of hosts choose among the same engines":
-/// whoever chooses by words that are two seconds old sends its stream behind
-/// those of others. The allocator knows of each place the moment it is given.
-/// It keeps nothing that its peers' words do not bring back: one that has just
-/// started, or stood still, answers nothing until they have come.
+/// When hundreds of hosts choose among the same engines from load reports that
+/// are two seconds old, they send their streams to the same engine and these
+/// queue there. The allocator counts each placement at once, as a reservation.
+/// All of its state can be rebuilt from load reports: after a start or a stall
+/// it declines requests until the other hosts have reported.
 class Allocator {
  public:
   /// @param[in] self this host's name
-  /// @param[in] fleet,groups outlive this
+  /// @param[in] fleet,groups must outlive this
   Allocator(std::string_view self, const PressureOptions& options,
             FleetState& fleet, const EngineGroups& groups);
   Allocator(const Allocator&) = delete;
   Allocator& operator=(const Allocator&) = delete;
 
-  /// @brief Gives places only to hosts that may send something there.
-  /// @param[in] with,clock outlive the allocator
+  /// @brief Makes the allocator place requests only on engines at which the
+  /// requesting host has a share of the arrival limit.
+  /// @param[in] with,clock must outlive this
   void SetArrivals(const ArrivalLimits& with, const Clock& clock) {
     this->arrivals = &with;
     this->arrivals_clock = &clock;
   }
 
-  /// @brief Until then its picture of the engines is not whole.
-  void SetTrustedFrom(std::int64_t from_ms) { this->trusted_from_ms = from_ms; }
+  /// @brief Sets the time from which the load data is complete; until then
+  /// requests are declined.
+  void SetReadyFrom(std::int64_t from_ms) { this->ready_from_ms = from_ms; }
 
-  bool IsTrusted(std::int64_t now_ms) const {
-    return now_ms >= this->trusted_from_ms;
+  bool IsReady(std::int64_t now_ms) const {
+    return now_ms >= this->ready_from_ms;
   }
 
-  AllocatorReply Answer(const PlaceAsk& ask, std::int64_t now_ms,
-                        std::uint64_t random);
+  /// @brief Chooses an engine for a request and reserves room on it.
+  /// @param[in] random breaks ties between engines
+  AllocatorResult Allocate(const PlacementRequest& request, std::int64_t now_ms,
+                           std::uint64_t random);
 
-  /// @brief A run's copy is over.
-  void TakeTurnOver(std::string_view host, const TurnOver& over) {
-    this->turns.Over(over.engine, {std::string(host), over.ticket});
+  /// @brief A migration is over or withdrawn: frees its engine's link.
+  void ReleaseLink(std::string_view host, const LinkRelease& release) {
+    this->links.Release(release.engine, {std::string(host), release.ticket});
   }
 
-  /// @brief Turns that have come since.
-  std::vector<GrantedTurn> GrantTurns(std::int64_t now_ms,
-                                      std::uint64_t random);
+  /// @brief Chooses targets for the queued migrations whose links are free now.
+  std::vector<LinkGrant> GrantLinks(std::int64_t now_ms, std::uint64_t random);
 
-  /// @brief A host told of its work, which the fleet's state has taken: with
-  /// it, of places that it was given.
-  void NoteTold(std::string_view host, std::span<const EngineLoadNote> notes,
-                std::int64_t now_ms);
+  /// @brief Drops the reservations that a host's load report now covers. The
+  /// report must be in the fleet state already.
+  void ConfirmReservations(std::string_view host,
+                           std::span<const EngineLoadNote> notes,
+                           std::int64_t now_ms);
 
-  /// @brief Another group's allocator told of the pressure there.
-  void TakePressure(const GroupPressure& pressure, std::int64_t now_ms) {
+  /// @brief Takes the pressure that another group's allocator reported.
+  void UpdatePressure(const GroupPressure& pressure, std::int64_t now_ms) {
     this->pressures[pressure.group] = {pressure.cost, now_ms};
   }
 
-  /// @brief The pressure in a group, for work as was placed there last; none
-  /// where nothing was.
-  std::optional<GroupPressure> PressureOf(std::string_view group,
-                                          std::int64_t now_ms);
+  /// @brief The lowest cost of placing work like the group's last request;
+  /// nullopt if there was none yet, or no engine of the group has room.
+  std::optional<GroupPressure> MinPressure(std::string_view group,
+                                           std::int64_t now_ms);
 
-  /// @brief Forgets what is old.
-  void DropOld(std::int64_t now_ms);
+  /// @brief Drops expired reservations and queued migrations.
+  void DropExpired(std::int64_t now_ms);
 
  private:
-  struct Given {
+  struct Reservation {
     std::string host;
     std::string engine;
-    std::string name;  ///< what the fleet's state knows it by
-    std::int64_t given_ms = 0;
-    std::int64_t before = 0;  ///< requests that the host had there then
+    std::string name;  ///< under which it is a peer's load in the fleet state
+    std::int64_t reserved_ms = 0;
+    std::int64_t requests_before = 0;  ///< of the host at the engine
   };
-  struct ToldPressure {
+  struct ReportedPressure {
     double cost = 0.0;
-    std::int64_t told_ms = 0;
+    std::int64_t reported_ms = 0;
   };
-  struct WaitingRun {
-    PlaceAsk ask;
-    std::int64_t asked_ms = 0;
+  struct QueuedMigration {
+    PlacementRequest request;
+    std::int64_t queued_ms = 0;
   };
 
-  bool HasPart(std::string_view host, std::string_view engine) const;
-  Decision ChooseFor(const PlaceAsk& ask, std::int64_t now_ms,
-                     std::uint64_t random);
-  AllocatorReply AnswerMove(const PlaceAsk& ask, std::int64_t now_ms,
-                            std::uint64_t random);
-  PlaceAnswer GiveTarget(const PlaceAsk& ask, std::int64_t now_ms,
-                         std::uint64_t random);
-  std::string LighterGroup(const PlaceAsk& ask, const Decision& decision,
-                           std::int64_t now_ms);
-  void Give(const PlaceAsk& ask, const std::string& engine,
-            std::int64_t now_ms);
-  void Forget(const Given& given);
+  bool HasArrivalShare(std::string_view host, std::string_view engine) const;
+  Decision ChooseEngine(const PlacementRequest& request, std::int64_t now_ms,
+                        std::uint64_t random);
+  AllocatorResult AllocateMigration(const PlacementRequest& request,
+                                    std::int64_t now_ms, std::uint64_t random);
+  PlacementResponse ReserveTarget(const PlacementRequest& request,
+                                  std::int64_t now_ms, std::uint64_t random);
+  std::string LessLoadedGroup(const PlacementRequest& request,
+                              const Decision& decision, std::int64_t now_ms);
+  void Reserve(const PlacementRequest& request, const std::string& engine,
+               std::int64_t now_ms);
+  void DropReservation(const Reservation& reservation);
   std::int64_t RequestsOf(std::string_view host, std::string_view engine,
                           std::int64_t now_ms) const;
 
@@ -129,15 +135,16 @@
   PressureOptions options;
   FleetState& fleet;
   const EngineGroups& groups;
-  const ArrivalLimits* arrivals = nullptr;  ///< null: none are kept
+  const ArrivalLimits* arrivals = nullptr;  ///< null: no limits
   const Clock* arrivals_clock = nullptr;
-  LinkTurns turns;
-  std::deque<Given> given;
-  std::map<std::string, ToldPressure, std::less<>> pressures;
+  LinkQueues links;
+  std::deque<Reservation> reservations;
+  std::map<std::string, ReportedPressure, std::less<>> pressures;
   std::map<std::string, WorkItem, std::less<>> last_work;  ///< by group
-  std::map<std::pair<std::string, std::uint64_t>, WaitingRun> waiting_runs;
-  std::uint64_t last_given = 0;
-  std::int64_t trusted_from_ms = 0;
+  std::map<std::pair<std::string, std::uint64_t>, QueuedMigration>
+      queued_migrations;
+  std::uint64_t last_reservation = 0;
+  std::int64_t ready_from_ms = 0;
 };
 
 }  // namespace meadowthread
--- a/src/allocation/allocator_client.cc
+++ b/src/allocation/allocator_client.cc
@@ -9,32 +9,33 @@
 namespace meadowthread {
 namespace {
 
-// An answer takes under a millisecond within a zone. A host whose share of
-// processor time is used up stands still for less than this, and streams have
-// targets of more than a second.
-constexpr std::int64_t kAnswerMs = 60;
-// A host that did not answer is not asked for so long: it is restarted, or cut
-// off, and each asking would cost kAnswerMs.
+// A response takes less than a millisecond within a zone. A host that has used
+// up its share of CPU time stalls for less than this, and the latency targets
+// of streams are more than a second.
+constexpr std::int64_t kResponseTimeoutMs = 60;
+// An allocator that did not respond is not asked for this long: it is being
+// restarted or is unreachable, and each request would cost kResponseTimeoutMs.
 constexpr std::int64_t kSuspectMs = 2'000;
-// A turn that is waited for is asked for again, as the word of it may be lost.
-constexpr std::int64_t kAskAgainMs = 250;
-// Engines that leave are gone by then.
-constexpr std::int64_t kLongestWaitMs = 3'000;
-// Engines chosen for a request that this host knows to be unusable: after two,
-// it chooses by itself.
-constexpr int kMostRefusedEngines = 2;
+// A queued migration repeats its request, as the message that grants it the
+// link may be lost.
+constexpr std::int64_t kQueueRetryMs = 250;
+// A draining engine is gone by then.
+constexpr std::int64_t kMaxQueueWaitMs = 3'000;
+// After the allocator has chosen this many engines that this host knows to be
+// unusable, the host chooses locally.
+constexpr int kMaxRejectedEngines = 2;
 
-Decision DecisionOf(const PlaceAnswer& answer, const WorkItem& work) {
+Decision DecisionOf(const PlacementResponse& response, const WorkItem& work) {
   Decision decision;
-  if (!answer.engine.empty()) {
-    decision.considered.push_back({answer.engine, answer.cost,
-                                   answer.memory_part, answer.in_flight, false,
-                                   answer.first_event_ms});
+  if (!response.engine.empty()) {
+    decision.considered.push_back({response.engine, response.cost,
+                                   response.memory_share, response.in_flight,
+                                   false, response.first_event_ms});
   }
-  if (answer.verdict == PlaceVerdict::kPlaced) {
-    decision.engine = answer.engine;
+  if (response.status == PlacementStatus::kPlaced) {
+    decision.engine = response.engine;
     decision.reason = DecisionReason::kLeastLoad;
-    decision.reading_ahead = answer.reading_ahead;
+    decision.reading_ahead = response.prefill_tokens_ahead;
     decision.priority = detail::PlainPriority(work.urgency);
   } else {
     decision.reason = DecisionReason::kNoneHasRoom;
@@ -44,8 +45,7 @@
 
 }  // namespace
 
-GroupAllocation::GroupAllocation(AllocationSelf self,
-                                 const EngineGroups& groups,
+AllocatorClient::AllocatorClient(HostLocation self, const EngineGroups& groups,
                                  const FleetState& fleet,
                                  EngineAllocation& local,
                                  AllocationChannel& channel,
@@ -58,228 +58,233 @@
       scheduler(scheduler),
       clock(clock) {}
 
-void GroupAllocation::NoteHeard(std::string_view host) {
+void AllocatorClient::NoteHeard(std::string_view host) {
   const auto found = this->suspects.find(host);
   if (found != this->suspects.end()) {
     this->suspects.erase(found);
   }
 }
 
-bool GroupAllocation::IsSuspect(const std::string& host) const {
+bool AllocatorClient::IsSuspect(const std::string& host) const {
   const auto found = this->suspects.find(host);
   return found != this->suspects.end() &&
          found->second > this->clock.MonotonicMs();
 }
 
-// The allocator knows who has a part, and not who has used it.
-bool GroupAllocation::HasUsedItsPart(std::string_view engine) const {
+// The allocator knows which hosts have a share of the arrival limit, but not
+// whether they have used it up.
+bool AllocatorClient::HasUsedUpArrivalShare(std::string_view engine) const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   return this->arrivals != nullptr && !this->arrivals->May(engine, now_ms) &&
          this->arrivals->HasPart(this->self.host, engine, now_ms);
 }
 
-// What this host has found out itself and the allocator may not know yet.
-std::vector<std::string> GroupAllocation::NotUsableHere() const {
+// Engines that this host has found unusable itself; the allocator may not know
+// yet.
+std::vector<std::string> AllocatorClient::LocallyUnusableEngines() const {
   const std::int64_t now_ms = this->clock.WallMs();
   std::vector<std::string> engines;
   for (std::size_t i = 0; i < this->fleet.EngineCount(); ++i) {
     const EngineView& view = this->fleet.View(static_cast<EngineIndex>(i));
     const bool is_set_aside =
         view.aside_until_ms > now_ms || view.no_room_until_ms > now_ms;
-    const bool is_avoided = is_set_aside || this->HasUsedItsPart(view.engine);
-    if (view.live && is_avoided && engines.size() < kMostAvoided) {
+    const bool is_avoided =
+        is_set_aside || this->HasUsedUpArrivalShare(view.engine);
+    if (view.live && is_avoided && engines.size() < kMaxAvoidedEngines) {
       engines.push_back(view.engine);
     }
   }
   return engines;
 }
 
-void GroupAllocation::Choose(const WorkItem& work, const Chosen& chosen) {
-  PlaceAsk ask;
-  ask.group = this->groups.HomeOf(
+void AllocatorClient::Choose(const WorkItem& work, const Chosen& chosen) {
+  PlacementRequest request;
+  request.group = this->groups.GroupForZone(
       this->self.zone, XXH64(work.request.data(), work.request.size(), 0));
-  if (!this->is_shared || ask.group.empty()) {
+  if (!this->is_shared || request.group.empty()) {
     this->local.Choose(work, chosen);
     return;
   }
-  ask.work = work;
-  this->Begin(std::move(ask), chosen);
+  request.work = work;
+  this->Begin(std::move(request), chosen);
 }
 
-void GroupAllocation::AskMove(const MoveAsk& move, const Chosen& granted) {
+void AllocatorClient::AskMove(const MoveAsk& move, const Chosen& granted) {
   const EngineView* const view = this->fleet.Find(move.source);
   if (!this->is_shared || view == nullptr) {
     granted(Decision{});
     return;
   }
-  PlaceAsk ask;
-  ask.group = this->groups.GroupOf(move.source, view->zone);
-  ask.source = move.source;
-  ask.work = move.run;
-  ask.work.is_copy = true;
-  ask.work.forced = true;
-  ask.may_pass_on = false;
-  this->Begin(std::move(ask), granted);
+  PlacementRequest request;
+  request.group = this->groups.GroupOf(move.source, view->zone);
+  request.source = move.source;
+  request.work = move.run;
+  request.work.is_copy = true;
+  request.work.forced = true;
+  request.may_forward = false;
+  this->Begin(std::move(request), granted);
 }
 
-void GroupAllocation::MoveOver(const MoveAsk& move) {
-  const auto found = this->open_turns.find(move.run.request);
-  if (found == this->open_turns.end()) {
+void AllocatorClient::MoveOver(const MoveAsk& move) {
+  const auto found = this->held_links.find(move.run.request);
+  if (found == this->held_links.end()) {
     return;
   }
-  const OpenTurn turn = found->second;
-  this->open_turns.erase(found);
-  this->channel.Send(turn.host, TurnOver{move.source, turn.ticket});
+  const HeldLink link = found->second;
+  this->held_links.erase(found);
+  this->channel.Send(link.host, LinkRelease{move.source, link.ticket});
 }
 
-void GroupAllocation::Begin(PlaceAsk ask, const Chosen& chosen) {
+void AllocatorClient::Begin(PlacementRequest request, const Chosen& chosen) {
   const std::uint64_t ticket = ++this->last_ticket;
-  ask.ticket = ticket;
-  ask.origin = this->self.host;
-  ask.avoid = this->NotUsableHere();
-  Pending one;
-  one.hosts = this->groups.AllocatorsOf(ask.group);
-  one.ask = std::move(ask);
-  one.chosen = chosen;
-  one.begun_ms = this->clock.MonotonicMs();
-  this->pending.emplace(ticket, std::move(one));
-  this->AskNext(ticket);
+  request.ticket = ticket;
+  request.origin = this->self.host;
+  request.avoid = this->LocallyUnusableEngines();
+  Pending entry;
+  entry.allocators = this->groups.AllocatorsOf(request.group);
+  entry.request = std::move(request);
+  entry.chosen = chosen;
+  entry.started_ms = this->clock.MonotonicMs();
+  this->pending.emplace(ticket, std::move(entry));
+  this->AskNextAllocator(ticket);
 }
 
-void GroupAllocation::AskNext(std::uint64_t ticket) {
-  Pending& one = this->pending.at(ticket);
-  one.is_queued = false;
-  while (one.asked < one.hosts.size()) {
-    ++one.asked;
-    if (!this->IsSuspect(one.hosts[one.asked - 1])) {
-      this->AskAgain(ticket);
+void AllocatorClient::AskNextAllocator(std::uint64_t ticket) {
+  Pending& entry = this->pending.at(ticket);
+  entry.is_queued = false;
+  while (entry.tried < entry.allocators.size()) {
+    ++entry.tried;
+    if (!this->IsSuspect(entry.allocators[entry.tried - 1])) {
+      this->SendRequest(ticket);
       return;
     }
   }
-  this->ChooseAlone(ticket);
+  this->FallBack(ticket);
 }
 
-// The answer may come before this returns.
-void GroupAllocation::AskAgain(std::uint64_t ticket) {
-  Pending& one = this->pending.at(ticket);
-  ++one.askings;
-  const PlaceAsk ask = one.ask;
-  const std::string host = one.hosts[one.asked - 1];
-  this->After(ticket, kAnswerMs);
-  this->channel.Send(host, ask);
+// The response may be handled, and the entry erased, before this returns.
+void AllocatorClient::SendRequest(std::uint64_t ticket) {
+  Pending& entry = this->pending.at(ticket);
+  ++entry.attempts;
+  const PlacementRequest request = entry.request;
+  const std::string host = entry.allocators[entry.tried - 1];
+  this->StartTimeout(ticket, kResponseTimeoutMs);
+  this->channel.Send(host, request);
 }
 
-void GroupAllocation::After(std::uint64_t ticket, std::int64_t delay_ms) {
-  const int asking = this->pending.at(ticket).askings;
-  this->scheduler.After(delay_ms, this->life.Guarded([this, ticket, asking] {
-    this->OnTimeout(ticket, asking);
+void AllocatorClient::StartTimeout(std::uint64_t ticket,
+                                   std::int64_t delay_ms) {
+  const int attempt = this->pending.at(ticket).attempts;
+  this->scheduler.After(delay_ms, this->life.Guarded([this, ticket, attempt] {
+    this->OnTimeout(ticket, attempt);
   }));
 }
 
-void GroupAllocation::OnTimeout(std::uint64_t ticket, int asking) {
+void AllocatorClient::OnTimeout(std::uint64_t ticket, int attempt) {
   const auto found = this->pending.find(ticket);
-  if (found == this->pending.end() || found->second.askings != asking) {
+  if (found == this->pending.end() || found->second.attempts != attempt) {
     return;
   }
-  Pending& one = found->second;
+  Pending& entry = found->second;
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  const std::string& host = one.hosts[one.asked - 1];
-  if (!one.is_queued) {
+  const std::string& host = entry.allocators[entry.tried - 1];
+  if (!entry.is_queued) {
     this->suspects[host] = now_ms + kSuspectMs;
     LogLine("allocator-silent")
         .Add("host", host)
-        .Add("group", one.ask.group)
-        .Add("request", one.ask.work.request)
+        .Add("group", entry.request.group)
+        .Add("request", entry.request.work.request)
         .WriteImportant();
-    this->AskNext(ticket);
+    this->AskNextAllocator(ticket);
     return;
   }
-  if (now_ms - one.begun_ms < kLongestWaitMs) {
-    one.is_queued = false;
-    this->AskAgain(ticket);
+  if (now_ms - entry.started_ms < kMaxQueueWaitMs) {
+    entry.is_queued = false;
+    this->SendRequest(ticket);
     return;
   }
-  this->ChooseAlone(ticket);
+  this->FallBack(ticket);
 }
 
-void GroupAllocation::TakeAnswer(const PlaceAnswer& answer) {
-  const auto found = this->pending.find(answer.ticket);
+void AllocatorClient::OnResponse(const PlacementResponse& response) {
+  const auto found = this->pending.find(response.ticket);
   if (found == this->pending.end()) {
-    return;  // it came too late, or twice
+    return;  // late or duplicate
   }
-  Pending& one = found->second;
-  switch (answer.verdict) {
-    case PlaceVerdict::kPlaced:
-      this->TakeChosen(answer.ticket, answer);
+  Pending& entry = found->second;
+  switch (response.status) {
+    case PlacementStatus::kPlaced:
+      this->OnPlaced(response.ticket, response);
       return;
-    case PlaceVerdict::kNoRoom:
-      // The group that it was passed on from may have had some.
-      if (answer.is_of_other_group && one.ask.may_pass_on) {
-        one.ask.may_pass_on = false;
-        this->AskAgain(answer.ticket);
+    case PlacementStatus::kNoRoom:
+      // The host's own group, which forwarded the request, may have room.
+      if (response.was_forwarded && entry.request.may_forward) {
+        entry.request.may_forward = false;
+        this->SendRequest(response.ticket);
         return;
       }
-      this->Finish(answer.ticket, DecisionOf(answer, one.ask.work));
+      this->Finish(response.ticket, DecisionOf(response, entry.request.work));
       return;
-    case PlaceVerdict::kQueued:
-      one.is_queued = true;
-      ++one.askings;
-      this->After(answer.ticket, kAskAgainMs);
+    case PlacementStatus::kQueued:
+      entry.is_queued = true;
+      ++entry.attempts;  // so that the running timeout is ignored
+      this->StartTimeout(response.ticket, kQueueRetryMs);
       return;
-    case PlaceVerdict::kDeclined:
-      this->AskNext(answer.ticket);
+    case PlacementStatus::kDeclined:
+      this->AskNextAllocator(response.ticket);
       return;
-    case PlaceVerdict::kNoEngine:
-      this->ChooseAlone(answer.ticket);
+    case PlacementStatus::kNoEngine:
+      this->FallBack(response.ticket);
       return;
   }
 }
 
-// The lists of engines differ for a moment: one that this host knows to leave
-// gets nothing from it.
-void GroupAllocation::TakeChosen(std::uint64_t ticket,
-                                 const PlaceAnswer& answer) {
-  Pending& one = this->pending.at(ticket);
-  const EngineView* const view = this->fleet.Find(answer.engine);
+// The engine lists of two hosts may differ for a moment. An engine that this
+// host knows to be draining or gone is rejected and the request repeated.
+void AllocatorClient::OnPlaced(std::uint64_t ticket,
+                               const PlacementResponse& response) {
+  Pending& entry = this->pending.at(ticket);
+  const EngineView* const view = this->fleet.Find(response.engine);
   if (view != nullptr && view->Usable()) {
-    if (!one.ask.source.empty()) {
-      this->open_turns[one.ask.work.request] = {one.hosts[one.asked - 1],
-                                                ticket};
+    if (!entry.request.source.empty()) {
+      this->held_links[entry.request.work.request] = {
+          entry.allocators[entry.tried - 1], ticket};
     }
-    this->Finish(ticket, DecisionOf(answer, one.ask.work));
+    this->Finish(ticket, DecisionOf(response, entry.request.work));
     return;
   }
-  one.ask.avoid.push_back(answer.engine);
-  if (++one.refused_engines < kMostRefusedEngines) {
-    this->AskAgain(ticket);
+  entry.request.avoid.push_back(response.engine);
+  if (++entry.rejected_engines < kMaxRejectedEngines) {
+    this->SendRequest(ticket);
   } else {
-    this->ChooseAlone(ticket);
+    this->FallBack(ticket);
   }
 }
 
-void GroupAllocation::Finish(std::uint64_t ticket, const Decision& decision) {
+void AllocatorClient::Finish(std::uint64_t ticket, const Decision& decision) {
   const Chosen chosen = std::move(this->pending.at(ticket).chosen);
   this->pending.erase(ticket);
   chosen(decision);
 }
 
-void GroupAllocation::ChooseAlone(std::uint64_t ticket) {
-  const Pending one = std::move(this->pending.at(ticket));
+// New work is placed locally; a migration gets no engine.
+void AllocatorClient::FallBack(std::uint64_t ticket) {
+  const Pending entry = std::move(this->pending.at(ticket));
   this->pending.erase(ticket);
   LogLine("chosen-alone")
-      .Add("request", one.ask.work.request)
-      .Add("group", one.ask.group)
-      .Add("asked", one.askings)
+      .Add("request", entry.request.work.request)
+      .Add("group", entry.request.group)
+      .Add("asked", entry.attempts)
       .Write();
-  if (one.ask.source.empty()) {
-    this->local.Choose(one.ask.work, one.chosen);
+  if (entry.request.source.empty()) {
+    this->local.Choose(entry.request.work, entry.chosen);
     return;
   }
-  if (one.asked > 0) {
-    this->channel.Send(one.hosts[one.asked - 1],
-                       TurnOver{one.ask.source, ticket});
+  if (entry.tried > 0) {
+    this->channel.Send(entry.allocators[entry.tried - 1],
+                       LinkRelease{entry.request.source, ticket});
   }
-  one.chosen(Decision{});
+  entry.chosen(Decision{});
 }
 
 }  // namespace meadowthread
--- a/src/allocation/allocator_client.h
+++ b/src/allocation/allocator_client.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_ALLOCATION_GROUP_ALLOCATION_H_
-#define MEADOWTHREAD_ALLOCATION_GROUP_ALLOCATION_H_
+#ifndef MEADOWTHREAD_ALLOCATION_ALLOCATOR_CLIENT_H_
+#define MEADOWTHREAD_ALLOCATION_ALLOCATOR_CLIENT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,35 +19,39 @@
 
 namespace meadowthread {
 
-/// @brief Who this host is.
-struct AllocationSelf {
+/// @brief Name and availability zone of a host.
+struct HostLocation {
   std::string host;
   std::string zone;
 };
 
-/// @brief Asks the hosts that hand out places for an engine, one after the
-/// other, and chooses by itself where none of them answers.
-class GroupAllocation final : public EngineAllocation {
+/// @brief Asks a group's allocators for an engine, one after the other, and
+/// chooses locally if none of them responds.
+class AllocatorClient final : public EngineAllocation {
  public:
-  /// @param[in] groups,fleet,local,channel,scheduler,clock outlive this
-  GroupAllocation(AllocationSelf self, const EngineGroups& groups,
+  /// @param[in] local chooses where no allocator is asked or none responds
+  /// @param[in] groups,fleet,local,channel,scheduler,clock must outlive this
+  AllocatorClient(HostLocation self, const EngineGroups& groups,
                   const FleetState& fleet, EngineAllocation& local,
                   AllocationChannel& channel, Scheduler& scheduler,
                   const Clock& clock);
-  GroupAllocation(const GroupAllocation&) = delete;
-  GroupAllocation& operator=(const GroupAllocation&) = delete;
+  AllocatorClient(const AllocatorClient&) = delete;
+  AllocatorClient& operator=(const AllocatorClient&) = delete;
 
-  /// @brief Asks for no place at an engine that this host may not send to now.
-  /// @param[in] with outlives this
+  /// @brief Excludes engines at which this host has used up its share of the
+  /// arrival limit.
+  /// @param[in] with must outlive this
   void SetArrivals(const ArrivalLimits& with) { this->arrivals = &with; }
 
-  /// @brief Whether others are asked; if not, this host chooses by itself.
+  /// @brief Sets whether allocators are asked; if not, this host chooses
+  /// locally.
   void SetShared(bool is_shared) { this->is_shared = is_shared; }
 
-  /// @brief Something came from a host.
+  /// @brief A message came from the host: it is no longer suspected.
   void NoteHeard(std::string_view host);
 
-  void TakeAnswer(const PlaceAnswer& answer);
+  /// @brief Takes an allocator's response; late and duplicate ones are ignored.
+  void OnResponse(const PlacementResponse& response);
 
   // EngineAllocation
   void Choose(const WorkItem& work, const Chosen& chosen) override;
@@ -57,49 +61,50 @@
 
  private:
   struct Pending {
-    PlaceAsk ask;
+    PlacementRequest request;
     Chosen chosen;
-    std::vector<std::string> hosts;
-    std::size_t asked = 0;  ///< of them, the last one included
-    int askings = 0;
-    int refused_engines = 0;
+    std::vector<std::string> allocators;
+    /// Allocators asked or skipped so far, the current one included.
+    std::size_t tried = 0;
+    int attempts = 0;  ///< a timeout of an older attempt is ignored
+    int rejected_engines = 0;
     bool is_queued = false;
-    std::int64_t begun_ms = 0;
+    std::int64_t started_ms = 0;
   };
-  struct OpenTurn {
+  struct HeldLink {
     std::string host;
     std::uint64_t ticket = 0;
   };
 
-  void Begin(PlaceAsk ask, const Chosen& chosen);
-  void AskNext(std::uint64_t ticket);
-  void AskAgain(std::uint64_t ticket);
-  void OnTimeout(std::uint64_t ticket, int asking);
-  void TakeChosen(std::uint64_t ticket, const PlaceAnswer& answer);
+  void Begin(PlacementRequest request, const Chosen& chosen);
+  void AskNextAllocator(std::uint64_t ticket);
+  void SendRequest(std::uint64_t ticket);
+  void OnTimeout(std::uint64_t ticket, int attempt);
+  void OnPlaced(std::uint64_t ticket, const PlacementResponse& response);
   void Finish(std::uint64_t ticket, const Decision& decision);
-  void ChooseAlone(std::uint64_t ticket);
-  void After(std::uint64_t ticket, std::int64_t delay_ms);
-  std::vector<std::string> NotUsableHere() const;
-  bool HasUsedItsPart(std::string_view engine) const;
+  void FallBack(std::uint64_t ticket);
+  void StartTimeout(std::uint64_t ticket, std::int64_t delay_ms);
+  std::vector<std::string> LocallyUnusableEngines() const;
+  bool HasUsedUpArrivalShare(std::string_view engine) const;
   bool IsSuspect(const std::string& host) const;
 
-  AllocationSelf self;
+  HostLocation self;
   const EngineGroups& groups;
   const FleetState& fleet;
   EngineAllocation& local;
-  const ArrivalLimits* arrivals = nullptr;  ///< null: none are kept
+  const ArrivalLimits* arrivals = nullptr;  ///< null: no limits
   AllocationChannel& channel;
   Scheduler& scheduler;
   const Clock& clock;
   bool is_shared = false;
   std::uint64_t last_ticket = 0;
   std::map<std::uint64_t, Pending> pending;
-  std::map<std::string, OpenTurn, std::less<>> open_turns;  ///< by request
-  /// Hosts that did not answer, and until when they are not asked.
+  std::map<std::string, HeldLink, std::less<>> held_links;  ///< by request id
+  /// Allocators that did not respond, and until when they are not asked.
   std::map<std::string, std::int64_t, std::less<>> suspects;
   Lifetime life;
 };
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_ALLOCATION_GROUP_ALLOCATION_H_
+#endif  // MEADOWTHREAD_ALLOCATION_ALLOCATOR_CLIENT_H_
--- a/src/allocation/engine_groups.cc
+++ b/src/allocation/engine_groups.cc
@@ -12,10 +12,10 @@
 namespace meadowthread {
 namespace {
 
-// Engines of one group. Each begins two or three streams a second, each of
-// which costs its allocator six datagrams: with so many it stays under one in a
-// hundred of a core.
-constexpr std::size_t kMostEngines = 48;
+// An engine begins two or three streams per second, and each stream costs the
+// allocator six datagrams: for this many engines it needs less than 1 % of a
+// core.
+constexpr std::size_t kMaxEnginesPerGroup = 48;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed = 0) {
   return XXH64(text.data(), text.size(), seed);
@@ -25,59 +25,61 @@
   return group.substr(0, group.rfind('/'));
 }
 
-std::string NameOf(std::string_view zone, std::size_t bucket) {
-  return absl::StrCat(std::string(zone), "/", bucket);
+std::string GroupName(std::string_view zone, std::size_t index) {
+  return absl::StrCat(std::string(zone), "/", index);
 }
 
 }  // namespace
 
-bool EngineGroups::SetHosts(std::span<const AllocatorHost> now) {
-  if (std::equal(now.begin(), now.end(), this->hosts.begin(),
+bool EngineGroups::SetHosts(std::span<const AllocatorHost> current) {
+  if (std::equal(current.begin(), current.end(), this->hosts.begin(),
                  this->hosts.end())) {
     return false;
   }
-  this->hosts.assign(now.begin(), now.end());
-  this->ranked.clear();
+  this->hosts.assign(current.begin(), current.end());
+  this->allocators.clear();
   return true;
 }
 
 void EngineGroups::CountEngines(const FleetState& fleet) {
-  std::map<std::string, std::size_t, std::less<>> counted;
+  std::map<std::string, std::size_t, std::less<>> counts;
   for (std::size_t i = 0; i < fleet.EngineCount(); ++i) {
     const EngineView& view = fleet.View(static_cast<EngineIndex>(i));
     if (view.live) {
-      ++counted[view.zone];
+      ++counts[view.zone];
     }
   }
-  this->engines = std::move(counted);
+  this->engine_counts = std::move(counts);
 }
 
-// A power of two, so that engines that come and go seldom change it.
-std::size_t EngineGroups::BucketsOf(std::string_view zone) const {
-  const auto found = this->engines.find(zone);
-  const std::size_t count = found == this->engines.end() ? 1 : found->second;
-  return std::bit_ceil((count + kMostEngines - 1) / kMostEngines);
+// Rounded up to a power of two, so that it rarely changes when engines come and
+// go; each change moves engines between groups.
+std::size_t EngineGroups::GroupCount(std::string_view zone) const {
+  const auto found = this->engine_counts.find(zone);
+  const std::size_t count =
+      found == this->engine_counts.end() ? 1 : found->second;
+  return std::bit_ceil((count + kMaxEnginesPerGroup - 1) / kMaxEnginesPerGroup);
 }
 
 std::string EngineGroups::GroupOf(std::string_view engine,
                                   std::string_view zone) const {
-  return NameOf(zone, HashOf(engine) % this->BucketsOf(zone));
+  return GroupName(zone, HashOf(engine) % this->GroupCount(zone));
 }
 
 std::vector<std::string> EngineGroups::Groups() const {
   std::vector<std::string> groups;
-  for (const auto& [zone, count] : this->engines) {
-    for (std::size_t bucket = 0; bucket < this->BucketsOf(zone); ++bucket) {
-      groups.push_back(NameOf(zone, bucket));
+  for (const auto& [zone, count] : this->engine_counts) {
+    for (std::size_t index = 0; index < this->GroupCount(zone); ++index) {
+      groups.push_back(GroupName(zone, index));
     }
   }
   return groups;
 }
 
-std::string EngineGroups::HomeOf(std::string_view zone,
-                                 std::uint64_t random) const {
-  if (this->engines.contains(zone)) {
-    return NameOf(zone, random % this->BucketsOf(zone));
+std::string EngineGroups::GroupForZone(std::string_view zone,
+                                       std::uint64_t random) const {
+  if (this->engine_counts.contains(zone)) {
+    return GroupName(zone, random % this->GroupCount(zone));
   }
   const std::vector<std::string> groups = this->Groups();
   return groups.empty() ? "" : groups[random % groups.size()];
@@ -85,15 +87,17 @@
 
 const std::vector<std::string>& EngineGroups::AllocatorsOf(
     std::string_view group) const {
-  const auto found = this->ranked.find(group);
-  return found != this->ranked.end()
+  const auto found = this->allocators.find(group);
+  return found != this->allocators.end()
              ? found->second
-             : this->ranked.emplace(group, this->Rank(group)).first->second;
+             : this->allocators.emplace(group, this->RankAllocators(group))
+                   .first->second;
 }
 
-// Rendezvous hashing: a host that comes or goes changes only the groups that it
-// hands out itself.
-std::vector<std::string> EngineGroups::Rank(std::string_view group) const {
+// Rendezvous hashing: a host that joins or leaves changes only the groups that
+// it is an allocator of.
+std::vector<std::string> EngineGroups::RankAllocators(
+    std::string_view group) const {
   const std::string_view zone = ZoneOf(group);
   std::vector<std::pair<std::uint64_t, std::string_view>> scored;
   for (const AllocatorHost& host : this->hosts) {
@@ -108,7 +112,8 @@
   }
   std::sort(scored.begin(), scored.end(), std::greater<>());
   std::vector<std::string> best;
-  for (std::size_t i = 0; i < std::min(kRanks, scored.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(kAllocatorsPerGroup, scored.size());
+       ++i) {
     best.emplace_back(scored[i].second);
   }
   return best;
@@ -116,8 +121,8 @@
 
 bool EngineGroups::IsAllocator(std::string_view host,
                                std::string_view group) const {
-  const std::vector<std::string>& best = this->AllocatorsOf(group);
-  return std::find(best.begin(), best.end(), host) != best.end();
+  const std::vector<std::string>& ranked = this->AllocatorsOf(group);
+  return std::find(ranked.begin(), ranked.end(), host) != ranked.end();
 }
 
 }  // namespace meadowthread
--- a/src/allocation/engine_groups.h
+++ b/src/allocation/engine_groups.h
@@ -12,7 +12,7 @@
 
 namespace meadowthread {
 
-/// @brief An entry host that may hand out places.
+/// @brief An entry host that may be an allocator.
 struct AllocatorHost {
   std::string name;
   std::string zone;
@@ -20,22 +20,22 @@
   friend bool operator==(const AllocatorHost&, const AllocatorHost&) = default;
 };
 
-/// @brief Shares the engines out into groups, and says which hosts hand out the
-/// places at each: the engines of an availability zone are one group, or
-/// several where they are many.
+/// @brief Divides the engines into groups and assigns allocators to each group.
+/// The engines of an availability zone are one group, or several if there are
+/// many.
 ///
-/// Follows from the lists of hosts and engines alone. Two hosts whose lists
-/// differ for a moment may both hand out places at an engine: it becomes
-/// fuller, and nothing worse.
+/// The result depends only on the lists of hosts and engines. While the lists
+/// of two hosts differ, both may allocate the same engine; the only effect is a
+/// higher load on it.
 class EngineGroups {
  public:
-  /// The first hands out, the second is asked where the first does not answer.
-  static constexpr std::size_t kRanks = 2;
+  /// The first one places requests; the second is asked if it does not respond.
+  static constexpr std::size_t kAllocatorsPerGroup = 2;
 
-  /// @return whether they differ from those before
+  /// @return whether the hosts changed
   bool SetHosts(std::span<const AllocatorHost> hosts);
 
-  /// @brief Takes how many engines there are in each zone.
+  /// @brief Counts the live engines of each zone.
   /// @complexity O(engines)
   void CountEngines(const FleetState& fleet);
 
@@ -45,25 +45,26 @@
   /// @brief All groups that have engines.
   std::vector<std::string> Groups() const;
 
-  /// @brief The group that a request of a host in this zone is placed in first.
-  /// @param[in] random shares requests among the zone's groups
-  /// @return empty where there is no engine at all
-  std::string HomeOf(std::string_view zone, std::uint64_t random) const;
+  /// @brief The group that a request from a host in this zone goes to first.
+  /// @param[in] random spreads requests over the zone's groups
+  /// @return empty if there are no engines at all
+  std::string GroupForZone(std::string_view zone, std::uint64_t random) const;
 
-  /// @brief The hosts that hand out a group's places, the first one first.
-  /// @complexity O(hosts) once after each change
+  /// @brief The group's allocators in the order in which they are asked.
+  /// @complexity O(hosts) on the first call after the hosts changed
   const std::vector<std::string>& AllocatorsOf(std::string_view group) const;
 
-  /// @brief Whether the host is one of them.
+  /// @brief Whether the host is one of the group's allocators.
   bool IsAllocator(std::string_view host, std::string_view group) const;
 
  private:
-  std::size_t BucketsOf(std::string_view zone) const;
-  std::vector<std::string> Rank(std::string_view group) const;
+  std::size_t GroupCount(std::string_view zone) const;
+  std::vector<std::string> RankAllocators(std::string_view group) const;
 
   std::vector<AllocatorHost> hosts;
-  std::map<std::string, std::size_t, std::less<>> engines;  ///< by zone
-  mutable std::map<std::string, std::vector<std::string>, std::less<>> ranked;
+  std::map<std::string, std::size_t, std::less<>> engine_counts;  ///< by zone
+  mutable std::map<std::string, std::vector<std::string>, std::less<>>
+      allocators;
 };
 
 }  // namespace meadowthread
--- a/src/allocation/link_queues.cc
+++ b/src/allocation/link_queues.cc
@@ -8,74 +8,77 @@
 namespace meadowthread {
 namespace {
 
-// Hosts ask again each quarter of a second; one of two askings may be lost.
-constexpr std::int64_t kWaitsMs = 600;
+// Hosts renew a request every quarter of a second; one of two renewals may be
+// lost.
+constexpr std::int64_t kMaxRequestAgeMs = 600;
 
 }  // namespace
 
-bool LinkTurns::IsFree(const Link& link, std::int64_t now_ms) {
+bool LinkQueues::IsFree(const Link& link, std::int64_t now_ms) {
   return !link.holder.has_value() ||
          now_ms - link.held_since_ms > kLongestCopyMs;
 }
 
-void LinkTurns::DropSilent(Link& link, std::int64_t now_ms) {
-  std::erase_if(link.waiting, [now_ms](const Waiting& one) {
-    return now_ms - one.asked_ms > kWaitsMs;
+void LinkQueues::DropStaleRequests(Link& link, std::int64_t now_ms) {
+  std::erase_if(link.queue, [now_ms](const QueuedRequest& queued) {
+    return now_ms - queued.requested_ms > kMaxRequestAgeMs;
   });
 }
 
-bool LinkTurns::Ask(std::string_view engine, const LinkTurn& turn,
-                    std::int64_t now_ms) {
+bool LinkQueues::Request(std::string_view engine, const MigrationId& migration,
+                         std::int64_t now_ms) {
   Link& link = this->links[std::string(engine)];
-  if (link.holder == turn) {
-    return true;  // the word of it was lost
+  if (link.holder == migration) {
+    return true;  // the response that granted the link was lost
   }
-  const auto known =
-      std::find_if(link.waiting.begin(), link.waiting.end(),
-                   [&turn](const Waiting& one) { return one.turn == turn; });
-  if (known == link.waiting.end()) {
-    link.waiting.push_back({turn, now_ms});
+  const auto known = std::find_if(link.queue.begin(), link.queue.end(),
+                                  [&migration](const QueuedRequest& queued) {
+                                    return queued.migration == migration;
+                                  });
+  if (known == link.queue.end()) {
+    link.queue.push_back({migration, now_ms});
   } else {
-    known->asked_ms = now_ms;
+    known->requested_ms = now_ms;
   }
-  return this->Next(engine, now_ms) == turn;
+  return this->GrantNext(engine, now_ms) == migration;
 }
 
-void LinkTurns::Over(std::string_view engine, const LinkTurn& turn) {
+void LinkQueues::Release(std::string_view engine,
+                         const MigrationId& migration) {
   const auto found = this->links.find(engine);
   if (found == this->links.end()) {
     return;
   }
   Link& link = found->second;
-  if (link.holder == turn) {
+  if (link.holder == migration) {
     link.holder.reset();
   }
-  std::erase_if(link.waiting,
-                [&turn](const Waiting& one) { return one.turn == turn; });
+  std::erase_if(link.queue, [&migration](const QueuedRequest& queued) {
+    return queued.migration == migration;
+  });
 }
 
-std::optional<LinkTurn> LinkTurns::Next(std::string_view engine,
-                                        std::int64_t now_ms) {
+std::optional<MigrationId> LinkQueues::GrantNext(std::string_view engine,
+                                                 std::int64_t now_ms) {
   const auto found = this->links.find(engine);
   if (found == this->links.end()) {
     return std::nullopt;
   }
   Link& link = found->second;
-  DropSilent(link, now_ms);
-  if (link.waiting.empty() || !IsFree(link, now_ms)) {
+  DropStaleRequests(link, now_ms);
+  if (link.queue.empty() || !IsFree(link, now_ms)) {
     return std::nullopt;
   }
-  link.holder = link.waiting.front().turn;
+  link.holder = link.queue.front().migration;
   link.held_since_ms = now_ms;
-  link.waiting.pop_front();
+  link.queue.pop_front();
   return link.holder;
 }
 
-void LinkTurns::DropOld(std::int64_t now_ms) {
+void LinkQueues::DropExpired(std::int64_t now_ms) {
   for (auto at = this->links.begin(); at != this->links.end();) {
-    DropSilent(at->second, now_ms);
-    const bool is_idle =
-        at->second.waiting.empty() && IsFree(at->second, now_ms);
+    DropStaleRequests(at->second, now_ms);
+    const bool is_idle = at->second.queue.empty() && IsFree(at->second, now_ms);
     at = is_idle ? this->links.erase(at) : std::next(at);
   }
 }
--- a/src/allocation/link_queues.h
+++ b/src/allocation/link_queues.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_ALLOCATION_LINK_TURNS_H_
-#define MEADOWTHREAD_ALLOCATION_LINK_TURNS_H_
+#ifndef MEADOWTHREAD_ALLOCATION_LINK_QUEUES_H_
+#define MEADOWTHREAD_ALLOCATION_LINK_QUEUES_H_
 
 #include <cstdint>
 #include <deque>
@@ -10,52 +10,57 @@
 
 namespace meadowthread {
 
-/// @brief A run that waits for the link of an engine that leaves.
-struct LinkTurn {
+/// @brief Identifies the migration of a generation away from a draining engine.
+struct MigrationId {
   std::string host;
-  std::uint64_t ticket = 0;  ///< the host's own number for it
+  std::uint64_t ticket = 0;  ///< unique within the host
 
-  friend bool operator==(const LinkTurn&, const LinkTurn&) = default;
+  friend bool operator==(const MigrationId&, const MigrationId&) = default;
 };
 
-/// @brief Gives runs their turns at the links of leaving engines, one at a time
-/// and in the order in which they asked.
+/// @brief Queues migrations for the network links of draining engines. One
+/// migration holds a link at a time; the others wait in the order in which they
+/// asked.
 ///
-/// Answers the load pattern "an engine leaves with runs of many hosts": a link
-/// carries one copy after the other, and a run's last step that comes behind
-/// another run's copy makes it pause.
-class LinkTurns {
+/// A link carries one copy of a KV cache after the other. When an engine with
+/// generations of many hosts drains, a generation pauses if the last step of
+/// its copy waits behind the copy of another one.
+class LinkQueues {
  public:
-  /// @brief A run asks for its turn, or asks again.
-  /// @return whether it may begin now
-  bool Ask(std::string_view engine, const LinkTurn& turn, std::int64_t now_ms);
+  /// @brief Requests the link for a migration, or renews the request.
+  /// @return whether the migration holds the link now
+  bool Request(std::string_view engine, const MigrationId& migration,
+               std::int64_t now_ms);
 
-  /// @brief A run's copy is over, or it waits no longer.
-  void Over(std::string_view engine, const LinkTurn& turn);
+  /// @brief Frees the link if the migration holds it, or removes it from the
+  /// queue.
+  void Release(std::string_view engine, const MigrationId& migration);
 
-  /// @brief Gives the link to the first that waits, where it is free.
-  std::optional<LinkTurn> Next(std::string_view engine, std::int64_t now_ms);
+  /// @brief Grants the link to the first migration in the queue.
+  /// @return nullopt if the link is held or nothing waits
+  std::optional<MigrationId> GrantNext(std::string_view engine,
+                                       std::int64_t now_ms);
 
-  /// @brief Forgets who has not asked again, and links nobody asks for.
-  void DropOld(std::int64_t now_ms);
+  /// @brief Drops requests that were not renewed, and unused links.
+  void DropExpired(std::int64_t now_ms);
 
  private:
-  struct Waiting {
-    LinkTurn turn;
-    std::int64_t asked_ms = 0;
+  struct QueuedRequest {
+    MigrationId migration;
+    std::int64_t requested_ms = 0;
   };
   struct Link {
-    std::optional<LinkTurn> holder;
+    std::optional<MigrationId> holder;
     std::int64_t held_since_ms = 0;
-    std::deque<Waiting> waiting;
+    std::deque<QueuedRequest> queue;
   };
 
   static bool IsFree(const Link& link, std::int64_t now_ms);
-  static void DropSilent(Link& link, std::int64_t now_ms);
+  static void DropStaleRequests(Link& link, std::int64_t now_ms);
 
   std::map<std::string, Link, std::less<>> links;
 };
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_ALLOCATION_LINK_TURNS_H_
+#endif  // MEADOWTHREAD_ALLOCATION_LINK_QUEUES_H_
--- a/src/allocation/tests/allocation_duty_test.cc
+++ b/src/allocation/tests/allocation_duty_test.cc
@@ -1,4 +1,4 @@
-// A host's part in handing out engines, over its life.
+// Tests of AllocationDuty: taking over groups, stalls and stops of a host.
 #include "allocation/allocation_duty.h"
 
 #include <criterion/criterion.h>
@@ -17,36 +17,37 @@
   void OnNotes(std::string_view, std::span<const EngineLoadNote>) override {}
 };
 
-/// @brief Two hosts of one zone, so that both hand out places; the other one
-/// never answers.
-struct Story {
-  explicit Story(std::size_t direct_hosts = 1) : fleet(2) {
+/// @brief Two hosts in one zone, so that both are allocators of its group; the
+/// other one never answers.
+struct Fixture {
+  explicit Fixture(std::size_t direct_hosts = 1) : fleet(2) {
     this->options.self = {"self", "z"};
     this->options.pressure.zone = "z";
     this->options.direct_hosts = direct_hosts;
-    this->duty = std::make_unique<AllocationDuty>(
+    this->participant = std::make_unique<AllocationDuty>(
         this->options,
-        AllocationParts{this->hub, this->fleet.state, this->local, this->loads,
-                        this->scheduler, this->clock, this->arrivals,
-                        this->random});
-    this->duty->Start([this] { return this->hosts; });
+        AllocationDependencies{this->hub, this->fleet.state, this->local,
+                               this->loads, this->scheduler, this->clock,
+                               this->arrivals, this->random});
+    this->participant->Start([this] { return this->hosts; });
   }
-  void Pass(std::int64_t ms) {
-    for (std::int64_t gone = 0; gone < ms; gone += 50) {
+  void Elapse(std::int64_t ms) {
+    for (std::int64_t elapsed = 0; elapsed < ms; elapsed += 50) {
       this->clock.Advance(50);
       this->scheduler.RunDue();
     }
   }
-  /// @brief Whether this host hands out a place itself now.
-  bool Places() {
-    PlaceAsk ask;
-    ask.group = "z/0";
-    ask.work = testing::Work("r");
+  /// @brief Sends a request from the other host.
+  /// @return whether this host placed it
+  bool PlacesRequest() {
+    PlacementRequest request;
+    request.group = "z/0";
+    request.work = testing::Work("r");
     const std::int64_t before =
         this->fleet.state.ReadingTokens(0, this->Now()) +
         this->fleet.state.ReadingTokens(1, this->Now());
-    ask.origin = "other";
-    this->duty->On("other", ask);
+    request.origin = "other";
+    this->participant->OnMessage("other", request);
     return this->fleet.state.ReadingTokens(0, this->Now()) +
                this->fleet.state.ReadingTokens(1, this->Now()) >
            before;
@@ -65,52 +66,56 @@
   DatagramHub hub{"self", 18'000, 1, this->clock};
   std::vector<AllocatorHost> hosts = {{"self", "z"}, {"other", "z"}};
   AllocationOptions options;
-  std::unique_ptr<AllocationDuty> duty;
+  std::unique_ptr<AllocationDuty> participant;
 };
 
-Test(a_host_that_gets_a_group, hands_out_once_the_others_have_told) {
-  Story story;
-  cr_assert(story.duty->Duties() == 1 && !story.duty->IsEverybody());
-  cr_assert(!story.Places());
-  story.Pass(200);
-  cr_assert(story.Places());
+Test(a_host_that_gets_a_group, places_requests_after_collecting_load_reports) {
+  Fixture fixture;
+  cr_assert(fixture.participant->Duties() == 1 &&
+            !fixture.participant->IsEverybody());
+  cr_assert(!fixture.PlacesRequest());
+  fixture.Elapse(200);
+  cr_assert(fixture.PlacesRequest());
 }
 
-// A host that stood still believes what was: it would hand out engines that are
-// full or gone.
-Test(a_host_that_stood_still, hands_out_nothing_until_it_is_told_anew) {
-  Story story;
-  story.Pass(300);
-  cr_assert(story.Places());
-  story.clock.Advance(5'000);
-  cr_assert(!story.Places(), "what came meanwhile is read first");
-  story.scheduler.RunDue();
-  cr_assert(!story.Places());
-  story.Pass(200);
-  cr_assert(story.Places());
+// After a stall the loads that a host knows are outdated: it would place
+// requests on engines that are full or gone.
+Test(a_stalled_host, places_nothing_until_it_has_new_load_reports) {
+  Fixture fixture;
+  fixture.Elapse(300);
+  cr_assert(fixture.PlacesRequest());
+  fixture.clock.Advance(5'000);
+  cr_assert(!fixture.PlacesRequest(),
+            "queued datagrams are read before the tick");
+  fixture.scheduler.RunDue();
+  cr_assert(!fixture.PlacesRequest());
+  fixture.Elapse(200);
+  cr_assert(fixture.PlacesRequest());
 }
 
-Test(a_host_that_stops, has_no_group_any_more) {
-  Story story;
-  story.Pass(300);
-  story.hosts.erase(story.hosts.begin());
-  story.hosts.push_back({"third", "z"});
-  story.Pass(300);
-  cr_assert(story.duty->Duties() == 0);
-  cr_assert(!story.Places());
+Test(a_stopping_host, is_not_an_allocator) {
+  Fixture fixture;
+  fixture.Elapse(300);
+  fixture.hosts.erase(fixture.hosts.begin());
+  fixture.hosts.push_back({"third", "z"});
+  fixture.Elapse(300);
+  cr_assert(fixture.participant->Duties() == 0);
+  cr_assert(!fixture.PlacesRequest());
 }
 
-Test(a_small_fleet, tells_everybody_and_hands_out_nothing) {
-  Story story(2);
-  story.Pass(300);
-  cr_assert(story.duty->IsEverybody() && story.duty->Duties() == 0);
+Test(a_small_fleet, reports_to_all_hosts_and_has_no_allocators) {
+  Fixture fixture(2);
+  fixture.Elapse(300);
+  cr_assert(fixture.participant->IsEverybody() &&
+            fixture.participant->Duties() == 0);
 }
 
-Test(notes_of_an_engine, go_to_the_hosts_that_hand_it_out) {
-  Story story;
-  story.Pass(300);
-  cr_assert(story.duty->HostsFor("e0") == std::vector<std::string>{"other"});
-  cr_assert(story.duty->HostsFor("unknown").empty());
+Test(load_notes_of_an_engine, go_to_its_allocators) {
+  Fixture fixture;
+  fixture.Elapse(300);
+  cr_assert(fixture.participant->HostsFor("e0") ==
+            std::vector<std::string>{"other"});
+  cr_assert(fixture.participant->HostsFor("unknown").empty());
 }
 
 }  // namespace
--- a/src/allocation/tests/allocation_messages_test.cc
+++ b/src/allocation/tests/allocation_messages_test.cc
@@ -1,4 +1,5 @@
-// Messages of the hosts that hand out places: there and back, and what is none.
+// Encoding and decoding of allocation messages, and rejection of malformed
+// ones.
 #include "allocation/allocation_messages.h"
 
 #include <criterion/criterion.h>
@@ -10,49 +11,52 @@
 
 using nlohmann::json;
 
-PlaceAsk SomeAsk() {
-  PlaceAsk ask;
-  ask.ticket = 7;
-  ask.origin = "h1";
-  ask.group = "z/0";
-  ask.source = "e0";
-  ask.avoid = {"e1", "e2"};
-  ask.may_pass_on = false;
-  ask.work.request = "r";
-  ask.work.model = "m";
-  ask.work.prompt_tokens = 3'000;
-  ask.work.urgency = Urgency::kBatch;
-  ask.work.first_event_within_ms = 900;
-  ask.work.is_late = true;
-  ask.work.homes = HomeRegions({"cebu"});
-  return ask;
+PlacementRequest SampleRequest() {
+  PlacementRequest request;
+  request.ticket = 7;
+  request.origin = "h1";
+  request.group = "z/0";
+  request.source = "e0";
+  request.avoid = {"e1", "e2"};
+  request.may_forward = false;
+  request.work.request = "r";
+  request.work.model = "m";
+  request.work.prompt_tokens = 3'000;
+  request.work.urgency = Urgency::kBatch;
+  request.work.first_event_within_ms = 900;
+  request.work.is_late = true;
+  request.work.homes = HomeRegions({"cebu"});
+  return request;
 }
 
-Test(an_asking, arrives_as_it_was_sent) {
-  const absl::StatusOr<PlaceAsk> read = PlaceAskFrom(ToJson(SomeAsk()));
+Test(a_placement_request, survives_a_round_trip) {
+  const absl::StatusOr<PlacementRequest> read =
+      PlaceAskFrom(ToJson(SampleRequest()));
   cr_assert(read.ok());
-  cr_assert(ToJson(*read) == ToJson(SomeAsk()));
-  cr_assert(read->work.is_copy && read->work.forced, "a run that is copied");
+  cr_assert(ToJson(*read) == ToJson(SampleRequest()));
+  cr_assert(read->work.is_copy && read->work.forced, "a migration");
 }
 
-Test(an_answer, arrives_as_it_was_sent) {
-  const PlaceAnswer answer{7,    PlaceVerdict::kNoRoom, "e1", 0.5, 0.25, 3, 900,
-                           6'000};
-  const absl::StatusOr<PlaceAnswer> read = PlaceAnswerFrom(ToJson(answer));
-  cr_assert(read.ok() && ToJson(*read) == ToJson(answer));
+Test(a_placement_response, survives_a_round_trip) {
+  const PlacementResponse response{
+      7, PlacementStatus::kNoRoom, "e1", 0.5, 0.25, 3, 900, 6'000};
+  const absl::StatusOr<PlacementResponse> read =
+      PlaceAnswerFrom(ToJson(response));
+  cr_assert(read.ok() && ToJson(*read) == ToJson(response));
 }
 
-// Each field in turn is one of another kind, and each message too short.
-Test(what_is_no_message, is_an_error) {
+// Replaces each field in turn by a value of another type, and passes payloads
+// that are no message at all.
+Test(a_malformed_message, is_rejected) {
   const std::vector<json> wrong = {json(), json("x"), json(-1),
                                    json::array({1}), json::object()};
-  json ask = ToJson(SomeAsk());
-  for (std::size_t i = 0; i < ask.size(); ++i) {
+  json request = ToJson(SampleRequest());
+  for (std::size_t i = 0; i < request.size(); ++i) {
     for (const json& other : wrong) {
-      json spoilt = ask;
-      spoilt[i] = other;
-      const bool is_text = spoilt[i].is_string() && ask[i].is_string();
-      cr_assert(is_text || !PlaceAskFrom(spoilt).ok());
+      json malformed = request;
+      malformed[i] = other;
+      const bool is_text = malformed[i].is_string() && request[i].is_string();
+      cr_assert(is_text || !PlaceAskFrom(malformed).ok());
     }
   }
   for (const json& other : wrong) {
@@ -60,9 +64,9 @@
     cr_assert(!TurnOverFrom(other).ok() && !GroupPressureFrom(other).ok());
     cr_assert(!EngineAttemptFrom(other).ok());
   }
-  json answer = ToJson(PlaceAnswer{});
-  answer[1] = 99;
-  cr_assert(!PlaceAnswerFrom(answer).ok(), "no verdict");
+  json response = ToJson(PlacementResponse{});
+  response[1] = 99;
+  cr_assert(!PlaceAnswerFrom(response).ok(), "no such status");
 }
 
 }  // namespace
--- a/src/allocation/tests/engine_groups_test.cc
+++ b/src/allocation/tests/engine_groups_test.cc
@@ -1,4 +1,4 @@
-// Which engines are handed out together, and by whom.
+// Division of engines into groups, and the allocators of each group.
 #include "allocation/engine_groups.h"
 
 #include <criterion/criterion.h>
@@ -25,8 +25,8 @@
 }
 
 /// @brief Two zones; engines in "a" only.
-struct Story {
-  explicit Story(int engines) : fleet(0) {
+struct Fixture {
+  explicit Fixture(int engines) : fleet(0) {
     for (int i = 0; i < engines; ++i) {
       this->fleet.state.SetEngine({EngineName(i), "a", true, false}, 0);
     }
@@ -37,52 +37,54 @@
   EngineGroups groups;
 };
 
-Test(a_zones_engines, are_one_group_until_they_are_many) {
-  Story few(48);
-  cr_assert(few.groups.Groups().size() == 1);
+Test(the_engines_of_a_zone, are_one_group_until_they_are_many) {
+  Fixture small(48);
+  cr_assert(small.groups.Groups().size() == 1);
   for (int i = 0; i < 48; ++i) {
-    cr_assert(few.groups.GroupOf(EngineName(i), "a") == "a/0");
+    cr_assert(small.groups.GroupOf(EngineName(i), "a") == "a/0");
   }
-  Story many(750);
-  cr_assert(many.groups.Groups().size() == 16);
+  Fixture large(750);
+  cr_assert(large.groups.Groups().size() == 16);
   std::vector<int> sizes(16, 0);
   for (int i = 0; i < 750; ++i) {
-    const std::string group = many.groups.GroupOf(EngineName(i), "a");
+    const std::string group = large.groups.GroupOf(EngineName(i), "a");
     ++sizes.at(std::stoul(group.substr(2)));
   }
   cr_assert(*std::max_element(sizes.begin(), sizes.end()) < 2 * 48);
 }
 
-Test(a_group, is_handed_out_by_hosts_of_its_zone) {
-  Story story(20);
-  const std::vector<std::string> hosts = story.groups.AllocatorsOf("a/0");
-  cr_assert(hosts.size() == EngineGroups::kRanks && hosts[0] != hosts[1]);
+Test(a_group, has_allocators_of_its_own_zone) {
+  Fixture fixture(20);
+  const std::vector<std::string> hosts = fixture.groups.AllocatorsOf("a/0");
+  cr_assert(hosts.size() == EngineGroups::kAllocatorsPerGroup &&
+            hosts[0] != hosts[1]);
   cr_assert(hosts[0][0] == 'a' && hosts[1][0] == 'a');
-  cr_assert(story.groups.IsAllocator(hosts[1], "a/0"));
-  cr_assert(!story.groups.IsAllocator("b0", "a/0"));
-  cr_assert(story.groups.AllocatorsOf("c/0").size() == EngineGroups::kRanks,
-            "a zone without hosts has others'");
+  cr_assert(fixture.groups.IsAllocator(hosts[1], "a/0"));
+  cr_assert(!fixture.groups.IsAllocator("b0", "a/0"));
+  cr_assert(fixture.groups.AllocatorsOf("c/0").size() ==
+                EngineGroups::kAllocatorsPerGroup,
+            "a zone without hosts gets those of other zones");
 }
 
-Test(a_host_that_goes, changes_only_the_groups_that_it_handed_out) {
-  Story story(750);
+Test(a_removed_host, changes_only_the_groups_that_it_was_an_allocator_of) {
+  Fixture fixture(750);
   std::vector<AllocatorHost> left = Hosts(10);
   const std::string gone = left.front().name;
-  EngineGroups after = story.groups;
+  EngineGroups after = fixture.groups;
   left.erase(left.begin());
   cr_assert(after.SetHosts(left) && !after.SetHosts(left));
-  for (const std::string& group : story.groups.Groups()) {
-    const bool was_its = story.groups.IsAllocator(gone, group);
-    cr_assert(was_its ==
-              (story.groups.AllocatorsOf(group) != after.AllocatorsOf(group)));
+  for (const std::string& group : fixture.groups.Groups()) {
+    const bool was_allocator = fixture.groups.IsAllocator(gone, group);
+    cr_assert(was_allocator == (fixture.groups.AllocatorsOf(group) !=
+                                after.AllocatorsOf(group)));
   }
 }
 
-Test(a_request, is_placed_in_its_hosts_zone_where_that_has_engines) {
-  Story story(20);
-  cr_assert(story.groups.HomeOf("a", 7) == "a/0");
-  cr_assert(story.groups.HomeOf("b", 7) == "a/0", "the only one");
-  cr_assert(EngineGroups().HomeOf("a", 7).empty());
+Test(a_request, goes_to_a_group_of_its_hosts_zone_if_that_has_engines) {
+  Fixture fixture(20);
+  cr_assert(fixture.groups.GroupForZone("a", 7) == "a/0");
+  cr_assert(fixture.groups.GroupForZone("b", 7) == "a/0", "the only group");
+  cr_assert(EngineGroups().GroupForZone("a", 7).empty());
 }
 
 }  // namespace
--- a/src/quarantine/content_key.cc
+++ b/src/quarantine/content_key.cc
@@ -12,22 +12,24 @@
 namespace meadowthread {
 namespace {
 
-// Half of a SHA-256: two of a million contents meet by chance once in 10^26.
+// Half of a SHA-256: the chance that two of a million contents have the same
+// key is one in 10^26.
 constexpr std::size_t kKeyBytes = 16;
 constexpr std::size_t kKeyDigits = 2 * kKeyBytes;
 
-bool IsLowerHex(char one) {
-  return absl::ascii_isdigit(static_cast<unsigned char>(one)) ||
-         (one >= 'a' && one <= 'f');
+bool IsLowerHex(char character) {
+  return absl::ascii_isdigit(static_cast<unsigned char>(character)) ||
+         (character >= 'a' && character <= 'f');
 }
 
 }  // namespace
 
-std::string ContentKeyOf(const RunContent& content) {
+std::string ContentKeyOf(const RequestContent& content) {
   std::string joined;
-  // With the length of each part, so that no two contents run into each other.
+  // Each part is preceded by its length, so that different contents can't be
+  // joined to the same text.
   for (const std::string_view part :
-       {content.workspace, content.host, content.target, content.body}) {
+       {content.workspace, content.http_host, content.target, content.body}) {
     absl::StrAppend(&joined, part.size(), ":", AbslView(part));
   }
   const Hash256 hash = Sha256Of(joined);
--- a/src/quarantine/content_key.h
+++ b/src/quarantine/content_key.h
@@ -6,24 +6,24 @@
 
 namespace meadowthread {
 
-/// @brief What a caller asked for, whatever id this try of it has.
-struct RunContent {
-  std::string_view workspace;  ///< of the caller; empty: callers without one
-  std::string_view host;       ///< that the caller named; empty: none
+/// @brief The parts of a request that are the same in every retry of it.
+struct RequestContent {
+  std::string_view workspace;  ///< of the caller; empty: none
+  std::string_view http_host;  ///< host name in the request; empty: none
   std::string_view target;     ///< path and query, byte for byte
   std::string_view body;
 };
 
-/// @brief Names a content: the same for each try of it, at every host.
+/// @brief Hash of a request's content: the same for every retry, on every host.
 ///
-/// A strong hash: a caller who chooses bodies can't make one that is taken for
-/// another workspace's.
+/// It is cryptographic, so that a caller can't craft a body whose key is that
+/// of another workspace's request.
 ///
-/// @return 32 hexadecimal digits, of 128 bits of a SHA-256
+/// @return 32 hexadecimal digits: the first 128 bits of a SHA-256
 /// @complexity linear in the body
-std::string ContentKeyOf(const RunContent& content);
+std::string ContentKeyOf(const RequestContent& content);
 
-/// @brief Whether a text could be a content's key.
+/// @brief Whether a text has the form of a content key.
 bool IsContentKey(std::string_view text);
 
 }  // namespace meadowthread
--- a/src/quarantine/crash_book.cc
+++ b/src/quarantine/crash_book.cc
@@ -12,9 +12,9 @@
 namespace meadowthread {
 namespace {
 
-// What is dropped first where there is no room: suspects before contents in
-// quarantine, and of each what is over first.
-auto ValueOf(const CrashRecord& record, std::int64_t now_unix_ms) {
+// Records with the lowest rank are evicted first: suspects before contents in
+// quarantine, and among each of these the one that expires first.
+auto RetentionRank(const CrashRecord& record, std::int64_t now_unix_ms) {
   const CrashVerdict verdict = Judge(record, now_unix_ms);
   return std::make_tuple(verdict.in_quarantine, verdict.forget_ms);
 }
@@ -33,7 +33,7 @@
     return false;
   }
   const CrashRecord changed = found->second;
-  this->MakeRoom(record.id, now_unix_ms);
+  this->EvictIfFull(record.id, now_unix_ms);
   for (const Listener& listener : this->listeners) {
     listener(changed);
   }
@@ -44,7 +44,7 @@
   const auto found = this->workspaces.find(workspace);
   return found != this->workspaces.end() &&
          std::any_of(found->second.begin(), found->second.end(),
-                     [](const auto& one) { return IsSuspect(one.second); });
+                     [](const auto& entry) { return IsSuspect(entry.second); });
 }
 
 const CrashRecord* CrashBook::Find(const CrashRecordId& id) const {
@@ -56,14 +56,14 @@
   return found == records->second.end() ? nullptr : &found->second;
 }
 
-void CrashBook::Forget(std::int64_t now_unix_ms) {
+void CrashBook::DropExpired(std::int64_t now_unix_ms) {
   for (auto& [workspace, records] : this->workspaces) {
-    this->size -= std::erase_if(records, [now_unix_ms](const auto& one) {
-      return Judge(one.second, now_unix_ms).forget_ms <= now_unix_ms;
+    this->size -= std::erase_if(records, [now_unix_ms](const auto& entry) {
+      return Judge(entry.second, now_unix_ms).forget_ms <= now_unix_ms;
     });
   }
   std::erase_if(this->workspaces,
-                [](const auto& one) { return one.second.empty(); });
+                [](const auto& entry) { return entry.second.empty(); });
 }
 
 std::vector<const CrashRecord*> CrashBook::All() const {
@@ -81,55 +81,58 @@
   for (const CrashRecord* const record : this->All()) {
     absl::StrAppend(&text, record->id.workspace, "\n", record->id.content, "\n",
                     record->cleared_ms, " ", record->kept_ms, "\n");
-    for (const ServerEnd& end : record->ends) {
-      absl::StrAppend(&text, end.server, " ", end.before_any_answer ? 1 : 0,
-                      " ", end.unix_ms, "\n");
+    for (const ServerCrash& crash : record->ends) {
+      absl::StrAppend(&text, crash.server, " ", crash.before_any_answer ? 1 : 0,
+                      " ", crash.unix_ms, "\n");
     }
   }
   return XXH3_64bits(text.data(), text.size());
 }
 
-// The workspace that has most gives way, so that one can't drive out another's.
-void CrashBook::MakeRoom(const CrashRecordId& kept, std::int64_t now_unix_ms) {
-  if (this->workspaces[kept.workspace].size() > this->bounds.of_workspace) {
-    this->DropLeast(kept.workspace, kept, now_unix_ms);
+// If there are too many records in all, one of the workspace with the most is
+// evicted, so that a workspace can't evict the records of the others.
+void CrashBook::EvictIfFull(const CrashRecordId& exempt,
+                            std::int64_t now_unix_ms) {
+  if (this->workspaces[exempt.workspace].size() > this->limits.per_workspace) {
+    this->EvictLeastImportant(exempt.workspace, exempt, now_unix_ms);
   }
-  if (this->size > this->bounds.of_all) {
-    this->DropLeast(this->FullestWorkspace(), kept, now_unix_ms);
+  if (this->size > this->limits.total) {
+    this->EvictLeastImportant(this->LargestWorkspace(), exempt, now_unix_ms);
   }
 }
 
-std::string CrashBook::FullestWorkspace() const {
-  const auto fullest =
+std::string CrashBook::LargestWorkspace() const {
+  const auto largest =
       std::max_element(this->workspaces.begin(), this->workspaces.end(),
                        [](const auto& a, const auto& b) {
                          return a.second.size() < b.second.size();
                        });
-  return fullest->first;
+  return largest->first;
 }
 
-void CrashBook::DropLeast(std::string_view workspace, const CrashRecordId& kept,
-                          std::int64_t now_unix_ms) {
+void CrashBook::EvictLeastImportant(std::string_view workspace,
+                                    const CrashRecordId& exempt,
+                                    std::int64_t now_unix_ms) {
   const auto found = this->workspaces.find(workspace);
   Records& records = found->second;
-  auto least = records.end();
-  for (auto one = records.begin(); one != records.end(); ++one) {
-    const bool is_less =
-        least == records.end() ||
-        ValueOf(one->second, now_unix_ms) < ValueOf(least->second, now_unix_ms);
-    if (one->second.id != kept && is_less) {
-      least = one;
+  auto lowest = records.end();
+  for (auto entry = records.begin(); entry != records.end(); ++entry) {
+    const bool is_lower = lowest == records.end() ||
+                          RetentionRank(entry->second, now_unix_ms) <
+                              RetentionRank(lowest->second, now_unix_ms);
+    if (entry->second.id != exempt && is_lower) {
+      lowest = entry;
     }
   }
-  if (least == records.end()) {
+  if (lowest == records.end()) {
     return;
   }
   LogLine("crash-record-dropped")
       .Add("workspace", workspace)
-      .Add("content", least->first)
+      .Add("content", lowest->first)
       .Add("records", this->size)
       .WriteImportant();
-  records.erase(least);
+  records.erase(lowest);
   --this->size;
   if (records.empty()) {
     this->workspaces.erase(found);
--- a/src/quarantine/crash_book.h
+++ b/src/quarantine/crash_book.h
@@ -13,56 +13,58 @@
 
 namespace meadowthread {
 
-/// @brief How many records a host keeps.
-struct CrashBookBounds {
-  /// Of one workspace: what it sends takes nothing from the others.
-  std::size_t of_workspace = 64;
-  std::size_t of_all = 1'024;
+/// @brief Most records that a host keeps.
+struct CrashRecordLimits {
+  /// Bounds each workspace, so that none can evict the records of the others.
+  std::size_t per_workspace = 64;
+  std::size_t total = 1'024;
 };
 
-/// @brief The records that a host has, bounded in number and in age.
+/// @brief The crash records that a host knows, bounded in number and in age.
 class CrashBook {
  public:
-  /// Told of each record that has something new.
+  /// Called with each record that is new or has changed.
   using Listener = std::function<void(const CrashRecord&)>;
 
-  explicit CrashBook(CrashBookBounds bounds = {}) : bounds(bounds) {}
+  explicit CrashBook(CrashRecordLimits limits = {}) : limits(limits) {}
 
   void AddListener(const Listener& listener) {
     this->listeners.push_back(listener);
   }
 
-  /// @brief Takes over what a record knows.
-  /// @return whether anything was new
+  /// @brief Adds a record, or merges it into the one of the same content.
+  /// @return whether anything was new; false for an expired record
   bool Take(const CrashRecord& record, std::int64_t now_unix_ms);
 
-  /// @brief Whether anything speaks against one of a workspace's contents: only
-  /// then a content need be looked for.
+  /// @brief Whether any request content of a workspace is suspected. If not,
+  /// callers need not compute content keys.
   bool HasSuspects(std::string_view workspace) const;
 
-  /// @brief Null where nothing is known.
+  /// @return null if there is no record
   const CrashRecord* Find(const CrashRecordId& id) const;
 
-  /// @brief Drops what nothing depends on any more.
-  void Forget(std::int64_t now_unix_ms);
+  /// @brief Drops expired records.
+  void DropExpired(std::int64_t now_unix_ms);
 
-  /// @brief All records, by workspace and content.
+  /// @brief All records, ordered by workspace and content key.
   std::vector<const CrashRecord*> All() const;
 
   std::size_t Size() const { return this->size; }
 
-  /// @brief The same for books that know the same.
+  /// @brief Hash over all records; equal on hosts whose records are equal.
   std::uint64_t Digest() const;
 
  private:
   using Records = std::map<std::string, CrashRecord, std::less<>>;
 
-  void MakeRoom(const CrashRecordId& kept, std::int64_t now_unix_ms);
-  void DropLeast(std::string_view workspace, const CrashRecordId& kept,
-                 std::int64_t now_unix_ms);
-  std::string FullestWorkspace() const;
+  /// @param[in] exempt not evicted
+  void EvictIfFull(const CrashRecordId& exempt, std::int64_t now_unix_ms);
+  void EvictLeastImportant(std::string_view workspace,
+                           const CrashRecordId& exempt,
+                           std::int64_t now_unix_ms);
+  std::string LargestWorkspace() const;
 
-  CrashBookBounds bounds;
+  CrashRecordLimits limits;
   std::map<std::string, Records, std::less<>> workspaces;
   std::size_t size = 0;
   std::vector<Listener> listeners;
--- a/src/quarantine/crash_messages.cc
+++ b/src/quarantine/crash_messages.cc
@@ -16,26 +16,26 @@
 constexpr char kContent[] = "content";
 constexpr char kRoute[] = "route";
 constexpr char kRequest[] = "request";
-constexpr char kEnds[] = "ends";
+constexpr char kCrashes[] = "ends";
 constexpr char kCleared[] = "cleared_unix_ms";
 constexpr char kKept[] = "kept_unix_ms";
 constexpr char kServer[] = "server";
-constexpr char kBeforeAnswer[] = "before_any_answer";
+constexpr char kBeforeAnyAnswer[] = "before_any_answer";
 constexpr char kAt[] = "at_unix_ms";
-// Names are shorter than this; what is longer is none of ours.
-constexpr std::size_t kMostNameBytes = 1'024;
-// Twice what a host keeps of one content.
-constexpr std::size_t kMostEnds = 32;
-// The year 2286, far beyond any clock that is only wrong.
-constexpr std::int64_t kMostUnixMs = 10'000'000'000'000;
-
-absl::Status Wrong(std::string_view field) {
+// Longer than any id or route that a host writes.
+constexpr std::size_t kMaxTextBytes = 1'024;
+// Twice the number of crashes that a host keeps per content.
+constexpr std::size_t kMaxCrashes = 32;
+// In the year 2286: later than any clock that is merely wrong shows.
+constexpr std::int64_t kMaxUnixMs = 10'000'000'000'000;
+
+absl::Status MalformedField(std::string_view field) {
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
   detail.step = std::string(kStep);
   detail.field = std::string(field);
   return MakeError(absl::StatusCode::kInvalidArgument, detail,
-                   "not a record of servers that ended");
+                   "malformed crash record");
 }
 
 bool ReadText(const json& from, const char* field, std::string* text) {
@@ -44,7 +44,7 @@
     return false;
   }
   *text = found->get<std::string>();
-  return text->size() <= kMostNameBytes;
+  return text->size() <= kMaxTextBytes;
 }
 
 bool ReadTime(const json& from, const char* field, std::int64_t* unix_ms) {
@@ -53,77 +53,78 @@
     return false;
   }
   *unix_ms = found->get<std::int64_t>();
-  return *unix_ms >= 0 && *unix_ms <= kMostUnixMs;
+  return *unix_ms >= 0 && *unix_ms <= kMaxUnixMs;
 }
 
-bool ReadEnd(const json& value, ServerEnd* end) {
+bool ReadCrash(const json& value, ServerCrash* crash) {
   if (!value.is_object()) {
     return false;
   }
-  const auto before = value.find(kBeforeAnswer);
+  const auto before = value.find(kBeforeAnyAnswer);
   if (before == value.end() || !before->is_boolean()) {
     return false;
   }
-  end->before_any_answer = before->get<bool>();
-  return ReadText(value, kServer, &end->server) &&
-         ReadTime(value, kAt, &end->unix_ms);
+  crash->before_any_answer = before->get<bool>();
+  return ReadText(value, kServer, &crash->server) &&
+         ReadTime(value, kAt, &crash->unix_ms);
 }
 
-bool ReadEnds(const json& value, std::vector<ServerEnd>* ends) {
-  const auto found = value.find(kEnds);
-  if (found == value.end() || !found->is_array() || found->size() > kMostEnds) {
+bool ReadCrashes(const json& value, std::vector<ServerCrash>* crashes) {
+  const auto found = value.find(kCrashes);
+  if (found == value.end() || !found->is_array() ||
+      found->size() > kMaxCrashes) {
     return false;
   }
-  return std::all_of(found->begin(), found->end(), [ends](const json& one) {
-    ends->emplace_back();
-    return ReadEnd(one, &ends->back());
+  return std::all_of(found->begin(), found->end(), [crashes](const json& item) {
+    crashes->emplace_back();
+    return ReadCrash(item, &crashes->back());
   });
 }
 
 }  // namespace
 
 json CrashRecordJson(const CrashRecord& record) {
-  json ends = json::array();
-  for (const ServerEnd& end : record.ends) {
-    ends.push_back({{kServer, end.server},
-                    {kBeforeAnswer, end.before_any_answer},
-                    {kAt, end.unix_ms}});
+  json crashes = json::array();
+  for (const ServerCrash& crash : record.ends) {
+    crashes.push_back({{kServer, crash.server},
+                       {kBeforeAnyAnswer, crash.before_any_answer},
+                       {kAt, crash.unix_ms}});
   }
   return {{kWorkspace, record.id.workspace},
           {kContent, record.id.content},
           {kRoute, record.route},
           {kRequest, record.request},
-          {kEnds, ends},
+          {kCrashes, crashes},
           {kCleared, record.cleared_ms},
           {kKept, record.kept_ms}};
 }
 
 absl::StatusOr<CrashRecord> CrashRecordFrom(const json& value) {
   if (!value.is_object()) {
-    return Wrong("");
+    return MalformedField("");
   }
   CrashRecord record;
   if (!ReadText(value, kWorkspace, &record.id.workspace)) {
-    return Wrong(kWorkspace);
+    return MalformedField(kWorkspace);
   }
   if (!ReadText(value, kContent, &record.id.content) ||
       !IsContentKey(record.id.content)) {
-    return Wrong(kContent);
+    return MalformedField(kContent);
   }
   if (!ReadText(value, kRoute, &record.route)) {
-    return Wrong(kRoute);
+    return MalformedField(kRoute);
   }
   if (!ReadText(value, kRequest, &record.request)) {
-    return Wrong(kRequest);
+    return MalformedField(kRequest);
   }
-  if (!ReadEnds(value, &record.ends)) {
-    return Wrong(kEnds);
+  if (!ReadCrashes(value, &record.ends)) {
+    return MalformedField(kCrashes);
   }
   if (!ReadTime(value, kCleared, &record.cleared_ms)) {
-    return Wrong(kCleared);
+    return MalformedField(kCleared);
   }
   if (!ReadTime(value, kKept, &record.kept_ms)) {
-    return Wrong(kKept);
+    return MalformedField(kKept);
   }
   return record;
 }
@@ -141,7 +142,7 @@
   }
   absl::StatusOr<CrashRecord> record = CrashRecordFrom(*object);
   if (record.ok() && record->id.content != name) {
-    return Wrong(kContent);
+    return MalformedField(kContent);
   }
   return record;
 }
--- a/src/quarantine/crash_messages.h
+++ b/src/quarantine/crash_messages.h
@@ -10,20 +10,21 @@
 
 namespace meadowthread {
 
-/// @brief A record as hosts tell it and as it lies in the store: an object.
+/// @brief Encodes a record as a JSON object, for messages and the object store.
 nlohmann::json CrashRecordJson(const CrashRecord& record);
 
-/// @brief Reads a record; an error names the field at fault.
+/// @brief Decodes a record; an error names the invalid field.
 absl::StatusOr<CrashRecord> CrashRecordFrom(const nlohmann::json& value);
 
-/// @brief The records' objects in the store, each named by its content.
+/// @brief Kind of the records' objects in the object store; each object is
+/// named by its content key.
 inline constexpr std::string_view kQuarantineKind = "quarantine";
 
-/// @brief A record as it lies in the store.
+/// @brief Encodes a record as an object's value in the store.
 std::string EncodeCrashRecord(const CrashRecord& record);
 
-/// @brief Reads an object's value; an error names the field at fault.
-/// @param[in] name of the object: the record's content
+/// @brief Decodes an object's value; an error names the invalid field.
+/// @param[in] name of the object: the record's content key
 absl::StatusOr<CrashRecord> DecodeCrashRecord(std::string_view name,
                                               std::string_view value);
 
--- a/src/quarantine/crash_record.cc
+++ b/src/quarantine/crash_record.cc
@@ -5,89 +5,92 @@
 namespace meadowthread {
 namespace {
 
-// Three ends before any answer are enough, or four of which some had begun to
-// answer. Two may be bad luck: where a sixth of the servers end at once, a
-// request that comes again meets two such ends in a row once in forty times,
-// and three once in two hundred.
-constexpr int kEnoughPoints = 12;
+// Three crashes before any output lead to quarantine, or four if there was
+// output before some of them. Two may be coincidence: if a sixth of the servers
+// end at once, a request that is retried meets two such ends in a row once in
+// forty times, and three once in two hundred.
+constexpr int kQuarantinePoints = 12;
 constexpr int kPointsBeforeAnswer = 4;
-constexpr int kPointsWithAnswer = 3;
-// A content that comes again does so within minutes: its callers wait for it.
+constexpr int kPointsAfterAnswer = 3;
+// A content that is retried comes again within minutes, as its callers wait for
+// the result. Crashes further apart do not count together.
 constexpr std::int64_t kSuspectMs = 600'000;
-// Engines are mended by a new version, which takes hours; a caller whose
-// request is turned away for no good reason waits for no longer than this.
+// A new version that fixes the engine takes hours. But a request that was
+// quarantined by mistake must not be rejected for longer than this.
 constexpr std::int64_t kFirstQuarantineMs = 600'000;
-// After each further one twice as long, up to most of a day.
-constexpr int kMostDoublings = 7;
-// So long after a quarantine one more end is enough for the next.
+// Each further quarantine is twice as long as the last, up to most of a day.
+constexpr int kMaxDoublings = 7;
+// Within this time after a quarantine a single crash leads to the next one.
 constexpr std::int64_t kProbationMs = 3'600'000;
-// Enough for every quarantine up to the longest to show; of more, the oldest
-// of those that count go.
-constexpr std::size_t kMostEnds = 16;
+// Enough crashes for all quarantines up to the longest; if there are more, the
+// oldest are dropped.
+constexpr std::size_t kMaxCrashes = 16;
 
 std::int64_t QuarantineMs(int strikes) {
-  return kFirstQuarantineMs << std::min(strikes - 1, kMostDoublings);
+  return kFirstQuarantineMs << std::min(strikes - 1, kMaxDoublings);
 }
 
-/// @brief What the ends up to some time come to.
+/// @brief Counts crashes in the order of their times.
 struct Tally {
   int points = 0;
   int strikes = 0;
-  std::int64_t last_ms = 0;   ///< the last end that counted
-  std::int64_t until_ms = 0;  ///< of the last quarantine
+  std::int64_t last_ms = 0;   ///< time of the last crash that counted
+  std::int64_t until_ms = 0;  ///< end of the last quarantine
 
-  void Take(const ServerEnd& end) {
-    if (end.unix_ms < this->until_ms) {
-      return;  // it was under way when the quarantine began
+  void Add(const ServerCrash& crash) {
+    if (crash.unix_ms < this->until_ms) {
+      return;  // that run had begun before the quarantine
     }
     const bool is_old = this->strikes == 0
-                            ? end.unix_ms - this->last_ms > kSuspectMs
-                            : end.unix_ms - this->until_ms > kProbationMs;
+                            ? crash.unix_ms - this->last_ms > kSuspectMs
+                            : crash.unix_ms - this->until_ms > kProbationMs;
     if (is_old) {
       *this = Tally();
     }
     this->points +=
-        end.before_any_answer ? kPointsBeforeAnswer : kPointsWithAnswer;
-    this->last_ms = end.unix_ms;
-    if (this->points < kEnoughPoints && this->strikes == 0) {
+        crash.before_any_answer ? kPointsBeforeAnswer : kPointsAfterAnswer;
+    this->last_ms = crash.unix_ms;
+    if (this->points < kQuarantinePoints && this->strikes == 0) {
       return;
     }
     ++this->strikes;
-    this->until_ms = end.unix_ms + QuarantineMs(this->strikes);
+    this->until_ms = crash.unix_ms + QuarantineMs(this->strikes);
   }
 };
 
 void Prune(CrashRecord* record) {
-  std::erase_if(record->ends, [record](const ServerEnd& end) {
-    return end.unix_ms <= record->cleared_ms;
+  std::erase_if(record->ends, [record](const ServerCrash& crash) {
+    return crash.unix_ms <= record->cleared_ms;
   });
-  if (record->ends.size() > kMostEnds) {
+  if (record->ends.size() > kMaxCrashes) {
     record->ends.erase(
         record->ends.begin(),
-        record->ends.end() - static_cast<std::ptrdiff_t>(kMostEnds));
+        record->ends.end() - static_cast<std::ptrdiff_t>(kMaxCrashes));
   }
 }
 
-// Several of its runs may have been there; the strongest evidence stands.
-void TakeEnd(const ServerEnd& end, CrashRecord* record) {
-  const auto known = std::find_if(
-      record->ends.begin(), record->ends.end(),
-      [&end](const ServerEnd& one) { return one.server == end.server; });
+// Several runs of the content may have been on the server: keeps the earliest
+// time, and whether any of the runs had no output.
+void MergeCrash(const ServerCrash& crash, CrashRecord* record) {
+  const auto known = std::find_if(record->ends.begin(), record->ends.end(),
+                                  [&crash](const ServerCrash& existing) {
+                                    return existing.server == crash.server;
+                                  });
   if (known == record->ends.end()) {
-    record->ends.push_back(end);
+    record->ends.push_back(crash);
     return;
   }
-  known->before_any_answer |= end.before_any_answer;
-  known->unix_ms = std::min(known->unix_ms, end.unix_ms);
+  known->before_any_answer |= crash.before_any_answer;
+  known->unix_ms = std::min(known->unix_ms, crash.unix_ms);
 }
 
 }  // namespace
 
 CrashVerdict Judge(const CrashRecord& record, std::int64_t now_unix_ms) {
   Tally tally;
-  for (const ServerEnd& end : record.ends) {
-    if (end.unix_ms > record.cleared_ms) {
-      tally.Take(end);
+  for (const ServerCrash& crash : record.ends) {
+    if (crash.unix_ms > record.cleared_ms) {
+      tally.Add(crash);
     }
   }
   CrashVerdict verdict;
@@ -95,7 +98,8 @@
   verdict.until_ms = tally.until_ms;
   verdict.forget_ms = tally.strikes > 0 ? tally.until_ms + kProbationMs
                                         : tally.last_ms + kSuspectMs;
-  // Hosts that have not heard of it yet may tell the old ends again.
+  // Until then hosts that have not received cleared_ms may still send the old
+  // crashes.
   verdict.forget_ms =
       std::max(verdict.forget_ms, record.cleared_ms + kSuspectMs);
   verdict.in_quarantine = now_unix_ms < tally.until_ms;
@@ -110,9 +114,9 @@
 
 std::string ServersText(const CrashRecord& record) {
   std::string servers;
-  for (const ServerEnd& end : record.ends) {
+  for (const ServerCrash& crash : record.ends) {
     servers += servers.empty() ? "" : ",";
-    servers += end.server;
+    servers += crash.server;
   }
   return servers;
 }
@@ -125,11 +129,11 @@
   }
   record->cleared_ms = std::max(record->cleared_ms, other.cleared_ms);
   record->kept_ms = std::max(record->kept_ms, other.kept_ms);
-  for (const ServerEnd& end : other.ends) {
-    TakeEnd(end, record);
+  for (const ServerCrash& crash : other.ends) {
+    MergeCrash(crash, record);
   }
   std::sort(record->ends.begin(), record->ends.end(),
-            [](const ServerEnd& a, const ServerEnd& b) {
+            [](const ServerCrash& a, const ServerCrash& b) {
               return a.unix_ms != b.unix_ms ? a.unix_ms < b.unix_ms
                                             : a.server < b.server;
             });
--- a/src/quarantine/crash_record.h
+++ b/src/quarantine/crash_record.h
@@ -8,72 +8,74 @@
 
 namespace meadowthread {
 
-/// @brief The end of one start of a backend server, that nobody had announced,
-/// while it had a run of a content.
-struct ServerEnd {
-  std::string server;  ///< key of that start, see Backend
-  /// Nothing had come of the run. One that had begun to answer is rather a
-  /// bystander.
+/// @brief The unannounced end of a backend server process while it ran a
+/// request with a given content.
+struct ServerCrash {
+  std::string server;  ///< key of the server process, see Backend::key
+  /// The run had produced no output yet. A run with output is less likely to be
+  /// the cause.
   bool before_any_answer = false;
   std::int64_t unix_ms = 0;
 
-  friend bool operator==(const ServerEnd&, const ServerEnd&) = default;
+  friend bool operator==(const ServerCrash&, const ServerCrash&) = default;
 };
 
-/// @brief Names a record.
+/// @brief Key of a record.
 struct CrashRecordId {
   std::string workspace;
-  std::string content;  ///< see ContentKeyOf
+  std::string content;  ///< key of the request content, see ContentKeyOf
 
-  // The linter takes the defaulted comparison for a null pointer's.
+  // False positive of the linter on defaulted comparisons.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   friend auto operator<=>(const CrashRecordId&, const CrashRecordId&) = default;
 };
 
-/// @brief All that is known of a content under which servers have ended.
+/// @brief What is known of a request content that servers crashed on.
 ///
-/// Every part only grows, so that hosts may learn the parts in any order, twice
-/// or late, and come to the same.
+/// A conflict-free replicated data type: merging only adds crashes and advances
+/// times, so that hosts agree whatever the order in which updates arrive, also
+/// if they arrive late or twice.
 struct CrashRecord {
   CrashRecordId id;
-  std::string route;            ///< or template, of a try: for operators
-  std::string request;          ///< id of a try: for operators
-  std::vector<ServerEnd> ends;  ///< by time; one for each server
-  /// A run came to a good end, or an operator lifted the quarantine, at that
-  /// time: ends before it speak against the content no more. 0: never.
+  std::string route;    ///< route or template of one try, for operators
+  std::string request;  ///< id of one try, for operators
+  std::vector<ServerCrash> ends;  ///< crashes by time, one per server
+  /// When a run last completed, or an operator lifted the quarantine; crashes
+  /// up to then no longer count. Unix ms; 0: never.
   std::int64_t cleared_ms = 0;
-  /// An operator keeps it in quarantine since then, Unix ms; 0: none does.
+  /// Since when an operator keeps it in quarantine; Unix ms, 0: not at all.
   std::int64_t kept_ms = 0;
 
   friend bool operator==(const CrashRecord&, const CrashRecord&) = default;
 };
 
-/// @brief Whether anything speaks against the content now.
+/// @brief Whether crashes count against the content, or an operator keeps it in
+/// quarantine.
 inline bool IsSuspect(const CrashRecord& record) {
   return !record.ends.empty() || record.kept_ms > record.cleared_ms;
 }
 
-/// @brief What follows from a record at some time.
+/// @brief Whether a content is in quarantine at some time, and until when.
 struct CrashVerdict {
   bool in_quarantine = false;
-  /// Unix ms at which it may be tried again; only while in quarantine.
+  /// Unix ms at which the content may be tried again; only while in quarantine.
   std::int64_t until_ms = 0;
-  int strikes = 0;  ///< quarantines so far
-  /// Unix ms from which on nothing depends on the record any more.
+  int strikes = 0;  ///< number of quarantines so far
+  /// Unix ms at which the record expires.
   std::int64_t forget_ms = 0;
 };
 
-/// @brief Decides on a record: a function of nothing else, so that all hosts
-/// that know the same decide the same.
-/// @complexity linear in the ends
+/// @brief Computes the verdict on a record. It depends on the record and the
+/// time only, so that hosts with equal records agree.
+/// @complexity linear in the crashes
 CrashVerdict Judge(const CrashRecord& record, std::int64_t now_unix_ms);
 
-/// @brief The servers that ended, by time, with commas between them.
+/// @brief Keys of the servers that crashed, by time, separated by commas.
 std::string ServersText(const CrashRecord& record);
 
-/// @brief Takes over what another record of the same content knows.
+/// @brief Merges another record of the same content into `record`.
 /// @return whether anything was new
-/// @complexity linear in the ends of both, times the logarithm
+/// @complexity O(n log n) in the crashes of both records
 bool Merge(const CrashRecord& other, CrashRecord* record);
 
 }  // namespace meadowthread
--- a/src/quarantine/crash_words.cc
+++ b/src/quarantine/crash_words.cc
@@ -11,39 +11,40 @@
 
 using nlohmann::json;
 
-// With four each, all but two hosts in a hundred hear of news by it, after five
-// steps among 350; comparing reaches the rest.
+// With a fanout of four, gossip reaches all but 2 % of the hosts, in five
+// rounds if there are 350; digests reach the rest.
 constexpr std::size_t kFanout = 4;
-// A host that missed a word for any reason has it after a step or two: within
-// the three seconds in which hosts are to agree there are six.
-constexpr std::int64_t kCompareMs = 500;
-constexpr std::size_t kComparedWith = 2;
-// Records sent to a host whose book differs, of the newest and of all, and how
-// often: some 6 KB each time, of a node's 29 KB a second for control.
-constexpr std::int64_t kTellBookMs = 500;
-constexpr std::size_t kNewest = 16;
-constexpr std::size_t kDrawn = 8;
-// Two of three ends each fit one packet of most networks.
-constexpr std::size_t kRecordsTogether = 2;
-// What is forgotten is looked for this often, of what lasts for minutes.
-constexpr std::int64_t kForgetMs = 5'000;
+// A host that missed a record gets it after one or two digests; six are sent
+// within the three seconds in which hosts are to agree.
+constexpr std::int64_t kDigestPeriodMs = 500;
+constexpr std::size_t kDigestFanout = 2;
+// At most once per period, a host whose digest differs is sent the newest
+// records and a random sample of all. That is about 6 KB each time, of the 29
+// KB/s that a host may use for control traffic.
+constexpr std::int64_t kRecordsPeriodMs = 500;
+constexpr std::size_t kNewestRecords = 16;
+constexpr std::size_t kSampledRecords = 8;
+// Two records with three crashes each fit in one packet on most networks.
+constexpr std::size_t kRecordsPerDatagram = 2;
+// Often enough, as records last for minutes.
+constexpr std::int64_t kExpirationPeriodMs = 5'000;
 constexpr std::size_t kDigestFields = 2;
 
 }  // namespace
 
-CrashWords::CrashWords(CrashBook& book, CrashChannel& channel,
+CrashWords::CrashWords(CrashBook& table, CrashChannel& channel,
                        const Clock& clock, Scheduler& scheduler,
                        std::uint64_t seed)
-    : book(book),
+    : table(table),
       channel(channel),
       clock(clock),
       scheduler(scheduler),
       random(seed),
-      book_told_ms(clock.MonotonicMs() - kTellBookMs) {
-  book.AddListener([this](const CrashRecord& record) {
+      records_sent_ms(clock.MonotonicMs() - kRecordsPeriodMs) {
+  table.AddListener([this](const CrashRecord& record) {
     std::erase(this->newest, record.id);
     this->newest.insert(this->newest.begin(), record.id);
-    if (this->newest.size() > kNewest) {
+    if (this->newest.size() > kNewestRecords) {
       this->newest.pop_back();
     }
     this->channel.TellSome(kRecordsTopic,
@@ -52,18 +53,19 @@
 }
 
 void CrashWords::Start() {
-  this->Compare();
-  RunEvery(this->scheduler, kForgetMs, this->life.Guarded([this] {
-    this->book.Forget(this->clock.WallMs());
+  this->SendDigests();
+  RunEvery(this->scheduler, kExpirationPeriodMs, this->life.Guarded([this] {
+    this->table.DropExpired(this->clock.WallMs());
   }));
 }
 
-// Also with an empty book: this host may have missed all that others know.
-void CrashWords::Compare() {
+// Digests are sent even if this host has no records, as it may have missed
+// those of the others.
+void CrashWords::SendDigests() {
   this->channel.TellSome(
-      kDigestTopic, json::array({this->book.Digest(), false}), kComparedWith);
-  this->scheduler.After(kCompareMs,
-                        this->life.Guarded([this] { this->Compare(); }));
+      kDigestTopic, json::array({this->table.Digest(), false}), kDigestFanout);
+  this->scheduler.After(kDigestPeriodMs,
+                        this->life.Guarded([this] { this->SendDigests(); }));
 }
 
 void CrashWords::TakeRecords(std::string_view host, const json& payload) {
@@ -71,8 +73,8 @@
     LogLine("crashes-malformed").Add("host", host).WriteImportant();
     return;
   }
-  for (const json& one : payload) {
-    const absl::StatusOr<CrashRecord> record = CrashRecordFrom(one);
+  for (const json& item : payload) {
+    const absl::StatusOr<CrashRecord> record = CrashRecordFrom(item);
     if (!record.ok()) {
       LogLine("crashes-malformed")
           .Add("host", host)
@@ -80,7 +82,7 @@
           .WriteImportant();
       return;
     }
-    this->book.Take(*record, this->clock.WallMs());
+    this->table.Take(*record, this->clock.WallMs());
   }
 }
 
@@ -91,47 +93,48 @@
     LogLine("crashes-malformed").Add("host", host).WriteImportant();
     return;
   }
-  if (payload[0].get<std::uint64_t>() == this->book.Digest()) {
+  if (payload[0].get<std::uint64_t>() == this->table.Digest()) {
     return;
   }
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  if (now_ms - this->book_told_ms >= kTellBookMs) {
-    this->book_told_ms = now_ms;
-    this->TellBook(host);
+  if (now_ms - this->records_sent_ms >= kRecordsPeriodMs) {
+    this->records_sent_ms = now_ms;
+    this->SendRecords(host);
   }
-  // The other one may know what this one does not; it answers by its book, and
-  // not by a question again.
+  // The other host may have records that this one lacks. It answers with
+  // records, but without another digest.
   if (!payload[1].get<bool>()) {
     this->channel.TellOne(kDigestTopic,
-                          json::array({this->book.Digest(), true}), host);
+                          json::array({this->table.Digest(), true}), host);
   }
 }
 
-std::vector<const CrashRecord*> CrashWords::Drawn() {
-  std::vector<const CrashRecord*> drawn;
+std::vector<const CrashRecord*> CrashWords::SelectRecords() {
+  std::vector<const CrashRecord*> selected;
   for (const CrashRecordId& id : this->newest) {
-    if (const CrashRecord* const record = this->book.Find(id)) {
-      drawn.push_back(record);
+    if (const CrashRecord* const record = this->table.Find(id)) {
+      selected.push_back(record);
     }
   }
-  const std::vector<const CrashRecord*> all = this->book.All();
+  const std::vector<const CrashRecord*> all = this->table.All();
   std::vector<const CrashRecord*> others;
   std::sample(all.begin(), all.end(), std::back_inserter(others),
-              static_cast<std::ptrdiff_t>(kDrawn), this->random);
+              static_cast<std::ptrdiff_t>(kSampledRecords), this->random);
   for (const CrashRecord* const record : others) {
-    if (std::find(drawn.begin(), drawn.end(), record) == drawn.end()) {
-      drawn.push_back(record);
+    if (std::find(selected.begin(), selected.end(), record) == selected.end()) {
+      selected.push_back(record);
     }
   }
-  return drawn;
+  return selected;
 }
 
-void CrashWords::TellBook(std::string_view host) {
-  const std::vector<const CrashRecord*> drawn = this->Drawn();
-  for (std::size_t from = 0; from < drawn.size(); from += kRecordsTogether) {
+void CrashWords::SendRecords(std::string_view host) {
+  const std::vector<const CrashRecord*> selected = this->SelectRecords();
+  for (std::size_t from = 0; from < selected.size();
+       from += kRecordsPerDatagram) {
     json records = json::array();
-    for (const CrashRecord* const record : std::span(drawn).subspan(
-             from, std::min(kRecordsTogether, drawn.size() - from))) {
+    for (const CrashRecord* const record : std::span(selected).subspan(
+             from, std::min(kRecordsPerDatagram, selected.size() - from))) {
       records.push_back(CrashRecordJson(*record));
     }
     this->channel.TellOne(kRecordsTopic, records, host);
--- a/src/quarantine/crash_words.h
+++ b/src/quarantine/crash_words.h
@@ -15,56 +15,61 @@
 
 namespace meadowthread {
 
-/// @brief The way of one host's words to the others.
+/// @brief Sends the crash-record messages of one host to other hosts.
 class CrashChannel {
  public:
   virtual ~CrashChannel() = default;
 
-  /// @brief Tells some other hosts, drawn at random.
+  /// @brief Sends a message to `count` other hosts, chosen at random.
   virtual void TellSome(std::string_view topic, const nlohmann::json& payload,
                         std::size_t count) = 0;
+
+  /// @brief Sends a message to one host.
   virtual void TellOne(std::string_view topic, const nlohmann::json& payload,
                        std::string_view host) = 0;
 };
 
-/// @brief Tells other hosts what this one's book has, and takes what they tell.
+/// @brief Spreads crash records between hosts by gossip.
 ///
-/// A host to which a record is news tells some others at once, so that it is
-/// everywhere after a few steps whatever the number of hosts. Words get lost
-/// and hosts miss some: from time to time each compares its book with
-/// another's, and what either lacks is sent.
+/// A host that gets a new record sends it on to some random hosts at once, so
+/// that it reaches nearly all hosts in a few rounds, however many there are.
+/// For lost messages there is anti-entropy: each host periodically sends a
+/// digest of its records to others, and hosts whose digests differ exchange
+/// records.
 class CrashWords {
  public:
-  /// @param[in] book,channel,clock,scheduler outlive this
-  CrashWords(CrashBook& book, CrashChannel& channel, const Clock& clock,
+  /// @param[in] table,channel,clock,scheduler must outlive this
+  CrashWords(CrashBook& table, CrashChannel& channel, const Clock& clock,
              Scheduler& scheduler, std::uint64_t seed);
   CrashWords(const CrashWords&) = delete;
   CrashWords& operator=(const CrashWords&) = delete;
 
+  /// @brief Starts the periodic digests and the expiration of records.
   void Start();
 
-  /// @brief Takes records.
+  /// @brief Handles records that another host sent.
   void TakeRecords(std::string_view host, const nlohmann::json& payload);
 
-  /// @brief Takes another book's digest, and answers where it differs.
+  /// @brief Handles the digest of another host's records; if it differs from
+  /// this host's, sends records and, unless it was an answer, a digest.
   void TakeDigest(std::string_view host, const nlohmann::json& payload);
 
   static constexpr char kRecordsTopic[] = "crashes";
   static constexpr char kDigestTopic[] = "crash-digest";
 
  private:
-  void Compare();
-  void TellDigest(std::string_view host, bool is_answer);
-  void TellBook(std::string_view host);
-  std::vector<const CrashRecord*> Drawn();
+  void SendDigests();
+  void SendDigest(std::string_view host, bool is_answer);
+  void SendRecords(std::string_view host);
+  std::vector<const CrashRecord*> SelectRecords();
 
-  CrashBook& book;
+  CrashBook& table;
   CrashChannel& channel;
   const Clock& clock;
   Scheduler& scheduler;
   std::mt19937_64 random;
-  std::vector<CrashRecordId> newest;  ///< the last changed first
-  std::int64_t book_told_ms = 0;      ///< monotonic
+  std::vector<CrashRecordId> newest;  ///< latest change first
+  std::int64_t records_sent_ms = 0;   ///< monotonic; last time
   Lifetime life;
 };
 
--- a/src/quarantine/guarded_run.cc
+++ b/src/quarantine/guarded_run.cc
@@ -10,26 +10,26 @@
 }
 
 CrashRecordId GuardedRun::Id() {
-  return {this->names.workspace, this->Content()};
+  return {this->identity.workspace, this->Content()};
 }
 
 std::optional<std::int64_t> GuardedRun::QuarantinedForMs() {
-  if (!this->quarantine.HasSuspects(this->names.workspace)) {
+  if (!this->quarantine.HasSuspects(this->identity.workspace)) {
     return std::nullopt;
   }
   return this->quarantine.LastsMs(this->Id());
 }
 
 bool GuardedRun::Is(const CrashRecordId& other) {
-  return this->names.workspace == other.workspace &&
+  return this->identity.workspace == other.workspace &&
          this->Content() == other.content;
 }
 
-CutRun GuardedRun::RunAt(const RunServer& server) {
+CutRun GuardedRun::InterruptedRunAt(const RunServer& server) {
   CutRun run;
   run.id = this->Id();
-  run.route = this->names.route;
-  run.request = this->names.request;
+  run.route = this->identity.route;
+  run.request = this->identity.request;
   run.server = server.key;
   run.address = server.address;
   return run;
@@ -38,7 +38,7 @@
 void GuardedRun::NoteCut(const std::optional<RunServer>& server,
                          bool before_any_answer) {
   if (server.has_value()) {
-    CutRun run = this->RunAt(*server);
+    CutRun run = this->InterruptedRunAt(*server);
     run.before_any_answer = before_any_answer;
     this->quarantine.NoteCut(run);
   }
@@ -46,15 +46,15 @@
 
 void GuardedRun::NoteSilent(const std::optional<RunServer>& server) {
   if (server.has_value()) {
-    CutRun run = this->RunAt(*server);
+    CutRun run = this->InterruptedRunAt(*server);
     run.before_any_answer = true;
-    run.was_silent = true;
+    run.timed_out = true;
     this->quarantine.NoteCut(run);
   }
 }
 
 void GuardedRun::NoteWhole() {
-  if (this->quarantine.HasSuspects(this->names.workspace)) {
+  if (this->quarantine.HasSuspects(this->identity.workspace)) {
     this->quarantine.NoteWhole(this->Id());
   }
 }
--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -11,61 +11,66 @@
 
 namespace meadowthread {
 
-/// @brief What a request is called, for people and for its record.
-struct RunNames {
+/// @brief Identifies a request, in its crash record and to operators.
+struct RunIdentity {
   std::string workspace;
-  std::string route;  ///< or template
+  std::string route;  ///< route or template
   std::string request;
 };
 
-/// @brief A server that had not told that it would leave.
+/// @brief A server process that had not announced that it would stop.
 struct RunServer {
-  std::string key;      ///< of its one start
+  std::string key;      ///< of the server process, see Backend::key
   std::string address;  ///< IP:PORT
 };
 
-/// @brief A session's way to the quarantine. The content's key is made when it
-/// is first needed: nearly always never.
+/// @brief The quarantine as one request's session uses it: asks whether the
+/// request may be sent, and reports how its runs end.
+///
+/// The content key is computed when it is first needed, which is rare.
 class GuardedRun {
  public:
-  using MakeKey = std::function<std::string()>;
+  using KeyFunction = std::function<std::string()>;
 
-  /// @param[in] quarantine outlives this
-  /// @param[in] make_key see ContentKeyOf
-  GuardedRun(Quarantine& quarantine, RunNames names, MakeKey make_key)
+  /// @param[in] quarantine must outlive this
+  /// @param[in] make_key computes the content key, see ContentKeyOf
+  GuardedRun(Quarantine& quarantine, RunIdentity identity, KeyFunction make_key)
       : quarantine(quarantine),
-        names(std::move(names)),
+        identity(std::move(identity)),
         make_key(std::move(make_key)) {}
   GuardedRun(const GuardedRun&) = delete;
   GuardedRun& operator=(const GuardedRun&) = delete;
 
-  /// @brief How long no server may get it, milliseconds; nullopt: one may.
+  /// @brief For how many milliseconds more the request is in quarantine;
+  /// nullopt if it may be sent.
   std::optional<std::int64_t> QuarantinedForMs();
 
-  /// @brief Whether it is a try of this content.
+  /// @brief Whether the request has this workspace and content.
   bool Is(const CrashRecordId& other);
 
-  /// @brief Its connection to a server broke after bytes were sent.
-  /// @param[in] server nullopt: the server had told that it would leave, and
-  /// its end is no request's doing
+  /// @brief The connection to the server broke after the request was sent.
+  /// @param[in] server nullopt if the server had announced that it would stop,
+  /// so that the request is not the cause
+  /// @param[in] before_any_answer whether the run had produced no output yet
   void NoteCut(const std::optional<RunServer>& server, bool before_any_answer);
 
-  /// @brief Its time was over and the server had said nothing.
+  /// @brief The request timed out without any output of the server.
   void NoteSilent(const std::optional<RunServer>& server);
 
-  /// @brief A server answered it to its end.
+  /// @brief A server completed the request.
   void NoteWhole();
 
+  /// @brief The content key.
   const std::string& Content();
 
  private:
   CrashRecordId Id();
-  CutRun RunAt(const RunServer& server);
+  CutRun InterruptedRunAt(const RunServer& server);
 
   Quarantine& quarantine;
-  RunNames names;
-  MakeKey make_key;
-  std::string content;  ///< empty: not made yet
+  RunIdentity identity;
+  KeyFunction make_key;
+  std::string content;  ///< empty: not computed yet
 };
 
 }  // namespace meadowthread
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -9,14 +9,15 @@
 Quarantine::Quarantine(ListenCheck& check, const Clock& clock,
                        Scheduler& scheduler)
     : clock(clock),
-      watch(check, clock, scheduler,
-            [this](const CrashRecord& record) { this->TakeOwn(record); }) {
-  this->book.AddListener(
-      [this](const CrashRecord& record) { this->TakeChange(record); });
+      detector(check, clock, scheduler, [this](const CrashRecord& record) {
+        this->AddOwnRecord(record);
+      }) {
+  this->table.AddListener(
+      [this](const CrashRecord& record) { this->OnRecordChanged(record); });
 }
 
 std::optional<std::int64_t> Quarantine::LastsMs(const CrashRecordId& id) const {
-  const CrashRecord* const record = this->book.Find(id);
+  const CrashRecord* const record = this->table.Find(id);
   if (record == nullptr) {
     return std::nullopt;
   }
@@ -29,7 +30,7 @@
 }
 
 void Quarantine::NoteWhole(const CrashRecordId& id) {
-  const CrashRecord* const known = this->book.Find(id);
+  const CrashRecord* const known = this->table.Find(id);
   if (known == nullptr || known->ends.empty()) {
     return;
   }
@@ -40,40 +41,40 @@
       .Add("content", id.content)
       .Add("ends", known->ends.size())
       .WriteImportant();
-  this->TakeOwn(cleared);
+  this->AddOwnRecord(cleared);
 }
 
-void Quarantine::TakeOwn(const CrashRecord& record) {
-  this->taking_own = true;
-  this->book.Take(record, this->clock.WallMs());
-  this->taking_own = false;
+void Quarantine::AddOwnRecord(const CrashRecord& record) {
+  this->adding_own = true;
+  this->table.Take(record, this->clock.WallMs());
+  this->adding_own = false;
 }
 
 std::size_t Quarantine::Count() const {
   const std::int64_t now_ms = this->clock.WallMs();
-  const std::vector<const CrashRecord*> all = this->book.All();
+  const std::vector<const CrashRecord*> all = this->table.All();
   return static_cast<std::size_t>(std::count_if(
       all.begin(), all.end(), [now_ms](const CrashRecord* record) {
         return Judge(*record, now_ms).in_quarantine;
       }));
 }
 
-void Quarantine::TakeChange(const CrashRecord& record) {
+void Quarantine::OnRecordChanged(const CrashRecord& record) {
   const std::int64_t now_ms = this->clock.WallMs();
   const CrashVerdict verdict = Judge(record, now_ms);
   if (!verdict.in_quarantine) {
-    this->told.erase(record.id);
+    this->announced.erase(record.id);
     return;
   }
-  std::erase_if(this->told, [this](const auto& one) {
-    return this->book.Find(one.first) == nullptr;
+  std::erase_if(this->announced, [this](const auto& entry) {
+    return this->table.Find(entry.first) == nullptr;
   });
-  const auto [told, is_new] =
-      this->told.try_emplace(record.id, verdict.strikes);
-  if (!is_new && told->second == verdict.strikes) {
+  const auto [announced, is_new] =
+      this->announced.try_emplace(record.id, verdict.strikes);
+  if (!is_new && announced->second == verdict.strikes) {
     return;
   }
-  told->second = verdict.strikes;
+  announced->second = verdict.strikes;
   LogLine("quarantined")
       .Add("workspace", record.id.workspace)
       .Add("content", record.id.content)
@@ -95,8 +96,8 @@
   detail.step = "quarantine";
   detail.retry_after_ms = may_have_run ? -1 : lasts_ms;
   return MakeError(absl::StatusCode::kUnavailable, detail,
-                   "servers ended each time they ran this request; it is sent "
-                   "to none for now");
+                   "servers crashed while they ran this request; it is "
+                   "quarantined and sent to no server for now");
 }
 
 }  // namespace meadowthread
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -18,19 +18,20 @@
 
 namespace meadowthread {
 
-/// @brief Keeps contents that end the servers which run them away from the
-/// rest: what a host's sessions ask and tell.
+/// @brief Quarantine for request contents that crash the servers which run
+/// them. Sessions ask whether a content may be sent, and report how runs end.
 class Quarantine {
  public:
-  /// Told of each content that is put in quarantine now.
+  /// Called with each content when it is put in quarantine.
   using Listener = std::function<void(const CrashRecordId&)>;
 
-  /// @param[in] check,clock,scheduler outlive this
+  /// @param[in] check,clock,scheduler must outlive this
   Quarantine(ListenCheck& check, const Clock& clock, Scheduler& scheduler);
   Quarantine(const Quarantine&) = delete;
   Quarantine& operator=(const Quarantine&) = delete;
 
-  /// Told of each record that has something new, and whether this host saw it.
+  /// Called with each record that is new or has changed; `is_own` tells whether
+  /// this host observed the change itself.
   using ChangeListener =
       std::function<void(const CrashRecord& record, bool is_own)>;
 
@@ -38,49 +39,51 @@
     this->listeners.push_back(listener);
   }
   void AddChangeListener(const ChangeListener& listener) {
-    this->book.AddListener([this, listener](const CrashRecord& record) {
-      listener(record, this->taking_own);
+    this->table.AddListener([this, listener](const CrashRecord& record) {
+      listener(record, this->adding_own);
     });
   }
 
-  /// @brief Whether anything speaks against one of a workspace's contents.
+  /// @brief Whether any request content of a workspace is suspected.
   bool HasSuspects(std::string_view workspace) const {
-    return this->book.HasSuspects(workspace);
+    return this->table.HasSuspects(workspace);
   }
 
-  /// @brief How long no server may get it, milliseconds; nullopt: one may.
+  /// @brief For how many milliseconds more a content is in quarantine; nullopt
+  /// if it may be sent.
   std::optional<std::int64_t> LastsMs(const CrashRecordId& id) const;
 
-  /// @brief A run was cut by a server that had not told that it would leave.
-  void NoteCut(const CutRun& run) { this->watch.Add(run); }
+  /// @brief A run was interrupted at a server that had not announced a stop.
+  void NoteCut(const CutRun& run) { this->detector.Add(run); }
 
-  /// @brief A server is gone that never told that it would leave.
-  void NoteGone(std::string_view server) { this->watch.NoteGone(server); }
+  /// @brief A server is gone that had not announced a stop.
+  void NoteGone(std::string_view server) { this->detector.NoteGone(server); }
 
-  /// @brief A server answered a run to its end.
+  /// @brief A server completed a run: clears the content.
   void NoteWhole(const CrashRecordId& id);
 
-  CrashBook& Book() { return this->book; }
+  CrashBook& Book() { return this->table; }
 
-  /// @brief Contents in quarantine now.
+  /// @brief Number of contents in quarantine now.
   std::size_t Count() const;
 
  private:
-  void TakeOwn(const CrashRecord& record);
-  void TakeChange(const CrashRecord& record);
+  void AddOwnRecord(const CrashRecord& record);
+  void OnRecordChanged(const CrashRecord& record);
 
   const Clock& clock;
-  CrashBook book;
-  ServerEndWatch watch;
-  /// In quarantine, as listeners were told: with the strikes of then.
-  std::map<CrashRecordId, int> told;
+  CrashBook table;
+  ServerCrashDetector detector;
+  /// Contents in quarantine that the listeners were called with, and the number
+  /// of strikes at that time.
+  std::map<CrashRecordId, int> announced;
   std::vector<Listener> listeners;
-  bool taking_own = false;
+  bool adding_own = false;  ///< during AddOwnRecord
 };
 
-/// @brief The end of a request that is in quarantine.
-/// @param[in] lasts_ms when a try may be sent again at the earliest
-/// @param[in] may_have_run an earlier attempt of the same try may have
+/// @brief The error that a request in quarantine ends with.
+/// @param[in] lasts_ms how long the quarantine lasts: the time to retry after
+/// @param[in] may_have_run whether an earlier attempt may have run
 absl::Status QuarantinedError(std::int64_t lasts_ms, bool may_have_run);
 
 }  // namespace meadowthread
--- a/src/quarantine/server_crash_detector.cc
+++ b/src/quarantine/server_crash_detector.cc
@@ -8,110 +8,120 @@
 namespace meadowthread {
 namespace {
 
-// As long as other connections to servers may take: a dead one is noticed.
-constexpr std::int64_t kCheckMs = 250;
-// An entry lapses after three heartbeats of 1.2 s, and news of it takes half a
-// second; a server that is gone later than this had another reason.
-constexpr std::int64_t kWaitMs = 5'000;
-// Callers choose their ids; a person needs no more of one to find it.
-constexpr std::size_t kShownIdBytes = 64;
-// Of one server: it takes no more runs at a time than a few tens.
-constexpr std::size_t kMostOfServer = 64;
+// The limit that other connections to servers have, within which a dead server
+// is noticed.
+constexpr std::int64_t kProbeTimeoutMs = 250;
+// A server's entry expires after three missed heartbeats of 1.2 s, and the news
+// of it takes half a second. A server that disappears later than this did so
+// for another reason.
+constexpr std::int64_t kMaxPendingMs = 5'000;
+// Callers choose request ids of any length; this much of one is enough to find
+// the request.
+constexpr std::size_t kMaxRequestIdBytes = 64;
+// A server has no more than a few dozen runs at a time.
+constexpr std::size_t kMaxRunsPerServer = 64;
 
 }  // namespace
 
-ServerEndWatch::ServerEndWatch(ListenCheck& check, const Clock& clock,
-                               Scheduler& scheduler, Listener listener)
+ServerCrashDetector::ServerCrashDetector(ListenCheck& check, const Clock& clock,
+                                         Scheduler& scheduler,
+                                         Listener listener)
     : check(check),
       clock(clock),
       scheduler(scheduler),
       listener(std::move(listener)) {}
 
-void ServerEndWatch::Add(const CutRun& run) {
-  std::vector<Waiting>& runs = this->waiting[run.server];
-  if (runs.size() >= kMostOfServer) {
+void ServerCrashDetector::Add(const CutRun& run) {
+  std::vector<PendingRun>& runs = this->pending[run.server];
+  if (runs.size() >= kMaxRunsPerServer) {
     LogLine("cut-run-dropped").Add("server", run.server).WriteImportant();
     return;
   }
   runs.push_back({run, this->clock.WallMs()});
-  if (!run.was_silent && this->asking.insert(run.server).second) {
-    this->Ask(run);
+  if (!run.timed_out && this->probing.insert(run.server).second) {
+    this->Probe(run);
   }
-  this->scheduler.After(kWaitMs,
-                        this->life.Guarded([this] { this->DropOld(); }));
+  this->scheduler.After(kMaxPendingMs,
+                        this->life.Guarded([this] { this->DropExpired(); }));
 }
 
-void ServerEndWatch::Ask(const CutRun& run) {
+void ServerCrashDetector::Probe(const CutRun& run) {
   this->check.Ask(
-      run.address, kCheckMs,
+      run.address, kProbeTimeoutMs,
       this->life.Guarded([this, server = run.server](ListenState state) {
-        this->TakeState(server, state);
+        this->OnProbed(server, state);
       }));
 }
 
-// A machine that does not answer may only be cut off from this one. What takes
-// connections there may stand before the server, whose entry tells then; but an
-// end that is seen later by a connection came after the runs of now were cut.
-void ServerEndWatch::TakeState(const std::string& server, ListenState state) {
-  this->asking.erase(server);
+// Only a refused connection shows a crash. Without a response the machine may
+// merely be unreachable from this host. An accepted connection may be that of a
+// proxy in front of a crashed server; the expiry of the server's entry shows
+// the crash then. If a connection is refused after one was accepted, the crash
+// came later than the interruption of the earlier runs, and is not counted for
+// them.
+void ServerCrashDetector::OnProbed(const std::string& server,
+                                   ListenState state) {
+  this->probing.erase(server);
   LogLine("server-checked")
       .Add("server", server)
       .Add("state", ListenStateName(state))
       .WriteImportant();
-  const auto found = this->waiting.find(server);
-  if (found == this->waiting.end()) {
+  const auto found = this->pending.find(server);
+  if (found == this->pending.end()) {
     return;
   }
   if (state == ListenState::kListens) {
-    for (Waiting& one : found->second) {
-      one.found_alive = true;
+    for (PendingRun& entry : found->second) {
+      entry.was_listening = true;
     }
   }
   if (state == ListenState::kRefused) {
     std::erase_if(found->second,
-                  [](const Waiting& one) { return one.found_alive; });
-    this->End(server, ListenStateName(state));
+                  [](const PendingRun& entry) { return entry.was_listening; });
+    this->ReportCrash(server, ListenStateName(state));
   }
 }
 
-void ServerEndWatch::NoteGone(std::string_view server) {
-  this->End(server, "gone");
+void ServerCrashDetector::NoteGone(std::string_view server) {
+  this->ReportCrash(server, "gone");
 }
 
-void ServerEndWatch::End(std::string_view server, std::string_view how) {
-  const auto found = this->waiting.find(server);
-  if (found == this->waiting.end()) {
+void ServerCrashDetector::ReportCrash(std::string_view server,
+                                      std::string_view cause) {
+  const auto found = this->pending.find(server);
+  if (found == this->pending.end()) {
     return;
   }
-  const std::vector<Waiting> runs = std::move(found->second);
-  this->waiting.erase(found);
-  for (const Waiting& one : runs) {
+  const std::vector<PendingRun> runs = std::move(found->second);
+  this->pending.erase(found);
+  for (const PendingRun& entry : runs) {
     LogLine("server-ended")
-        .Add("server", one.run.server)
-        .Add("how", how)
-        .Add("request", one.run.request)
-        .Add("workspace", one.run.id.workspace)
-        .Add("content", one.run.id.content)
-        .Add("before_any_answer", one.run.before_any_answer ? "yes" : "no")
+        .Add("server", entry.run.server)
+        .Add("how", cause)
+        .Add("request", entry.run.request)
+        .Add("workspace", entry.run.id.workspace)
+        .Add("content", entry.run.id.content)
+        .Add("before_any_answer", entry.run.before_any_answer ? "yes" : "no")
         .WriteImportant();
     CrashRecord record;
-    record.id = one.run.id;
-    record.route = one.run.route;
-    record.request = one.run.request.substr(0, kShownIdBytes);
-    record.ends = {{one.run.server, one.run.before_any_answer, one.unix_ms}};
+    record.id = entry.run.id;
+    record.route = entry.run.route;
+    record.request = entry.run.request.substr(0, kMaxRequestIdBytes);
+    record.ends = {
+        {entry.run.server, entry.run.before_any_answer, entry.unix_ms}};
     this->listener(record);
   }
 }
 
-void ServerEndWatch::DropOld() {
-  const std::int64_t before_ms = this->clock.WallMs() - kWaitMs;
-  for (auto& [server, runs] : this->waiting) {
-    std::erase_if(runs, [before_ms](const Waiting& one) {
-      return one.unix_ms <= before_ms;
+void ServerCrashDetector::DropExpired() {
+  const std::int64_t before_ms = this->clock.WallMs() - kMaxPendingMs;
+  for (auto& [server, runs] : this->pending) {
+    std::erase_if(runs, [before_ms](const PendingRun& entry) {
+      return entry.unix_ms <= before_ms;
     });
   }
-  std::erase_if(this->waiting,
-                [](const auto& one) { return one.second.empty(); });
+  std::erase_if(this->pending,
+                [](const auto& entry) { return entry.second.empty(); });
 }
 
 }  // namespace meadowthread
