--- a/src/quarantine/server_crash_detector.h
+++ b/src/quarantine/server_crash_detector.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_QUARANTINE_SERVER_END_WATCH_H_
-#define MEADOWTHREAD_QUARANTINE_SERVER_END_WATCH_H_
+#ifndef MEADOWTHREAD_QUARANTINE_SERVER_CRASH_DETECTOR_H_
+#define MEADOWTHREAD_QUARANTINE_SERVER_CRASH_DETECTOR_H_
 
 #include <cstdint>
 #include <functional>
@@ -17,60 +17,63 @@
 
 namespace meadowthread {
 
-/// @brief A run whose server said nothing more, though it had not told that it
-/// would leave.
+/// @brief A run whose server stopped responding without having announced a
+/// stop.
 struct CutRun {
   CrashRecordId id;
   std::string route;
   std::string request;
-  std::string server;   ///< key of its one start, see Backend
+  std::string server;   ///< key of the server process, see Backend::key
   std::string address;  ///< IP:PORT
-  bool before_any_answer = false;
-  /// Nothing came until its time was over; its connection stood.
-  bool was_silent = false;
+  bool before_any_answer = false;  ///< the run had produced no output
+  /// The run timed out without output, while its connection stayed open.
+  bool timed_out = false;
 };
 
-/// @brief Finds out of which cut runs the server has ended: connections break
-/// for many reasons, and most of them say nothing of the run.
-class ServerEndWatch {
+/// @brief Determines for interrupted runs whether the server crashed.
+/// Connections break for many reasons, most of which have nothing to do with
+/// the run.
+class ServerCrashDetector {
  public:
-  /// Told of each run that its server ended under.
+  /// Called with a record for each run whose server crashed.
   using Listener = std::function<void(const CrashRecord&)>;
 
-  /// @param[in] check,clock,scheduler outlive this
-  ServerEndWatch(ListenCheck& check, const Clock& clock, Scheduler& scheduler,
-                 Listener listener);
-  ServerEndWatch(const ServerEndWatch&) = delete;
-  ServerEndWatch& operator=(const ServerEndWatch&) = delete;
+  /// @param[in] check,clock,scheduler must outlive this
+  ServerCrashDetector(ListenCheck& check, const Clock& clock,
+                      Scheduler& scheduler, Listener listener);
+  ServerCrashDetector(const ServerCrashDetector&) = delete;
+  ServerCrashDetector& operator=(const ServerCrashDetector&) = delete;
 
-  /// @brief Begins to find out.
+  /// @brief Starts to check the server of an interrupted run.
   void Add(const CutRun& run);
 
-  /// @brief A server is gone, or its id has another start, and it never said
-  /// that it would leave.
+  /// @brief A server is gone, or was restarted under the same id, without
+  /// having announced a stop.
   void NoteGone(std::string_view server);
 
  private:
-  struct Waiting {
+  struct PendingRun {
     CutRun run;
     std::int64_t unix_ms = 0;
-    bool found_alive = false;  ///< its server took connections after the cut
+    /// The server accepted a connection after the run was interrupted.
+    bool was_listening = false;
   };
 
-  void Ask(const CutRun& run);
-  void TakeState(const std::string& server, ListenState state);
-  void End(std::string_view server, std::string_view how);
-  void DropOld();
+  void Probe(const CutRun& run);
+  void OnProbed(const std::string& server, ListenState state);
+  void ReportCrash(std::string_view server, std::string_view cause);
+  void DropExpired();
 
   ListenCheck& check;
   const Clock& clock;
   Scheduler& scheduler;
   Listener listener;
-  std::map<std::string, std::vector<Waiting>, std::less<>> waiting;
-  std::set<std::string> asking;  ///< servers whose answer is awaited
+  std::map<std::string, std::vector<PendingRun>, std::less<>>
+      pending;                    ///< by server
+  std::set<std::string> probing;  ///< servers with a connection attempt pending
   Lifetime life;
 };
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_QUARANTINE_SERVER_END_WATCH_H_
+#endif  // MEADOWTHREAD_QUARANTINE_SERVER_CRASH_DETECTOR_H_
--- a/src/quarantine/tests/content_key_test.cc
+++ b/src/quarantine/tests/content_key_test.cc
@@ -1,4 +1,4 @@
-// By what a request is known again.
+// Keys that identify retries of the same request content.
 #include "quarantine/content_key.h"
 
 #include <criterion/criterion.h>
@@ -9,27 +9,28 @@
 namespace meadowthread {
 namespace {
 
-const RunContent kContent = {"makati", "shop.example", "/report/x", "prompt"};
+const RequestContent kContent = {"makati", "shop.example", "/report/x",
+                                 "prompt"};
 
-Test(a_content, has_one_key_at_every_host) {
+Test(a_content, always_has_the_same_key) {
   cr_assert(ContentKeyOf(kContent) == ContentKeyOf(kContent));
   cr_assert(IsContentKey(ContentKeyOf(kContent)));
 }
 
-Test(a_content, shares_its_key_with_no_other) {
+Test(different_contents, have_different_keys) {
   std::set<std::string> keys = {ContentKeyOf(kContent)};
-  for (const RunContent& other :
-       {RunContent{"pasig", "shop.example", "/report/x", "prompt"},
-        RunContent{"makati", "other.example", "/report/x", "prompt"},
-        RunContent{"makati", "shop.example", "/report/y", "prompt"},
-        RunContent{"makati", "shop.example", "/report/x", "prompts"},
-        RunContent{"makati", "shop.example", "/report/xprompt", ""},
-        RunContent{"", "makatishop.example", "/report/x", "prompt"}}) {
+  for (const RequestContent& other :
+       {RequestContent{"pasig", "shop.example", "/report/x", "prompt"},
+        RequestContent{"makati", "other.example", "/report/x", "prompt"},
+        RequestContent{"makati", "shop.example", "/report/y", "prompt"},
+        RequestContent{"makati", "shop.example", "/report/x", "prompts"},
+        RequestContent{"makati", "shop.example", "/report/xprompt", ""},
+        RequestContent{"", "makatishop.example", "/report/x", "prompt"}}) {
     cr_assert(keys.insert(ContentKeyOf(other)).second);
   }
 }
 
-Test(what_is_no_key, is_told_apart) {
+Test(a_malformed_key, is_rejected) {
   for (const char* const wrong : {"", "abc", "0123456789ABCDEF0123456789ABCDEF",
                                   "0123456789abcdef0123456789abcdeg",
                                   "0123456789abcdef0123456789abcdef0"}) {
--- a/src/quarantine/tests/crash_book_test.cc
+++ b/src/quarantine/tests/crash_book_test.cc
@@ -1,4 +1,4 @@
-// How much a host keeps, and of whom.
+// Bounds, merging, expiration and encoding of crash records.
 #include "quarantine/crash_book.h"
 
 #include <criterion/criterion.h>
@@ -13,92 +13,93 @@
 
 constexpr std::int64_t kNow = 1'790'000'000'000;
 
-CrashRecord RecordOf(const std::string& workspace, int n, int ends) {
+CrashRecord RecordOf(const std::string& workspace, int n, int crashes) {
   CrashRecord record;
   record.id = {workspace, absl::StrFormat("%032x", n)};
   record.route = "report";
   record.request = "r";
-  for (int i = 0; i < ends; ++i) {
+  for (int i = 0; i < crashes; ++i) {
     record.ends.push_back({absl::StrFormat("s-%d-%d", n, i), true, kNow + i});
   }
   return record;
 }
 
-bool IsQuarantined(const CrashBook& book, const CrashRecordId& id) {
-  const CrashRecord* const record = book.Find(id);
+bool IsQuarantined(const CrashBook& table, const CrashRecordId& id) {
+  const CrashRecord* const record = table.Find(id);
   return record != nullptr && Judge(*record, kNow + 10).in_quarantine;
 }
 
-Test(a_workspace_with_thousands_of_such_contents, takes_no_room_of_others) {
-  CrashBook book({4, 10});
+Test(a_workspace_with_thousands_of_records, evicts_none_of_other_workspaces) {
+  CrashBook table({4, 10});
   const CrashRecord other = RecordOf("pasig", 1, 3);
-  book.Take(other, kNow + 10);
+  table.Take(other, kNow + 10);
   for (int n = 0; n < 2'000; ++n) {
-    book.Take(RecordOf("makati", n, 3), kNow + 10);
+    table.Take(RecordOf("makati", n, 3), kNow + 10);
   }
-  cr_assert(book.Size() == 5, "%zu", book.Size());
-  cr_assert(IsQuarantined(book, other.id));
+  cr_assert(table.Size() == 5, "%zu", table.Size());
+  cr_assert(IsQuarantined(table, other.id));
   for (int n = 0; n < 40; ++n) {
-    book.Take(RecordOf("w-" + std::to_string(n), 1, 1), kNow + 10);
+    table.Take(RecordOf("w-" + std::to_string(n), 1, 1), kNow + 10);
   }
-  cr_assert(book.Size() <= 10, "%zu", book.Size());
+  cr_assert(table.Size() <= 10, "%zu", table.Size());
 }
 
-Test(a_book_without_room, gives_up_suspects_before_what_is_in_quarantine) {
-  CrashBook book({3, 100});
-  const CrashRecord guilty = RecordOf("makati", 1, 3);
-  book.Take(guilty, kNow + 10);
+Test(a_full_workspace, evicts_suspects_before_quarantined_contents) {
+  CrashBook table({3, 100});
+  const CrashRecord quarantined = RecordOf("makati", 1, 3);
+  table.Take(quarantined, kNow + 10);
   for (int n = 2; n < 50; ++n) {
-    book.Take(RecordOf("makati", n, 1), kNow + 10);
+    table.Take(RecordOf("makati", n, 1), kNow + 10);
   }
-  cr_assert(IsQuarantined(book, guilty.id));
+  cr_assert(IsQuarantined(table, quarantined.id));
 }
 
-Test(a_book, tells_what_is_new_once) {
-  CrashBook book;
-  int told = 0;
-  book.AddListener([&told](const CrashRecord&) { ++told; });
-  cr_assert(book.Take(RecordOf("makati", 1, 2), kNow + 10));
-  cr_assert_not(book.Take(RecordOf("makati", 1, 1), kNow + 10));
-  cr_assert(book.Take(RecordOf("makati", 1, 3), kNow + 10));
-  cr_assert(told == 2);
+Test(a_listener, is_called_for_new_information_only) {
+  CrashBook table;
+  int calls = 0;
+  table.AddListener([&calls](const CrashRecord&) { ++calls; });
+  cr_assert(table.Take(RecordOf("makati", 1, 2), kNow + 10));
+  cr_assert_not(table.Take(RecordOf("makati", 1, 1), kNow + 10));
+  cr_assert(table.Take(RecordOf("makati", 1, 3), kNow + 10));
+  cr_assert(calls == 2);
 }
 
-Test(a_book, looks_for_contents_only_where_one_is_suspected) {
-  CrashBook book;
-  book.Take(RecordOf("makati", 1, 1), kNow + 10);
-  cr_assert(book.HasSuspects("makati"));
-  cr_assert_not(book.HasSuspects("pasig"));
+Test(a_workspace, has_suspects_until_they_are_cleared) {
+  CrashBook table;
+  table.Take(RecordOf("makati", 1, 1), kNow + 10);
+  cr_assert(table.HasSuspects("makati"));
+  cr_assert_not(table.HasSuspects("pasig"));
   CrashRecord cleared = RecordOf("makati", 1, 0);
   cleared.cleared_ms = kNow + 5;
-  book.Take(cleared, kNow + 10);
-  cr_assert_not(book.HasSuspects("makati"));
+  table.Take(cleared, kNow + 10);
+  cr_assert_not(table.HasSuspects("makati"));
 }
 
-// A host that has not heard of it yet tells the old ends again.
-Test(a_cleared_content, stays_cleared_when_old_ends_are_told_again) {
-  CrashBook book;
-  book.Take(RecordOf("makati", 1, 3), kNow + 10);
+// A host that does not know yet that the content was cleared may send the old
+// crashes again.
+Test(a_cleared_content, stays_cleared_when_old_crashes_are_received_again) {
+  CrashBook table;
+  table.Take(RecordOf("makati", 1, 3), kNow + 10);
   CrashRecord cleared = RecordOf("makati", 1, 0);
   cleared.cleared_ms = kNow + 5;
-  book.Take(cleared, kNow + 10);
-  book.Forget(kNow + 60'000);
-  cr_assert_not(book.Take(RecordOf("makati", 1, 3), kNow + 60'000));
-  cr_assert_not(IsQuarantined(book, cleared.id));
+  table.Take(cleared, kNow + 10);
+  table.DropExpired(kNow + 60'000);
+  cr_assert_not(table.Take(RecordOf("makati", 1, 3), kNow + 60'000));
+  cr_assert_not(IsQuarantined(table, cleared.id));
 }
 
-Test(a_book, forgets_what_nothing_depends_on) {
-  CrashBook book;
-  book.Take(RecordOf("makati", 1, 1), kNow + 10);
-  book.Forget(kNow + 1'000);
-  cr_assert(book.Size() == 1);
-  book.Forget(kNow + 700'000);
-  cr_assert(book.Size() == 0);
-  cr_assert_not(book.Take(RecordOf("makati", 1, 1), kNow + 700'000));
-  cr_assert(book.Size() == 0, "what is told late is not kept either");
+Test(an_expired_record, is_dropped_and_not_accepted_again) {
+  CrashBook table;
+  table.Take(RecordOf("makati", 1, 1), kNow + 10);
+  table.DropExpired(kNow + 1'000);
+  cr_assert(table.Size() == 1);
+  table.DropExpired(kNow + 700'000);
+  cr_assert(table.Size() == 0);
+  cr_assert_not(table.Take(RecordOf("makati", 1, 1), kNow + 700'000));
+  cr_assert(table.Size() == 0, "a late record is not kept either");
 }
 
-Test(books, have_one_digest_where_they_know_the_same) {
+Test(digests, are_equal_if_the_records_are) {
   CrashBook one;
   CrashBook other;
   one.Take(RecordOf("makati", 1, 2), kNow + 10);
@@ -109,7 +110,7 @@
   cr_assert(one.Digest() == other.Digest());
 }
 
-Test(a_record, travels_whole) {
+Test(a_record, survives_a_round_trip) {
   CrashRecord record = RecordOf("makati", 7, 3);
   record.cleared_ms = 5;
   record.kept_ms = 6;
@@ -120,7 +121,7 @@
   cr_assert(*read == record);
 }
 
-Test(what_is_no_record, is_refused) {
+Test(a_malformed_record, is_rejected) {
   using nlohmann::json;
   const json good = CrashRecordJson(RecordOf("makati", 7, 2));
   for (const char* const field : {"workspace", "content", "route", "request",
--- a/src/quarantine/tests/crash_record_test.cc
+++ b/src/quarantine/tests/crash_record_test.cc
@@ -1,4 +1,4 @@
-// What follows from the ends of servers under one content.
+// Verdicts on request contents that servers crashed on, and merging of records.
 #include "quarantine/crash_record.h"
 
 #include <criterion/criterion.h>
@@ -12,13 +12,14 @@
 constexpr std::int64_t kMinute = 60'000;
 constexpr std::int64_t kDay = 86'400'000;
 
-struct Story {
-  /// @param[in] at_ms since the story's begin
-  void End(std::int64_t at_ms, bool before_any_answer = true) {
-    CrashRecord end = this->record;
-    end.ends = {{"s-" + std::to_string(++this->servers), before_any_answer,
-                 kStart + at_ms}};
-    Merge(end, &this->record);
+struct Fixture {
+  /// @brief A server crashes while it runs the content.
+  /// @param[in] at_ms since kStart
+  void Crash(std::int64_t at_ms, bool before_any_answer = true) {
+    CrashRecord crash = this->record;
+    crash.ends = {{"s-" + std::to_string(++this->servers), before_any_answer,
+                   kStart + at_ms}};
+    Merge(crash, &this->record);
   }
   bool IsQuarantined(std::int64_t at_ms) const {
     return Judge(this->record, kStart + at_ms).in_quarantine;
@@ -31,128 +32,129 @@
   int servers = 0;
 };
 
-Test(a_content_under_which_servers_end, is_in_quarantine_after_three) {
-  Story story;
+Test(a_content_that_crashes_servers, is_in_quarantine_after_three_crashes) {
+  Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
-    cr_assert_not(story.IsQuarantined(at_ms));
-    story.End(at_ms);
+    cr_assert_not(fixture.IsQuarantined(at_ms));
+    fixture.Crash(at_ms);
   }
-  cr_assert(story.IsQuarantined(1'400));
+  cr_assert(fixture.IsQuarantined(1'400));
 }
 
-Test(a_content_under_which_servers_end, counts_each_server_once) {
-  Story story;
-  story.End(0);
+Test(a_content_that_crashes_servers, is_charged_once_per_server) {
+  Fixture fixture;
+  fixture.Crash(0);
   for (int n = 0; n < 5; ++n) {
-    CrashRecord same = story.record;
+    CrashRecord same = fixture.record;
     same.ends[0].unix_ms += n;
-    cr_assert_not(Merge(same, &story.record), "no news");
+    cr_assert_not(Merge(same, &fixture.record), "nothing new");
   }
-  cr_assert_not(story.IsQuarantined(10));
+  cr_assert_not(fixture.IsQuarantined(10));
 }
 
-// It was rather beside the request that ended them.
-Test(a_content_that_had_begun_to_be_answered, takes_one_end_more) {
-  Story story;
+// Such a request was more likely running beside the one that crashed the
+// server.
+Test(a_content_with_output_before_the_crash, needs_one_crash_more) {
+  Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
-    story.End(at_ms, false);
+    fixture.Crash(at_ms, false);
   }
-  cr_assert_not(story.IsQuarantined(1'400));
-  story.End(2'100, false);
-  cr_assert(story.IsQuarantined(2'100));
+  cr_assert_not(fixture.IsQuarantined(1'400));
+  fixture.Crash(2'100, false);
+  cr_assert(fixture.IsQuarantined(2'100));
 }
 
-Test(a_content_that_runs_to_a_good_end, is_suspected_no_more) {
-  Story story;
-  story.End(0);
-  story.End(700);
-  story.record.cleared_ms = kStart + 900;
-  story.End(1'400);
-  story.End(2'100);
-  cr_assert_not(story.IsQuarantined(2'100));
-  cr_assert(story.record.ends.size() == 2, "the cleared ones are gone");
-  story.End(2'800);
-  cr_assert(story.IsQuarantined(2'800));
+Test(a_content_that_completes, is_no_longer_suspected) {
+  Fixture fixture;
+  fixture.Crash(0);
+  fixture.Crash(700);
+  fixture.record.cleared_ms = kStart + 900;
+  fixture.Crash(1'400);
+  fixture.Crash(2'100);
+  cr_assert_not(fixture.IsQuarantined(2'100));
+  cr_assert(fixture.record.ends.size() == 2, "the cleared ones were dropped");
+  fixture.Crash(2'800);
+  cr_assert(fixture.IsQuarantined(2'800));
 }
 
-Test(a_content_under_which_servers_end, is_forgotten_when_it_stays_away) {
-  Story story;
-  story.End(0);
-  story.End(700);
-  story.End(12 * kMinute);
-  cr_assert_not(story.IsQuarantined(12 * kMinute));
+Test(a_content_that_crashes_servers, is_not_charged_for_crashes_long_ago) {
+  Fixture fixture;
+  fixture.Crash(0);
+  fixture.Crash(700);
+  fixture.Crash(12 * kMinute);
+  cr_assert_not(fixture.IsQuarantined(12 * kMinute));
 }
 
-// Engines are mended; but while they are not, the quarantine's end costs one of
-// them each time, and ever less often.
-Test(a_quarantine, ends_and_comes_back_after_one_end_for_twice_as_long) {
-  Story story;
+// The engine may have been fixed meanwhile. If not, each end of a quarantine
+// costs one crash, at intervals that double.
+Test(a_quarantine, ends_and_returns_after_one_crash_for_twice_as_long) {
+  Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
-    story.End(at_ms);
+    fixture.Crash(at_ms);
   }
-  const std::int64_t first_ms = story.LastsMs(1'400);
+  const std::int64_t first_ms = fixture.LastsMs(1'400);
   cr_assert(first_ms == 10 * kMinute);
   const std::int64_t over_ms = 1'400 + first_ms;
-  cr_assert(story.IsQuarantined(over_ms - 1));
-  cr_assert_not(story.IsQuarantined(over_ms));
-  story.End(over_ms + 500);
-  cr_assert(story.IsQuarantined(over_ms + 500));
-  cr_assert(story.LastsMs(over_ms + 500) == 2 * first_ms);
+  cr_assert(fixture.IsQuarantined(over_ms - 1));
+  cr_assert_not(fixture.IsQuarantined(over_ms));
+  fixture.Crash(over_ms + 500);
+  cr_assert(fixture.IsQuarantined(over_ms + 500));
+  cr_assert(fixture.LastsMs(over_ms + 500) == 2 * first_ms);
 }
 
-// What was under way when it began would make it longer each time.
-Test(a_quarantine, is_not_made_longer_by_runs_that_were_under_way) {
-  Story story;
+// Otherwise runs that had begun before the quarantine would prolong it.
+Test(a_quarantine, is_not_prolonged_by_runs_that_had_begun_before_it) {
+  Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400, 1'500, 1'600}) {
-    story.End(at_ms);
+    fixture.Crash(at_ms);
   }
-  cr_assert(Judge(story.record, kStart + 1'600).strikes == 1);
-  cr_assert(story.LastsMs(1'400) == 10 * kMinute);
+  cr_assert(Judge(fixture.record, kStart + 1'600).strikes == 1);
+  cr_assert(fixture.LastsMs(1'400) == 10 * kMinute);
 }
 
 Test(a_quarantine, lasts_for_most_of_a_day_at_most) {
-  Story story;
+  Fixture fixture;
   std::int64_t at_ms = 0;
   for (int n = 0; n < 40; ++n) {
-    story.End(at_ms);
-    at_ms += story.IsQuarantined(at_ms) ? story.LastsMs(at_ms) : 700;
+    fixture.Crash(at_ms);
+    at_ms += fixture.IsQuarantined(at_ms) ? fixture.LastsMs(at_ms) : 700;
   }
-  cr_assert(story.IsQuarantined(at_ms - 1));
-  story.End(at_ms);
-  cr_assert(story.LastsMs(at_ms) <= kDay);
-  cr_assert(story.record.ends.size() <= 16, "bounded");
+  cr_assert(fixture.IsQuarantined(at_ms - 1));
+  fixture.Crash(at_ms);
+  cr_assert(fixture.LastsMs(at_ms) <= kDay);
+  cr_assert(fixture.record.ends.size() <= 16, "bounded");
 }
 
-Test(an_operator, keeps_a_content_in_quarantine_and_lifts_it) {
-  Story story;
-  story.End(0);
-  story.record.kept_ms = kStart + 100;
-  cr_assert(story.IsQuarantined(60 * kMinute));
-  story.record.cleared_ms = kStart + 60 * kMinute;
-  cr_assert_not(story.IsQuarantined(60 * kMinute));
+Test(an_operator, puts_a_content_in_quarantine_and_lifts_it) {
+  Fixture fixture;
+  fixture.Crash(0);
+  fixture.record.kept_ms = kStart + 100;
+  cr_assert(fixture.IsQuarantined(60 * kMinute));
+  fixture.record.cleared_ms = kStart + 60 * kMinute;
+  cr_assert_not(fixture.IsQuarantined(60 * kMinute));
 }
 
-Test(two_hosts_that_know_the_same, decide_the_same_in_whatever_order) {
-  Story story;
+Test(merging, gives_the_same_record_in_any_order) {
+  Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
-    story.End(at_ms);
+    fixture.Crash(at_ms);
   }
-  story.record.cleared_ms = kStart + 100;
-  CrashRecord forth;
-  CrashRecord back;
-  const std::vector<ServerEnd> ends = story.record.ends;
+  fixture.record.cleared_ms = kStart + 100;
+  CrashRecord forward;
+  CrashRecord backward;
+  const std::vector<ServerCrash> ends = fixture.record.ends;
   for (std::size_t n = 0; n < ends.size(); ++n) {
     CrashRecord one;
     one.ends = {ends[n]};
-    Merge(one, &forth);
+    Merge(one, &forward);
     one.ends = {ends[ends.size() - 1 - n]};
-    one.cleared_ms = n == 1 ? story.record.cleared_ms : 0;
-    Merge(one, &back);
+    one.cleared_ms = n == 1 ? fixture.record.cleared_ms : 0;
+    Merge(one, &backward);
   }
-  Merge(back, &forth);
-  Merge(forth, &back);
-  cr_assert(forth.ends == back.ends);
-  cr_assert(forth.cleared_ms == back.cleared_ms);
+  Merge(backward, &forward);
+  Merge(forward, &backward);
+  cr_assert(forward.ends == backward.ends);
+  cr_assert(forward.cleared_ms == backward.cleared_ms);
 }
 
 }  // namespace
--- a/src/quarantine/tests/fake_listen_check.h
+++ b/src/quarantine/tests/fake_listen_check.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread::testing {
 
-/// @brief Connections that are tried, answered by the test.
+/// @brief Connection attempts whose results the test gives.
 class FakeListenCheck final : public ListenCheck {
  public:
   void Ask(std::string_view address, std::int64_t /*limit_ms*/,
@@ -19,7 +19,7 @@
     this->asked.emplace_back(address, done);
   }
 
-  /// @brief Answers the oldest question.
+  /// @brief Gives the result of the oldest attempt.
   void Answer(ListenState state) {
     const Done done = this->asked.front().second;
     this->asked.pop_front();
--- a/src/quarantine/tests/server_crash_detector_test.cc
+++ b/src/quarantine/tests/server_crash_detector_test.cc
@@ -1,4 +1,4 @@
-// Which cut runs speak of a server's end, and which of nothing.
+// Which interrupted runs are reported as server crashes.
 #include "quarantine/server_crash_detector.h"
 
 #include <criterion/criterion.h>
@@ -12,7 +12,7 @@
 namespace meadowthread {
 namespace {
 
-struct Story {
+struct Fixture {
   static CutRun Run(const std::string& content, const std::string& server) {
     CutRun run;
     run.id = {"makati", content};
@@ -21,7 +21,7 @@
     run.before_any_answer = true;
     return run;
   }
-  void Pass(std::int64_t ms) {
+  void Elapse(std::int64_t ms) {
     this->clock.Advance(ms);
     this->scheduler.RunDue();
   }
@@ -29,75 +29,78 @@
   ManualClock clock{1'790'000'000'000};
   ManualScheduler scheduler{&this->clock};
   testing::FakeListenCheck check;
-  std::vector<CrashRecord> told;
-  ServerEndWatch watch{
+  std::vector<CrashRecord> reported;
+  ServerCrashDetector detector{
       this->check, this->clock, this->scheduler,
-      [this](const CrashRecord& record) { this->told.push_back(record); }};
+      [this](const CrashRecord& record) { this->reported.push_back(record); }};
 };
 
-Test(a_cut_run, speaks_of_an_end_where_the_server_takes_no_connections) {
-  Story story;
-  story.watch.Add(Story::Run("c-1", "s-1"));
-  story.watch.Add(Story::Run("c-2", "s-1"));
-  cr_assert(story.check.asked.size() == 1, "asked once for both");
-  cr_assert(story.told.empty());
-  const std::int64_t cut_ms = story.clock.WallMs();
-  story.Pass(100);
-  story.check.Answer(ListenState::kRefused);
-  cr_assert(story.told.size() == 2);
-  cr_assert(story.told[0].id.content == "c-1");
-  cr_assert(story.told[0].ends[0].server == "s-1");
-  cr_assert(story.told[0].ends[0].unix_ms == cut_ms);
+Test(an_interrupted_run, is_reported_if_the_server_refuses_connections) {
+  Fixture fixture;
+  fixture.detector.Add(Fixture::Run("c-1", "s-1"));
+  fixture.detector.Add(Fixture::Run("c-2", "s-1"));
+  cr_assert(fixture.check.asked.size() == 1, "one connection attempt for both");
+  cr_assert(fixture.reported.empty());
+  const std::int64_t cut_ms = fixture.clock.WallMs();
+  fixture.Elapse(100);
+  fixture.check.Answer(ListenState::kRefused);
+  cr_assert(fixture.reported.size() == 2);
+  cr_assert(fixture.reported[0].id.content == "c-1");
+  cr_assert(fixture.reported[0].ends[0].server == "s-1");
+  cr_assert(fixture.reported[0].ends[0].unix_ms == cut_ms);
 }
 
-// A garbled answer, a lost connection, a host that is cut off.
-Test(a_cut_run, speaks_of_nothing_where_the_server_listens_or_is_silent) {
+// A malformed response, a lost connection, or a host that is unreachable.
+Test(an_interrupted_run, is_not_reported_if_the_server_accepts_or_is_silent) {
   for (const ListenState state :
        {ListenState::kListens, ListenState::kSilent}) {
-    Story story;
-    story.watch.Add(Story::Run("c-1", "s-1"));
-    story.check.Answer(state);
-    story.Pass(60'000);
-    cr_assert(story.told.empty());
-    story.watch.NoteGone("s-1");
-    cr_assert(story.told.empty(), "it went long after");
+    Fixture fixture;
+    fixture.detector.Add(Fixture::Run("c-1", "s-1"));
+    fixture.check.Answer(state);
+    fixture.Elapse(60'000);
+    cr_assert(fixture.reported.empty());
+    fixture.detector.NoteGone("s-1");
+    cr_assert(fixture.reported.empty(), "it disappeared much later");
   }
 }
 
-Test(a_cut_run, speaks_of_an_end_where_the_server_is_gone_soon_after) {
-  Story story;
-  story.watch.Add(Story::Run("c-1", "s-1"));
-  story.check.Answer(ListenState::kSilent);
-  story.Pass(4'000);
-  story.watch.NoteGone("s-2");
-  cr_assert(story.told.empty());
-  story.watch.NoteGone("s-1");
-  cr_assert(story.told.size() == 1);
-  story.watch.NoteGone("s-1");
-  cr_assert(story.told.size() == 1);
+Test(an_interrupted_run, is_reported_if_the_server_is_gone_soon_after) {
+  Fixture fixture;
+  fixture.detector.Add(Fixture::Run("c-1", "s-1"));
+  fixture.check.Answer(ListenState::kSilent);
+  fixture.Elapse(4'000);
+  fixture.detector.NoteGone("s-2");
+  cr_assert(fixture.reported.empty());
+  fixture.detector.NoteGone("s-1");
+  cr_assert(fixture.reported.size() == 1);
+  fixture.detector.NoteGone("s-1");
+  cr_assert(fixture.reported.size() == 1);
 }
 
-// An answer was spoilt, and seconds later a request ends the same server.
-Test(a_cut_run, is_no_part_of_an_end_that_came_after_it) {
-  Story story;
-  story.watch.Add(Story::Run("c-1", "s-1"));
-  story.check.Answer(ListenState::kListens);
-  story.Pass(2'000);
-  story.watch.Add(Story::Run("c-2", "s-1"));
-  cr_assert(story.check.asked.size() == 1, "asked again");
-  story.check.Answer(ListenState::kRefused);
-  cr_assert(story.told.size() == 1 && story.told[0].id.content == "c-2");
+// A response was malformed, and seconds later another request crashes the same
+// server.
+Test(an_interrupted_run, is_not_reported_for_a_later_crash) {
+  Fixture fixture;
+  fixture.detector.Add(Fixture::Run("c-1", "s-1"));
+  fixture.check.Answer(ListenState::kListens);
+  fixture.Elapse(2'000);
+  fixture.detector.Add(Fixture::Run("c-2", "s-1"));
+  cr_assert(fixture.check.asked.size() == 1, "tried again");
+  fixture.check.Answer(ListenState::kRefused);
+  cr_assert(fixture.reported.size() == 1 &&
+            fixture.reported[0].id.content == "c-2");
 }
 
-Test(a_run_that_got_no_answer_in_time, waits_for_the_servers_end_only) {
-  Story story;
-  CutRun run = Story::Run("c-1", "s-1");
-  run.was_silent = true;
-  story.watch.Add(run);
-  cr_assert(story.check.asked.empty(), "a slow server is not asked");
-  story.Pass(3'000);
-  story.watch.NoteGone("s-1");
-  cr_assert(story.told.size() == 1);
+Test(a_run_that_timed_out, is_reported_only_if_the_server_is_gone) {
+  Fixture fixture;
+  CutRun run = Fixture::Run("c-1", "s-1");
+  run.timed_out = true;
+  fixture.detector.Add(run);
+  cr_assert(fixture.check.asked.empty(),
+            "no connection attempt to a slow server");
+  fixture.Elapse(3'000);
+  fixture.detector.NoteGone("s-1");
+  cr_assert(fixture.reported.size() == 1);
 }
 
 }  // namespace
