--- a/src/hosts/host_directory.h
+++ b/src/hosts/host_directory.h
@@ -12,24 +12,25 @@
 
 namespace meadowthread {
 
-/// @brief The newest host list that this process has seen.
+/// @brief The hosts of the newest host list that this process has received.
 class HostDirectory {
  public:
   using Listener = std::function<void()>;
 
-  /// @brief Takes a list unless it is older than the one in hand.
-  /// @return whether it was taken
+  /// @brief Replaces the hosts by those of `list`, unless that is older than
+  /// the current list.
+  /// @return whether the hosts were replaced
   bool Apply(const HostList& list);
 
-  /// @brief Called after each list that was taken.
+  /// @brief Adds a function that is called whenever the hosts were replaced.
   void AddListener(const Listener& listener) {
     this->listeners.push_back(listener);
   }
 
-  /// @brief The entry of a host, or null.
+  /// @brief The entry of a host, or null if it is not listed.
   const HostEntry* Find(std::string_view name) const;
 
-  /// @brief All hosts of a role, by name.
+  /// @brief All hosts with a role, sorted by name.
   std::vector<const HostEntry*> OfRole(HostRole role) const;
 
  private:
--- a/src/hosts/host_list.cc
+++ b/src/hosts/host_list.cc
@@ -17,7 +17,7 @@
 constexpr std::string_view kStep = "read-host-list";
 constexpr std::string_view kPeer = "host-list";
 
-absl::Status Malformed(std::string_view what) {
+absl::Status MalformedError(std::string_view what) {
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
   detail.step = std::string(kStep);
@@ -26,9 +26,9 @@
 }
 
 std::string AuthorityOf(const std::string& address, int port) {
-  const bool v6 = address.find(':') != std::string::npos;
-  return v6 ? absl::StrCat("[", address, "]:", port)
-            : absl::StrCat(address, ":", port);
+  const bool is_ipv6 = address.find(':') != std::string::npos;
+  return is_ipv6 ? absl::StrCat("[", address, "]:", port)
+                 : absl::StrCat(address, ":", port);
 }
 
 absl::StatusOr<HostRole> RoleOf(std::string_view name) {
@@ -41,7 +41,7 @@
   if (name == "entry") {
     return HostRole::kEntry;
   }
-  return FieldError(ErrorId::kFieldInvalid, "role", "is no known role");
+  return FieldError(ErrorId::kFieldInvalid, "role", "is not a known role");
 }
 
 bool IsPort(std::int64_t port) { return port >= 0 && port <= kHighestPort; }
@@ -73,7 +73,8 @@
   const std::int64_t control_port = IntOr(value, "control_port", 0);
   if (!IsPort(*port) || !IsPort(control_port)) {
     return FieldError(ErrorId::kFieldInvalid,
-                      IsPort(*port) ? "control_port" : "port", "is no port");
+                      IsPort(*port) ? "control_port" : "port",
+                      "is not a valid port");
   }
   HostEntry entry;
   entry.name = *name;
@@ -107,7 +108,7 @@
 absl::StatusOr<HostList> DecodeHostList(std::string_view body) {
   const auto hosts = JsonElements(JsonMemberText(body, "hosts"));
   if (!hosts.has_value()) {
-    return Malformed("field 'hosts' is missing or no list");
+    return MalformedError("field 'hosts' is missing or not a list");
   }
   HostList list;
   if (!absl::SimpleAtoi(AbslView(JsonMemberText(body, "as_of_unix_ms")),
@@ -121,11 +122,11 @@
       continue;
     }
     if (++list.passed_over == 1) {
-      list.first_fault = std::string{entry.status().message()};
+      list.first_error = std::string{entry.status().message()};
     }
   }
   if (list.hosts.empty() && list.passed_over > 0) {
-    return Malformed(list.first_fault);
+    return MalformedError(list.first_error);
   }
   return list;
 }
--- a/src/hosts/host_list.h
+++ b/src/hosts/host_list.h
@@ -10,42 +10,46 @@
 
 namespace meadowthread {
 
-/// @brief What a host is for.
-enum class HostRole { kEntry, kEngine, kBackend };
+/// @brief The kinds of entries in the host list.
+enum class HostRole {
+  kEntry,   ///< a host of this system, which callers connect to
+  kEngine,  ///< a model engine
+  kBackend  ///< a server of a plain service
+};
 
-/// @brief One line of the platform's host list.
+/// @brief One entry of the platform's host list.
 struct HostEntry {
   std::string name;
   HostRole role = HostRole::kEntry;
-  std::string address;  ///< an IP number
+  std::string address;  ///< IP address
   int port = 0;
   int control_port = 0;  ///< entry hosts only
   std::string zone;
   std::string region;
-  bool leaving = false;
-  bool checks_fence = false;  ///< engines: refuses old fencing numbers
-  std::string service;        ///< backends: the plain service it belongs to
+  bool leaving = false;       ///< listed with a state other than "live"
+  bool checks_fence = false;  ///< engines: refuses stale fencing tokens
+  std::string service;        ///< backends: the service that it serves
 
   /// @brief "ADDRESS:PORT".
   std::string Authority() const;
   /// @brief "http://ADDRESS:PORT".
   std::string BaseUrl() const;
-  /// @brief As BaseUrl, with the control port.
+  /// @brief "http://ADDRESS:CONTROL_PORT".
   std::string ControlUrl() const;
 };
 
-/// @brief The host list as of some time; it lags.
+/// @brief The host list at a point in time; it may be out of date.
 struct HostList {
   std::int64_t as_of_unix_ms = 0;
   std::vector<HostEntry> hosts;
-  int passed_over = 0;           ///< entries that name no host to use
-  std::string first_fault = {};  ///< of the first of them, with its field
+  int passed_over = 0;           ///< number of invalid entries, left out
+  std::string first_error = {};  ///< of the first invalid entry
 };
 
-/// @brief Reads the platform's answer; an error names the field.
+/// @brief Decodes the platform's JSON answer; an error names the invalid field.
 ///
-/// An entry that can't be read, or names a role that isn't known, is passed
-/// over; a list of nothing else is none.
+/// An entry that is invalid or has an unknown role is skipped. If all entries
+/// are skipped, the result is an error.
 absl::StatusOr<HostList> DecodeHostList(std::string_view body);
 
 }  // namespace meadowthread
--- a/src/hosts/host_list_poller.cc
+++ b/src/hosts/host_list_poller.cc
@@ -9,7 +9,7 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::size_t kMaxBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{16} * 1024 * 1024;
 constexpr std::int64_t kTimeoutMs = 2000;
 
 }  // namespace
@@ -29,26 +29,27 @@
   HttpRequest request;
   request.url = this->url;
   request.total_timeout_ms = kTimeoutMs;
-  Fetch(this->client, request, kMaxBytes, [this](const HttpFetched& fetched) {
-    this->Take(fetched);
-    this->scheduler.After(this->period_ms, [this] { this->Poll(); });
-  });
+  Fetch(this->client, request, kMaxAnswerBytes,
+        [this](const HttpFetched& fetched) {
+          this->OnFetched(fetched);
+          this->scheduler.After(this->period_ms, [this] { this->Poll(); });
+        });
 }
 
-// The last list stays in use while none can be read: the list is a hint, and
-// what it lacks is found out by asking hosts.
-void HostListPoller::Take(const HttpFetched& fetched) {
+// If the list cannot be read, the last one stays in use. It may be out of date
+// anyway, and hosts are asked directly for what it lacks.
+void HostListPoller::OnFetched(const HttpFetched& fetched) {
   absl::Status status = fetched.end.status;
   if (status.ok() && fetched.response.http_status != http_code::kOk) {
     status = absl::UnavailableError(
-        absl::StrCat("answered ", fetched.response.http_status));
+        absl::StrCat("answered HTTP status ", fetched.response.http_status));
   }
   if (status.ok()) {
     const absl::StatusOr<HostList> list = DecodeHostList(fetched.response.body);
     status = list.status();
     if (list.ok()) {
       this->directory.Apply(*list);
-      this->NotePassedOver(*list);
+      this->LogSkippedEntries(*list);
     }
   }
   if (status.ok() == this->failing) {
@@ -60,12 +61,13 @@
   }
 }
 
-// A line when their number changes: the list is read again every few moments.
-void HostListPoller::NotePassedOver(const HostList& list) {
-  if (std::exchange(this->passed_over, list.passed_over) != list.passed_over) {
+// Logs only when the number changes, because the list is read repeatedly.
+void HostListPoller::LogSkippedEntries(const HostList& list) {
+  if (std::exchange(this->skipped_entries, list.passed_over) !=
+      list.passed_over) {
     LogLine("host-list-passed-over")
         .Add("entries", list.passed_over)
-        .Add("first", list.first_fault)
+        .Add("first", list.first_error)
         .WriteImportant();
   }
 }
--- a/src/hosts/host_list_poller.h
+++ b/src/hosts/host_list_poller.h
@@ -10,29 +10,30 @@
 
 namespace meadowthread {
 
-/// @brief Reads the platform's host list again and again.
+/// @brief Polls the platform's host list and passes it to the directory.
 class HostListPoller {
  public:
-  /// @param[in] client, scheduler, directory outlive the poller
+  /// @param[in] client,scheduler,directory outlive the poller
+  /// @param[in] period_ms from an answer to the next request
   HostListPoller(HttpClient& client, Scheduler& scheduler,
                  HostDirectory& directory, std::string_view url,
                  std::int64_t period_ms);
 
-  /// @brief Reads now and from then on every period.
+  /// @brief Reads the list now and then periodically.
   void Start();
 
  private:
   void Poll();
-  void Take(const HttpFetched& fetched);
-  void NotePassedOver(const HostList& list);
+  void OnFetched(const HttpFetched& fetched);
+  void LogSkippedEntries(const HostList& list);
 
   HttpClient& client;
   Scheduler& scheduler;
   HostDirectory& directory;
   std::string url;
   std::int64_t period_ms;
-  bool failing = false;
-  int passed_over = 0;  ///< in the last list that was read
+  bool failing = false;     ///< the last read failed
+  int skipped_entries = 0;  ///< of the last list that was read
 };
 
 }  // namespace meadowthread
--- a/src/hosts/tests/host_directory_test.cc
+++ b/src/hosts/tests/host_directory_test.cc
@@ -29,14 +29,14 @@
   cr_assert(directory.Find("h1")->ControlUrl() == "http://127.0.0.1:8081");
 }
 
-Test(a_host_list, that_is_older_than_the_one_in_hand_is_passed_over) {
+Test(a_host_list, that_is_older_than_the_current_one_is_ignored) {
   HostDirectory directory;
   cr_assert(directory.Apply(*DecodeHostList(kList)));
   cr_assert(!directory.Apply({4, {}}));
   cr_assert(directory.Find("e1") != nullptr);
 }
 
-Test(a_host_list, that_cannot_be_read_says_which_field) {
+Test(a_host_list, that_is_invalid_gives_an_error_with_the_field) {
   const auto list =
       DecodeHostList(R"({"hosts":[{"name":"x","role":"engine"}]})");
   cr_assert(list.status().message().find("address") != absl::string_view::npos);
@@ -45,7 +45,7 @@
   }
 }
 
-Test(a_host_list, with_entries_of_another_writer_keeps_the_others) {
+Test(a_host_list, with_invalid_entries_keeps_the_valid_ones) {
   const std::string deep =
       std::string(200'000, '[') + std::string(200'000, ']');
   for (const std::string& entry :
@@ -70,7 +70,7 @@
     cr_assert(list.ok(), "%.60s", entry.c_str());
     cr_assert(list->hosts.size() == 2 && list->hosts[1].name == "z", "%.60s",
               entry.c_str());
-    cr_assert(list->passed_over == 1 && !list->first_fault.empty());
+    cr_assert(list->passed_over == 1 && !list->first_error.empty());
   }
 }
 
--- a/src/placement/bench/planner_bench.cc
+++ b/src/placement/bench/planner_bench.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kZones = 16;
-constexpr int kSlots = 2;
+constexpr int kSlotsPerEngine = 2;
 
 std::vector<NeededModel> NeedModels(int count) {
   std::vector<NeededModel> needed;
@@ -20,7 +20,7 @@
   return needed;
 }
 
-/// Engines that hold what is needed, but for one in a hundred, which is empty.
+/// Engines that hold the needed models, except for one in 100, which is empty.
 std::vector<PlacedEngine> PlaceEngines(int count,
                                        const std::vector<NeededModel>& needed) {
   std::vector<PlacedEngine> engines(count);
@@ -28,34 +28,35 @@
     PlacedEngine& engine = engines[index];
     engine.name = "engine-" + std::to_string(index);
     engine.zone = "zone-" + std::to_string(index % kZones);
-    engine.capacity = kSlots;
+    engine.capacity = kSlotsPerEngine;
     engine.reported.role = "mixed";
     const bool is_empty = index % 100 == 99;
-    for (int slot = 0; slot < kSlots && !is_empty; ++slot) {
-      const std::size_t model = (index * kSlots + slot) % needed.size();
+    for (int slot = 0; slot < kSlotsPerEngine && !is_empty; ++slot) {
+      const std::size_t model =
+          (index * kSlotsPerEngine + slot) % needed.size();
       engine.reported.models.push_back(needed[model].key);
     }
   }
   return engines;
 }
 
-void Planning(benchmark::State& state, int loads) {
+void BenchmarkPlan(benchmark::State& state, int loads) {
   const std::vector<NeededModel> needed = NeedModels(16);
   const std::vector<PlacedEngine> engines =
       PlaceEngines(static_cast<int>(state.range(0)), needed);
   PlannerInput input;
   input.needed = needed;
   input.engines = engines;
-  input.loads = loads;
-  input.urgent_loads = loads;
+  input.load_budget = loads;
+  input.urgent_load_budget = loads;
   for (auto unused : state) {
     benchmark::DoNotOptimize(MakePlan(PlannerSettings{}, input));
   }
 }
 
-void NothingToLoad(benchmark::State& state) { Planning(state, 0); }
-void TwoLoads(benchmark::State& state) { Planning(state, 2); }
-void TwentyLoads(benchmark::State& state) { Planning(state, 20); }
+void NothingToLoad(benchmark::State& state) { BenchmarkPlan(state, 0); }
+void TwoLoads(benchmark::State& state) { BenchmarkPlan(state, 2); }
+void TwentyLoads(benchmark::State& state) { BenchmarkPlan(state, 20); }
 
 BENCHMARK(NothingToLoad)->Arg(14)->Arg(188)->Arg(1'000)->Arg(12'000);
 BENCHMARK(TwoLoads)->Arg(14)->Arg(188)->Arg(1'000)->Arg(12'000);
--- a/src/placement/controller.cc
+++ b/src/placement/controller.cc
@@ -5,12 +5,12 @@
 namespace meadowthread {
 
 PlacementController::PlacementController(
-    std::string_view half, const PlacementControllerSettings& with,
-    const PlacementContext& in, Scheduler& by)
-    : settings(with), context(in), scheduler(by) {
-  for (int group = 0; group < with.groups; ++group) {
-    this->groups.push_back(
-        std::make_unique<GroupController>(half, group, with, in));
+    std::string_view deployment, const PlacementControllerSettings& settings,
+    const PlacementContext& context, Scheduler& scheduler)
+    : settings(settings), context(context), scheduler(scheduler) {
+  for (int group = 0; group < settings.groups; ++group) {
+    this->groups.push_back(std::make_unique<GroupController>(
+        deployment, group, settings, context));
   }
 }
 
@@ -31,7 +31,7 @@
 void PlacementController::Stop() {
   this->running = false;
   for (const auto& group : this->groups) {
-    group->TheLease().Release();
+    group->GroupLease().Release();
   }
 }
 
@@ -39,7 +39,7 @@
   const std::int64_t now_ms = this->context.clock.MonotonicMs();
   const bool due = now_ms >= this->next_list_ms && !this->listing;
   if (due && !this->HoldsAll()) {
-    this->next_list_ms = now_ms + this->settings.list_every_ms;
+    this->next_list_ms = now_ms + this->settings.list_interval_ms;
     this->ListLeases();
   }
   for (const auto& group : this->groups) {
@@ -50,7 +50,7 @@
 bool PlacementController::HoldsAll() {
   return std::all_of(
       this->groups.begin(), this->groups.end(),
-      [](const auto& group) { return group->TheLease().Held(); });
+      [](const auto& group) { return group->GroupLease().Held(); });
 }
 
 void PlacementController::ListLeases() {
@@ -67,17 +67,17 @@
   if (!list.ok()) {
     return;
   }
-  const bool whole = this->revision == 0;
+  const bool is_full_list = this->revision == 0;
   for (const auto& group : this->groups) {
-    group->RankSelf();
-    Lease& lease = group->TheLease();
+    group->UpdateTakeoverDelay();
+    Lease& lease = group->GroupLease();
     const auto found = std::find_if(list->items.begin(), list->items.end(),
                                     [&lease](const StoredObject& object) {
-                                      return object.name == lease.Duty();
+                                      return object.name == lease.Name();
                                     });
     if (found != list->items.end()) {
       lease.Observe(*found);
-    } else if (whole) {
+    } else if (is_full_list) {
       lease.ObserveAbsent();
     }
   }
@@ -87,9 +87,9 @@
 std::vector<HeldDuty> PlacementController::Held() {
   std::vector<HeldDuty> held;
   for (const auto& group : this->groups) {
-    const Lease& lease = group->TheLease();
+    const Lease& lease = group->GroupLease();
     if (lease.Held()) {
-      held.push_back({lease.Duty(), lease.Fence(), lease.RemainingMs()});
+      held.push_back({lease.Name(), lease.Fence(), lease.RemainingMs()});
     }
   }
   return held;
--- a/src/placement/controller.h
+++ b/src/placement/controller.h
@@ -13,32 +13,33 @@
 
 namespace meadowthread {
 
-/// @brief A duty that this host holds.
+/// @brief A lease that this host holds.
 struct HeldDuty {
-  std::string duty;
+  std::string lease;
   std::int64_t fence = 0;
   std::int64_t remaining_ms = 0;
 };
 
-/// @brief This host's part in placement: tries for the lease of every group,
-/// and places the engines of those it holds.
+/// @brief Competes for the lease of every group of engines, and decides which
+/// models run on the engines of the groups whose lease this host holds.
 class PlacementController {
  public:
-  /// @param[in] by outlives the controller
-  PlacementController(std::string_view half,
-                      const PlacementControllerSettings& with,
-                      const PlacementContext& in, Scheduler& by);
+  /// @param[in] scheduler outlives the controller
+  PlacementController(std::string_view deployment,
+                      const PlacementControllerSettings& settings,
+                      const PlacementContext& context, Scheduler& scheduler);
 
-  /// @brief Begins, and goes on until Stop.
+  /// @brief Calls Tick periodically until Stop.
   void Start();
 
-  /// @brief Gives up every lease, and lets successors in at once.
+  /// @brief Releases every lease, so that other hosts need not wait for it to
+  /// expire.
   void Stop();
 
-  /// @brief One turn; Start calls it again and again.
+  /// @brief Lists the leases if that is due, and ticks every group.
   void Tick();
 
-  /// @brief What this host holds now.
+  /// @brief The leases that this host holds now.
   std::vector<HeldDuty> Held();
 
  private:
@@ -51,7 +52,7 @@
   PlacementContext context;
   Scheduler& scheduler;
   std::vector<std::unique_ptr<GroupController>> groups;
-  std::int64_t revision = 0;  ///< leases are known up to it; 0: not at all
+  std::int64_t revision = 0;  ///< of the last lease listing; 0: none yet
   std::int64_t next_list_ms = 0;
   bool listing = false;
   bool running = false;
--- a/src/placement/drain_tracker.cc
+++ b/src/placement/drain_tracker.cc
@@ -4,7 +4,7 @@
 
 #include "base/json_fields.h"
 #include "nlohmann/json.hpp"
-#include "placement/document_fields.h"
+#include "placement/json_field_reader.h"
 
 namespace meadowthread {
 namespace {
@@ -12,13 +12,13 @@
 using nlohmann::json;
 
 constexpr std::string_view kStep = "ownership.drain-report";
-constexpr std::int64_t kAny = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxValue = std::numeric_limits<std::int64_t>::max();
 
 absl::StatusOr<DrainConfirmation> ReadConfirmation(const json& item) {
-  detail::FieldReader reader(item, kStep);
+  detail::JsonFieldReader reader(item, kStep);
   DrainConfirmation confirmation;
   confirmation.object = reader.String("object");
-  confirmation.version = reader.Int("version", 1, kAny);
+  confirmation.version = reader.Int("version", 1, kMaxValue);
   if (!reader.Status().ok()) {
     return reader.Status();
   }
@@ -32,7 +32,7 @@
   for (const DrainConfirmation& one : report.drained) {
     drained.push_back({{"object", one.object}, {"version", one.version}});
   }
-  const json value = {{"half", report.half}, {"drained", drained}};
+  const json value = {{"half", report.deployment}, {"drained", drained}};
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
@@ -43,17 +43,17 @@
   }
   const auto part = object->find("ownership");
   if (part == object->end()) {
-    return detail::BadField(kStep, "ownership", "is missing");
+    return detail::InvalidFieldError(kStep, "ownership", "is missing");
   }
-  detail::FieldReader reader(*part, kStep);
+  detail::JsonFieldReader reader(*part, kStep);
   DrainReport report;
-  report.half = reader.String("half");
+  report.deployment = reader.String("half");
   if (!reader.Status().ok()) {
     return reader.Status();
   }
   const auto drained = part->find("drained");
   if (drained == part->end() || !drained->is_array()) {
-    return detail::BadField(kStep, "drained", "is not a list");
+    return detail::InvalidFieldError(kStep, "drained", "is not a list");
   }
   for (const json& item : *drained) {
     const absl::StatusOr<DrainConfirmation> one = ReadConfirmation(item);
@@ -86,7 +86,7 @@
 
 DrainReport DrainTracker::Report() const {
   DrainReport report;
-  report.half = this->view.Settings().half;
+  report.deployment = this->view.Settings().half;
   for (const DrainingObject& one : this->view.Draining()) {
     if (!this->in_flight.contains(one.id)) {
       report.drained.push_back({OwnershipObjectName(one.id), one.version});
--- a/src/placement/drain_tracker.h
+++ b/src/placement/drain_tracker.h
@@ -13,45 +13,48 @@
 
 namespace meadowthread {
 
-/// @brief "I saw this draining version, and nothing is in flight."
+/// @brief States that the host has seen this draining version of an ownership
+/// object and has no work of its workspace or engine in flight.
 struct DrainConfirmation {
   std::string object;  ///< the ownership object's name
-  /// Of the draining object. Not the epoch: a move that was called off and
-  /// started again has the epoch of the first.
+  /// The object's version, as its epoch is ambiguous: a move that is cancelled
+  /// and started again has the same epoch as the first.
   std::int64_t version = 0;
 
   friend bool operator==(const DrainConfirmation&,
                          const DrainConfirmation&) = default;
 };
 
-/// @brief The part `ownership` of a host's status object.
+/// @brief The field `ownership` of a host's status object.
 struct DrainReport {
-  std::string half;
+  std::string deployment;  ///< of the host; the field `half` in JSON
   std::vector<DrainConfirmation> drained;
 
   friend bool operator==(const DrainReport&, const DrainReport&) = default;
 };
 
-/// @brief The report as JSON text, to stand as `ownership` in `status/{host}`.
+/// @brief The report as JSON, the value of `ownership` in `status/{host}`.
 std::string EncodeDrainReport(const DrainReport& report);
 
-/// @brief Reads the report out of a whole status object.
+/// @brief Reads the report from a complete status object.
 absl::StatusOr<DrainReport> ParseDrainReport(std::string_view status_text);
 
-/// @brief Counts a host's work in flight for each workspace and engine.
+/// @brief Counts a host's work in flight for each workspace and engine, to tell
+/// when one that is moving to another deployment has drained.
 class DrainTracker {
  public:
-  /// @param[in] over outlives the tracker
-  explicit DrainTracker(const OwnershipView& over) : view(over) {}
+  /// @param[in] view outlives the tracker
+  explicit DrainTracker(const OwnershipView& view) : view(view) {}
 
-  /// @brief Checks that work may start and counts it, in one step, so that no
-  /// confirmation can come between the two.
+  /// @brief Checks that work may start and counts it. Both happen in one step,
+  /// so that Report cannot confirm a drain in between.
+  /// @return OK, or the error of OwnershipView::MayStart
   absl::Status Begin(const OwnedId& id);
 
-  /// @brief A piece of work that Begin let in has ended for good.
+  /// @brief Ends a piece of work that Begin admitted.
   void End(const OwnedId& id);
 
-  /// @brief What the host may tell a mover now.
+  /// @brief The draining workspaces and engines without work in flight.
   DrainReport Report() const;
 
  private:
--- a/src/placement/engine_table.h
+++ b/src/placement/engine_table.h
@@ -11,64 +11,73 @@
 
 #include "base/clock.h"
 #include "placement/order_messages.h"
-#include "placement/orderer.h"
+#include "placement/order_sender.h"
 #include "placement/ownership_view.h"
 #include "placement/placement_source.h"
 #include "placement/planner.h"
 
 namespace meadowthread {
 
-/// @brief Times by which an engine and its orders are judged, milliseconds.
+/// @brief Time limits for engines and their orders, in milliseconds.
 struct EngineTableSettings {
-  std::int64_t silent_after_ms = 6'000;  ///< no newer report: not relied on
-  std::int64_t gone_after_ms = 20'000;   ///< no newer report: replaced
-  std::int64_t gone_spread_ms = 5'000;   ///< differs from engine to engine
-  std::int64_t settle_ms = 30'000;       ///< between two changes of an engine
-  std::int64_t resend_ms = 5'000;     ///< of an order not yet seen carried out
-  std::int64_t read_back_ms = 1'000;  ///< between reads while it is under way
-  std::int64_t load_timeout_ms = 120'000;  ///< an order is given up after
-  std::int64_t refusing_ms = 600'000;  ///< an engine that keeps refusing rests
+  /// An engine without a newer report becomes kSilent and then kGone.
+  std::int64_t silent_after_ms = 6'000;
+  std::int64_t gone_after_ms = 20'000;
+  std::int64_t gone_jitter_ms = 5'000;       ///< at most; by engine name
+  std::int64_t change_cooldown_ms = 30'000;  ///< between changes of an engine
+  std::int64_t resend_interval_ms = 5'000;   ///< of an order until it completes
+  /// Between reads of an engine's load while it has a pending order.
+  std::int64_t read_interval_ms = 1'000;
+  std::int64_t load_timeout_ms = 120'000;  ///< then an order is abandoned
+  /// Without orders for an engine that repeatedly refused them as stale.
+  std::int64_t refusal_backoff_ms = 600'000;
 };
 
-/// @brief What became of orders since the last look.
+/// @brief How many orders ended since the last call of FinishOrders.
 struct OrderProgress {
-  int carried_out = 0;
-  int given_up = 0;  ///< applied, and yet not seen carried out in time
+  int completed = 0;  ///< the engine reports the desired state
+  int timed_out = 0;  ///< accepted by the engine but not completed in time
 };
 
-/// @brief What a holder knows of its group's engines, and its orders' fates.
+/// @brief The engines of a group as the lease holder knows them, and the orders
+/// pending on them.
 class EngineTable {
  public:
-  /// @param[in] by outlives the table
-  EngineTable(const EngineTableSettings& with, const Clock& by)
-      : settings(with), clock(by) {}
+  /// @param[in] clock outlives the table
+  EngineTable(const EngineTableSettings& settings, const Clock& clock)
+      : settings(settings), clock(clock) {}
 
-  // 1. What is heard of engines.
+  // 1. Engines.
 
-  /// @brief Takes the engines of the group as listed now.
+  /// @brief Replaces the list of the group's engines. An engine that is no
+  /// longer listed is kept until it is kGone.
   void Update(std::span<const ListedEngine> listed);
-  /// @brief Takes a load report, unless a newer one was taken.
-  void TakeReport(std::string_view engine, const LoadReport& report);
-  /// @brief The engines as the planner wants them.
-  std::vector<PlacedEngine> View(const OwnershipView& ownership) const;
+  /// @brief Applies a load report if it is newer than the last one, or the
+  /// engine has restarted.
+  void ApplyReport(std::string_view engine, const LoadReport& report);
+  /// @brief The engines as input for the planner.
+  std::vector<PlacedEngine> PlannerView(const OwnershipView& ownership) const;
 
   // 2. Orders.
 
-  /// @brief Notes a change; its order is due at once.
+  /// @brief Creates a pending order from a change; it is due at once.
   void Order(const EngineChange& change);
-  /// @brief Orders to be sent now; each must be answered by OnResult.
-  std::vector<EngineOrder> TakeDue();
-  /// @brief Engines with orders under way to be read now.
-  std::vector<EngineOrder> TakeReadsDue();
-  /// @brief An order's answer.
+  /// @brief The orders to send now. OnResult must be called for each of them;
+  /// until then it is not due again.
+  std::vector<EngineOrder> TakeDueOrders();
+  /// @brief The pending orders whose engine is due for reading its load, to see
+  /// whether it has reached the desired state.
+  std::vector<EngineOrder> TakeDueReads();
+  /// @brief Applies the result of sending an order.
   void OnResult(const EngineOrder& order, const OrderResult& result);
-  /// @brief Ends orders that are carried out, or given up.
-  OrderProgress Settle();
-  /// @brief Forgets all orders: the lease was lost.
-  void ForgetOrders();
+  /// @brief Removes the orders that are completed or timed out, and those of
+  /// gone engines.
+  OrderProgress FinishOrders();
+  /// @brief Drops all pending orders; called when the lease is lost.
+  void DropOrders();
 
  private:
-  struct Pending {
+  struct PendingOrder {
     EngineOrder order;
     std::int64_t ordered_ms = 0;
     std::int64_t next_send_ms = 0;
@@ -80,17 +89,18 @@
     ListedEngine listed;
     bool is_listed = false;
     std::optional<LoadReport> report;
-    std::optional<std::string> incarnation_before;  ///< of the start before
-    std::int64_t heard_ms = 0;  ///< when the report last moved on
-    std::optional<std::int64_t> changed_ms;
-    std::optional<Pending> pending;
-    int refusals = 0;  ///< stale fences in a row
-    std::int64_t refused_ms = 0;
+    std::optional<std::string> previous_incarnation;  ///< before a restart
+    std::int64_t last_report_ms = 0;  ///< or of the first listing
+    std::optional<std::int64_t> last_change_ms;
+    std::optional<PendingOrder> pending;
+    int refusals = 0;  ///< consecutive stale-fence answers
+    std::int64_t last_refusal_ms = 0;
   };
 
-  EngineState StateOf(const std::string& name, const Record& record) const;
+  EngineLiveness LivenessOf(const std::string& name,
+                            const Record& record) const;
   bool IsRefusing(const Record& record) const;
-  bool IsCarriedOut(const Record& record) const;
+  bool IsCompleted(const Record& record) const;
 
   EngineTableSettings settings;
   const Clock& clock;
--- a/src/placement/group_controller.h
+++ b/src/placement/group_controller.h
@@ -11,30 +11,34 @@
 #include "placement/engine_table.h"
 #include "placement/lease.h"
 #include "placement/load_budget.h"
-#include "placement/orderer.h"
+#include "placement/order_sender.h"
 #include "placement/ownership_view.h"
 #include "placement/placement_source.h"
 #include "placement/planner.h"
 
 namespace meadowthread {
 
-/// @brief How placement is run; the same on every host of a half.
+/// @brief Settings of placement; they must be the same on every host of a
+/// deployment.
 struct PlacementControllerSettings {
-  int groups = 1;
+  int groups = 1;  ///< the engines are divided among them by hash
   LeaseSettings lease;
   PlannerSettings planner;
-  LoadBudgetSettings budget;  ///< of all groups together
+  /// `loads_per_second` is the rate of all groups together.
+  LoadBudgetSettings budget;
   EngineTableSettings engines;
   std::int64_t tick_ms = 250;
-  std::int64_t list_every_ms = 5'000;  ///< looks at leases held by others
-  std::int64_t plan_every_ms = 1'000;
-  /// A new holder looks on for so long before its first plan: loads that its
-  /// predecessor ordered are not reported until they are done.
-  std::int64_t look_on_ms = 5'000;
-  std::int64_t refused_pause_ms = 10'000;  ///< after the weight store refused
+  std::int64_t list_interval_ms = 5'000;  ///< between listings of the leases
+  std::int64_t plan_interval_ms = 1'000;
+  /// Delay from acquiring the lease to the first plan. Engines report a load
+  /// only when it has completed, so those that the previous holder ordered may
+  /// not be visible at first.
+  std::int64_t first_plan_delay_ms = 5'000;
+  /// Pause of loads after a timed-out load or an overload without Retry-After.
+  std::int64_t load_backoff_ms = 10'000;
 };
 
-/// @brief What the controllers of one host work with; all outlive them.
+/// @brief Dependencies of the controllers of one host; all outlive them.
 struct PlacementContext {
   ObjectStore& store;
   HttpClient& http;
@@ -44,36 +48,39 @@
   PlacementSource& source;
 };
 
-/// @brief This host's part in placing one group of engines.
+/// @brief Competes for the lease of one group of engines and, while holding it,
+/// orders the engines of the group to load and unload models.
 class GroupController {
  public:
-  GroupController(std::string_view half, int of_group,
-                  const PlacementControllerSettings& with,
-                  const PlacementContext& in);
+  GroupController(std::string_view deployment, int group,
+                  const PlacementControllerSettings& settings,
+                  const PlacementContext& context);
 
-  /// @brief Goes on with the lease and, while it is held, with the engines.
+  /// @brief Acquires or renews the lease if due; while it is held, plans and
+  /// sends orders.
   void Tick();
 
-  /// @brief Works out anew how long this host holds back from a free lease.
-  /// @complexity linear in the hosts: not for every tick
-  void RankSelf();
+  /// @brief Recomputes how long this host waits before it takes over a free
+  /// lease.
+  /// @complexity linear in the hosts, so not called at every tick
+  void UpdateTakeoverDelay();
 
-  Lease& TheLease() { return this->lease; }
+  Lease& GroupLease() { return this->lease; }
 
  private:
-  void Work();
+  void Reconcile();
   void UpdateTable();
-  void MakeOrders();
-  void SendDue();
-  void ReadDue();
+  void PlanOrders();
+  void SendDueOrders();
+  void ReadDueLoads();
   void OnResult(const EngineOrder& order, const OrderResult& result);
-  void OnRefused(std::int64_t retry_after_ms);
+  void BackOffLoads(std::int64_t retry_after_ms);
 
   int group;
   PlacementControllerSettings settings;
   PlacementContext context;
   Lease lease;
-  Orderer orderer;
+  OrderSender order_sender;
   EngineClient engine_client;
   EngineTable table;
   LoadBudget budget;
--- a/src/placement/document_fields.cc
+++ b/src/placement/json_field_reader.cc
@@ -1,4 +1,4 @@
-#include "placement/document_fields.h"
+#include "placement/json_field_reader.h"
 
 #include "absl/status/statusor.h"
 #include "absl/strings/str_cat.h"
@@ -7,18 +7,18 @@
 
 namespace meadowthread::detail {
 
-absl::Status BadField(std::string_view step, std::string_view field,
-                      std::string_view why) {
+absl::Status InvalidFieldError(std::string_view step, std::string_view field,
+                               std::string_view reason) {
   ErrorDetail error;
   error.id = ErrorId::kFieldInvalid;
   error.step = std::string(step);
   error.field = std::string(field);
   return MakeError(
       absl::StatusCode::kInvalidArgument, error,
-      absl::StrCat("field '", std::string(field), "' ", std::string(why)));
+      absl::StrCat("field '", std::string(field), "' ", std::string(reason)));
 }
 
-std::string FieldReader::String(std::string_view field) {
+std::string JsonFieldReader::String(std::string_view field) {
   const absl::StatusOr<std::string> value = StringField(this->object, field);
   if (!value.ok()) {
     this->status.Update(value.status());
@@ -27,8 +27,8 @@
   return *value;
 }
 
-std::int64_t FieldReader::Int(std::string_view field, std::int64_t low,
-                              std::int64_t high) {
+std::int64_t JsonFieldReader::Int(std::string_view field, std::int64_t low,
+                                  std::int64_t high) {
   const absl::StatusOr<std::int64_t> value = IntField(this->object, field);
   if (!value.ok()) {
     this->status.Update(value.status());
@@ -41,8 +41,8 @@
   return *value;
 }
 
-void FieldReader::Fail(std::string_view field, std::string_view why) {
-  this->status.Update(BadField(this->step, field, why));
+void JsonFieldReader::Fail(std::string_view field, std::string_view reason) {
+  this->status.Update(InvalidFieldError(this->step, field, reason));
 }
 
 }  // namespace meadowthread::detail
--- a/src/placement/lease.cc
+++ b/src/placement/lease.cc
@@ -9,20 +9,25 @@
 namespace meadowthread {
 namespace {
 
-// Who wrote a document that cannot be read may still act on it.
-constexpr std::int64_t kUnreadableWaitMs = 2 * kLongestLeaseMs;
+// The writer of a document that cannot be parsed may hold the lease. Waits for
+// the longest lifetime and order window that any lease may have.
+constexpr std::int64_t kUnreadableWaitMs = 2 * kMaxLeaseMs;
 
-bool Is(const absl::Status& status, ErrorId id) {
+bool HasErrorId(const absl::Status& status, ErrorId id) {
   return DetailOf(status).id == id;
 }
 
 }  // namespace
 
-Lease::Lease(std::string_view for_duty, const LeaseSettings& with,
-             ObjectStore& over, const Clock& by, NonceSource& from)
-    : duty(for_duty), settings(with), store(over), clock(by), nonces(from) {}
+Lease::Lease(std::string_view name, const LeaseSettings& settings,
+             ObjectStore& store, const Clock& clock, NonceSource& nonces)
+    : name(name),
+      settings(settings),
+      store(store),
+      clock(clock),
+      nonces(nonces) {}
 
-// 1. What a listing shows.
+// 1. Results of listings.
 
 void Lease::Observe(const StoredObject& object) {
   if (object.deleted) {
@@ -30,43 +35,43 @@
     return;
   }
   const absl::StatusOr<LeaseDocument> document = ParseLease(object.value);
-  if (this->IsOwn(document)) {
-    this->Confirm(object.version, document->sequence);
+  if (this->IsOwnTenure(document)) {
+    this->ConfirmWrite(object.version, document->sequence);
     return;
   }
-  // An older version than ours is a stale read and says nothing.
+  // A version older than our own is a stale read.
   if (this->tenure.has_value()) {
     const std::int64_t newest =
         std::max(this->tenure->base_version, this->tenure->version);
     if (object.version <= newest) {
       return;
     }
-    this->Lose("taken_over");
+    this->EndTenure("taken_over");
   }
-  this->Sight(object.version, this->WaitFor(document));
+  this->RecordObserved(object.version, this->WaitMsFor(document));
 }
 
 void Lease::ObserveAbsent() {
   if (this->tenure.has_value()) {
-    // Either the first write has not been seen yet or someone removed the
-    // object; the next write's condition settles which.
+    // Either the listing is older than the first write, or the object was
+    // removed. The condition of the next write shows which.
     return;
   }
   const std::int64_t wait_ms =
-      this->sighting.has_value() ? this->sighting->wait_ms : 0;
-  this->Sight(0, wait_ms);
+      this->observed.has_value() ? this->observed->wait_ms : 0;
+  this->RecordObserved(0, wait_ms);
 }
 
-void Lease::Sight(std::int64_t version, std::int64_t wait_ms) {
-  if (this->sighting.has_value() && this->sighting->version == version) {
+void Lease::RecordObserved(std::int64_t version, std::int64_t wait_ms) {
+  if (this->observed.has_value() && this->observed->version == version) {
     return;
   }
-  // Counted from the answer's arrival: the version was written before that,
-  // and its holder counts from before it sent the write.
-  this->sighting = Sighting{version, this->clock.MonotonicMs(), wait_ms};
+  // The wait starts when the listing arrives. This is safe: the holder counts
+  // its lease from before it sent the write, which was earlier.
+  this->observed = ObservedLease{version, this->clock.MonotonicMs(), wait_ms};
 }
 
-std::int64_t Lease::WaitFor(
+std::int64_t Lease::WaitMsFor(
     const absl::StatusOr<LeaseDocument>& document) const {
   const std::int64_t hold_ms =
       document.ok() ? document->ttl_ms + document->order_window_ms
@@ -74,33 +79,33 @@
   return hold_ms + this->settings.drift_margin_ms;
 }
 
-bool Lease::IsOwn(const absl::StatusOr<LeaseDocument>& document) const {
+bool Lease::IsOwnTenure(const absl::StatusOr<LeaseDocument>& document) const {
   return this->tenure.has_value() && document.ok() &&
          document->tenure == this->tenure->nonce;
 }
 
-bool Lease::WaitedOut() const {
-  if (!this->sighting.has_value()) {
+bool Lease::WaitElapsed() const {
+  if (!this->observed.has_value()) {
     return false;
   }
   const std::int64_t waited_ms =
-      this->clock.MonotonicMs() - this->sighting->first_seen_ms;
-  return waited_ms >= this->sighting->wait_ms + this->takeover_delay_ms;
+      this->clock.MonotonicMs() - this->observed->first_seen_ms;
+  return waited_ms >= this->observed->wait_ms + this->takeover_delay_ms;
 }
 
-// 2. Driving.
+// 2. Acquiring, renewing and giving up.
 
 void Lease::Tick() {
-  if (this->busy) {
+  if (this->call_in_flight) {
     return;
   }
   if (!this->tenure.has_value()) {
-    if (this->WaitedOut()) {
-      this->Begin();
+    if (this->WaitElapsed()) {
+      this->BeginTenure();
     }
     return;
   }
-  if (this->tenure->unsettled) {
+  if (this->tenure->write_unconfirmed) {
     this->ReadBack();
     return;
   }
@@ -113,14 +118,14 @@
   }
 }
 
-void Lease::Begin() {
+void Lease::BeginTenure() {
   this->tenure = Tenure{};
   this->tenure->nonce = this->nonces.Next();
-  this->tenure->base_version = this->sighting->version;
+  this->tenure->base_version = this->observed->version;
   this->Write();
 }
 
-LeaseDocument Lease::Document(std::int64_t ttl_ms) const {
+LeaseDocument Lease::MakeDocument(std::int64_t ttl_ms) const {
   LeaseDocument document;
   document.holder = this->settings.holder;
   document.incarnation = this->settings.incarnation;
@@ -137,18 +142,19 @@
 void Lease::Write() {
   Tenure& now = *this->tenure;
   const std::int64_t sequence = now.next_sequence;
-  const std::string text = EncodeLease(this->Document(this->settings.ttl_ms));
-  // Noted before the write leaves: a pause between here and the answer
-  // shortens our hold and never a successor's wait.
+  const std::string text =
+      EncodeLease(this->MakeDocument(this->settings.ttl_ms));
+  // The lease counts from before the write is sent. A pause between here and
+  // the answer then shortens our lease, never the wait of a successor.
   now.last_sent_ms = this->clock.MonotonicMs();
   now.sent.push_back({sequence, now.last_sent_ms, this->clock.WallMs()});
   ++now.next_sequence;
   now.renew_soon = false;
-  this->busy = true;
+  this->call_in_flight = true;
   const std::int64_t expected =
       now.version != 0 ? now.version : now.base_version;
   this->store.Put(
-      kLeaseKind, this->duty, text, expected,
+      kLeaseKind, this->name, text, expected,
       this->life.Guarded([this, nonce = now.nonce, sequence](
                              const absl::StatusOr<std::int64_t>& answer) {
         this->OnWritten(nonce, sequence, answer);
@@ -157,59 +163,60 @@
 
 void Lease::OnWritten(const std::string& nonce, std::int64_t sequence,
                       const absl::StatusOr<std::int64_t>& answer) {
-  this->busy = false;
+  this->call_in_flight = false;
   if (!this->tenure.has_value() || this->tenure->nonce != nonce) {
-    return;  // stepped down meanwhile
+    return;  // this tenure has ended
   }
   if (answer.ok()) {
-    this->Confirm(*answer, sequence);
+    this->ConfirmWrite(*answer, sequence);
     return;
   }
-  if (Is(answer.status(), ErrorId::kStoreUnavailable)) {
-    return;  // certainly not applied: the next tick tries again
+  if (HasErrorId(answer.status(), ErrorId::kStoreUnavailable)) {
+    return;  // not applied; the next tick tries again
   }
-  // A conflict may be an earlier write of our own that took effect late.
-  this->tenure->unsettled = true;
+  // A conflict may be with a delayed earlier write of our own.
+  this->tenure->write_unconfirmed = true;
   this->ReadBack();
 }
 
 void Lease::ReadBack() {
-  this->busy = true;
+  this->call_in_flight = true;
   this->store.Get(
-      kLeaseKind, this->duty,
+      kLeaseKind, this->name,
       this->life.Guarded([this](const absl::StatusOr<StoredObject>& answer) {
         this->OnReadBack(answer);
       }));
 }
 
 void Lease::OnReadBack(const absl::StatusOr<StoredObject>& answer) {
-  this->busy = false;
+  this->call_in_flight = false;
   if (!this->tenure.has_value()) {
     return;
   }
   if (answer.ok()) {
-    this->tenure->unsettled = false;
+    this->tenure->write_unconfirmed = false;
     this->Observe(*answer);
     return;
   }
-  if (!Is(answer.status(), ErrorId::kNotFound)) {
-    return;  // still unsettled: the next tick reads again
+  if (!HasErrorId(answer.status(), ErrorId::kNotFound)) {
+    return;  // the next tick reads again
   }
-  this->tenure->unsettled = false;
+  this->tenure->write_unconfirmed = false;
   if (this->tenure->version != 0) {
-    this->Lose("removed");
-    this->Sight(0, this->settings.ttl_ms + this->settings.order_window_ms);
+    this->EndTenure("removed");
+    this->RecordObserved(
+        0, this->settings.ttl_ms + this->settings.order_window_ms);
   }
 }
 
-void Lease::Confirm(std::int64_t version, std::int64_t sequence) {
+void Lease::ConfirmWrite(std::int64_t version, std::int64_t sequence) {
   Tenure& now = *this->tenure;
   if (version <= now.version) {
     return;
   }
   const bool first = now.first_version == 0;
   now.version = version;
-  now.unsettled = false;
+  now.write_unconfirmed = false;
   for (const SentWrite& write : now.sent) {
     if (write.sequence == sequence) {
       const std::int64_t hold_ms =
@@ -233,39 +240,41 @@
   }
 }
 
-void Lease::StepDown(std::string_view why) {
+void Lease::StepDown(std::string_view reason) {
   if (!this->tenure.has_value()) {
     return;
   }
   const std::int64_t version =
       std::max(this->tenure->version, this->tenure->base_version);
-  this->Lose(why);
-  this->Sight(version, this->settings.ttl_ms + this->settings.order_window_ms +
-                           this->settings.drift_margin_ms);
+  this->EndTenure(reason);
+  this->RecordObserved(version, this->settings.ttl_ms +
+                                    this->settings.order_window_ms +
+                                    this->settings.drift_margin_ms);
 }
 
-void Lease::Lose(std::string_view why) {
+void Lease::EndTenure(std::string_view reason) {
   if (this->tenure->first_version != 0) {
-    this->Log(why);
+    this->Log(reason);
   }
   this->tenure.reset();
-  this->sighting.reset();
+  this->observed.reset();
 }
 
 void Lease::Release() {
-  if (!this->Held() || this->busy) {
+  if (!this->Held() || this->call_in_flight) {
     this->StepDown("released");
     return;
   }
   const std::int64_t version = this->tenure->version;
-  const std::string text = EncodeLease(this->Document(0));
-  // No order may follow the write, whatever becomes of it.
+  const std::string text = EncodeLease(this->MakeDocument(0));
+  // Steps down before the write is sent: no order may be sent afterwards, even
+  // if the write fails.
   this->StepDown("released");
-  this->store.Put(kLeaseKind, this->duty, text, version,
+  this->store.Put(kLeaseKind, this->name, text, version,
                   [](const absl::StatusOr<std::int64_t>&) {});
 }
 
-// 3. What may be done now.
+// 3. State.
 
 bool Lease::Held() const { return this->RemainingMs() > 0; }
 
@@ -282,8 +291,8 @@
   if (!this->tenure.has_value() || this->tenure->version == 0) {
     return 0;
   }
-  // A machine that was suspended may have stopped its monotonic clock; the
-  // wall clock then tells. One that steps forward only ends the hold early.
+  // A suspended machine may stop its monotonic clock, so the wall clock is
+  // checked as well. If that steps forward, the lease just ends early.
   const std::int64_t by_monotonic =
       this->tenure->expires_monotonic_ms - this->clock.MonotonicMs();
   const std::int64_t by_wall =
@@ -291,11 +300,11 @@
   return std::max<std::int64_t>(0, std::min(by_monotonic, by_wall));
 }
 
-void Lease::Log(std::string_view why) const {
+void Lease::Log(std::string_view reason) const {
   LogLine line("placement");
-  line.Add("duty", this->duty).Add("holder", this->settings.holder);
+  line.Add("duty", this->name).Add("holder", this->settings.holder);
   line.Add("fence", this->tenure.has_value() ? this->tenure->version : 0);
-  line.Add("why", why);
+  line.Add("why", reason);
   line.Write();
 }
 
--- a/src/placement/lease.h
+++ b/src/placement/lease.h
@@ -15,126 +15,134 @@
 
 namespace meadowthread {
 
-/// @brief Who holds leases, and for how long.
+/// @brief The identity of a holder, and the durations of its leases.
 struct LeaseSettings {
   std::string holder;       ///< this host's name
-  std::string incarnation;  ///< of this process
+  std::string incarnation;  ///< of this process, new with every start
   std::int64_t ttl_ms = 15'000;
   std::int64_t renew_every_ms = 5'000;
-  std::int64_t order_window_ms = 3'000;
-  /// What two clocks may drift apart by over `ttl_ms` + `order_window_ms`.
+  std::int64_t order_window_ms = 3'000;  ///< from sending an order to deadline
+  /// The most that two clocks drift apart over `ttl_ms` + `order_window_ms`.
   std::int64_t drift_margin_ms = 500;
 };
 
-/// @brief One host's part in the lease of one duty.
+/// @brief Acquires, renews and releases one lease for this host.
 ///
-/// Safe against lost answers, delayed writes, pauses and racing holders; see
-/// docs/design/placement.md. Fed with what listings show (Observe) and driven
-/// by Tick; never blocks.
+/// The lease is an object in the store, updated by conditional writes; the
+/// version of the last confirmed write is the fencing token. At most one host
+/// holds the lease at a time, even with lost answers, delayed writes, paused
+/// processes and racing hosts; see docs/design/placement.md. Observe and
+/// ObserveAbsent pass in the result of each listing, and Tick does the work;
+/// nothing blocks.
 class Lease {
  public:
   /// @param[in] store,clock,nonces outlive the lease
-  Lease(std::string_view duty, const LeaseSettings& settings,
+  Lease(std::string_view name, const LeaseSettings& settings,
         ObjectStore& store, const Clock& clock, NonceSource& nonces);
 
-  // 1. What a listing shows.
+  // 1. Results of listings.
 
-  /// @brief The lease's object stands (or stood: stale reads are harmless).
+  /// @brief Applies the lease's object as it was listed. A stale version is
+  /// harmless.
   void Observe(const StoredObject& object);
 
-  /// @brief A listing was read that does not hold the lease's object.
+  /// @brief Applies a listing without the lease's object.
   void ObserveAbsent();
 
-  // 2. Driving.
+  // 2. Acquiring, renewing and giving up.
 
-  /// @brief Settles, renews or acquires, whichever is due; one call at a time.
+  /// @brief Does what is due: acquires the lease, renews it, or reads back a
+  /// write whose outcome is unknown. Has one store call in flight at a time.
   void Tick();
 
-  /// @brief How much longer than needed this host waits before it takes the
-  /// lease over, so that not every host tries at once.
+  /// @brief Sets how long this host waits after the lease has become free, so
+  /// that not every host tries to acquire it at once.
   void SetTakeoverDelay(std::int64_t delay_ms) {
     this->takeover_delay_ms = delay_ms;
   }
 
-  /// @brief Renews at the next tick: the fence is to grow past something.
+  /// @brief Renews at the next tick, to get a higher fencing token.
   void RenewSoon();
 
-  /// @brief Stops acting on the lease at once, without a word to the store.
-  void StepDown(std::string_view why);
+  /// @brief Gives the lease up locally, without a write to the store.
+  void StepDown(std::string_view reason);
 
-  /// @brief Steps down and lets a successor in without waiting out the ttl.
+  /// @brief Gives the lease up and writes a lifetime of 0, so that a successor
+  /// waits for the order window only.
   void Release();
 
-  // 3. What may be done now.
+  // 3. State.
 
-  /// @brief Whether this host may act on the duty, by its own clocks.
+  /// @brief Whether this host holds the lease, by its own clocks.
   bool Held() const;
 
-  /// @brief The fencing number: the last confirmed version; 0 if not held.
+  /// @brief The fencing token: the last confirmed version; 0 if not held.
   std::int64_t Fence() const;
 
-  /// @brief Whether a fencing number is one of this tenure's.
+  /// @brief Whether a fencing token belongs to the current tenure.
   bool IsOwnFence(std::int64_t fence) const;
 
-  /// @brief Milliseconds until the hold ends by itself; 0 if not held.
+  /// @brief Milliseconds until the lease expires unless renewed; 0 if not held.
   std::int64_t RemainingMs() const;
 
-  const std::string& Duty() const { return this->duty; }
+  const std::string& Name() const { return this->name; }
   const LeaseSettings& Settings() const { return this->settings; }
 
  private:
-  /// A write of this tenure and when it was handed to the store.
+  /// A write of this tenure, and the time just before it was sent.
   struct SentWrite {
     std::int64_t sequence = 0;
     std::int64_t monotonic_ms = 0;
     std::int64_t wall_ms = 0;
   };
-  /// From the first attempt to acquire until another's version is seen.
+  /// The state from the first attempt to acquire the lease until it is given
+  /// up or another host's write is seen.
   struct Tenure {
     std::string nonce;
-    std::int64_t base_version = 0;   ///< stood when first attempted
-    std::int64_t first_version = 0;  ///< first confirmed; 0: none yet
-    std::int64_t version = 0;        ///< last confirmed; 0: none yet
+    std::int64_t base_version = 0;   ///< before the first attempt
+    std::int64_t first_version = 0;  ///< first confirmed; 0: none
+    std::int64_t version = 0;        ///< last confirmed; 0: none
     std::int64_t next_sequence = 0;
     std::int64_t expires_monotonic_ms = 0;
     std::int64_t expires_wall_ms = 0;
     std::int64_t last_sent_ms = 0;
     bool renew_soon = false;
-    bool unsettled = false;  ///< a write's fate is to be read back
+    bool write_unconfirmed = false;  ///< to be read back
     std::vector<SentWrite> sent;
   };
-  /// Another's lease, or none, as first seen.
-  struct Sighting {
+  /// A version that another host wrote, or the object's absence (version 0),
+  /// and how long to wait from when it was first seen.
+  struct ObservedLease {
     std::int64_t version = 0;
     std::int64_t first_seen_ms = 0;
     std::int64_t wait_ms = 0;
   };
 
-  void Begin();
+  void BeginTenure();
   void Write();
   void OnWritten(const std::string& nonce, std::int64_t sequence,
                  const absl::StatusOr<std::int64_t>& answer);
   void ReadBack();
   void OnReadBack(const absl::StatusOr<StoredObject>& answer);
-  void Confirm(std::int64_t version, std::int64_t sequence);
-  void Lose(std::string_view why);
-  void Sight(std::int64_t version, std::int64_t wait_ms);
-  bool WaitedOut() const;
-  bool IsOwn(const absl::StatusOr<LeaseDocument>& document) const;
-  std::int64_t WaitFor(const absl::StatusOr<LeaseDocument>& document) const;
-  LeaseDocument Document(std::int64_t ttl_ms) const;
-  void Log(std::string_view why) const;
-
-  std::string duty;
+  void ConfirmWrite(std::int64_t version, std::int64_t sequence);
+  void EndTenure(std::string_view reason);
+  void RecordObserved(std::int64_t version, std::int64_t wait_ms);
+  bool WaitElapsed() const;
+  bool IsOwnTenure(const absl::StatusOr<LeaseDocument>& document) const;
+  std::int64_t WaitMsFor(const absl::StatusOr<LeaseDocument>& document) const;
+  LeaseDocument MakeDocument(std::int64_t ttl_ms) const;
+  void Log(std::string_view reason) const;
+
+  std::string name;
   LeaseSettings settings;
   ObjectStore& store;
   const Clock& clock;
   NonceSource& nonces;
   std::optional<Tenure> tenure;
-  std::optional<Sighting> sighting;
+  std::optional<ObservedLease> observed;
   std::int64_t takeover_delay_ms = 0;
-  bool busy = false;
-  /// Answers that come after the lease is gone find this gone too.
+  bool call_in_flight = false;
+  /// Disables the callbacks of pending store calls on destruction.
   Lifetime life;
 };
 
--- a/src/placement/lease_document.cc
+++ b/src/placement/lease_document.cc
@@ -6,7 +6,7 @@
 #include "absl/strings/str_cat.h"
 #include "base/json_fields.h"
 #include "nlohmann/json.hpp"
-#include "placement/document_fields.h"
+#include "placement/json_field_reader.h"
 
 namespace meadowthread {
 namespace {
@@ -14,11 +14,11 @@
 using nlohmann::json;
 
 constexpr std::string_view kStep = "lease.parse";
-constexpr std::int64_t kAny = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxValue = std::numeric_limits<std::int64_t>::max();
 
-// On the wire the nonce is `tenure.sequence`: new with every write, so that a
-// read-back tells which write took effect.
-void ReadNonce(detail::FieldReader& reader, LeaseDocument& document) {
+// The field `nonce` is `tenure.sequence`. It differs for every write, so that
+// reading the object back tells which write took effect.
+void ReadNonce(detail::JsonFieldReader& reader, LeaseDocument& document) {
   const std::string nonce = reader.String("nonce");
   if (!reader.Status().ok()) {
     return;
@@ -57,16 +57,16 @@
   if (!object.ok()) {
     return object.status();
   }
-  detail::FieldReader reader(*object, kStep);
+  detail::JsonFieldReader reader(*object, kStep);
   LeaseDocument document;
   document.holder = reader.String("holder");
   document.incarnation = reader.String("incarnation");
   ReadNonce(reader, document);
-  document.ttl_ms = reader.Int("ttl_ms", 0, kLongestLeaseMs);
-  document.order_window_ms = reader.Int("order_window_ms", 0, kLongestLeaseMs);
-  document.expires_unix_ms = reader.Int("expires_unix_ms", 0, kAny);
+  document.ttl_ms = reader.Int("ttl_ms", 0, kMaxLeaseMs);
+  document.order_window_ms = reader.Int("order_window_ms", 0, kMaxLeaseMs);
+  document.expires_unix_ms = reader.Int("expires_unix_ms", 0, kMaxValue);
   document.order_deadline_unix_ms =
-      reader.Int("order_deadline_unix_ms", 0, kAny);
+      reader.Int("order_deadline_unix_ms", 0, kMaxValue);
   if (!reader.Status().ok()) {
     return reader.Status();
   }
--- a/src/placement/lease_document.h
+++ b/src/placement/lease_document.h
@@ -9,33 +9,33 @@
 
 namespace meadowthread {
 
-/// @brief The kind of lease objects at the object API.
+/// @brief The kind of lease objects in the object API.
 inline constexpr std::string_view kLeaseKind = "leases";
 
-/// @brief No lease or order window may be longer than this.
-inline constexpr std::int64_t kLongestLeaseMs = 60'000;
+/// @brief Upper limit for the lifetime and the order window of a lease.
+inline constexpr std::int64_t kMaxLeaseMs = 60'000;
 
-/// @brief What `leases/{duty}` holds.
+/// @brief The content of a lease object, `leases/{name}`.
 struct LeaseDocument {
   std::string holder;
   std::string incarnation;
-  std::string tenure;         ///< nonce of the acquisition
-  std::int64_t sequence = 0;  ///< counts the writes of a tenure from 0
-  /// Lifetime from the write on; 0: released. A successor counts it on its own
-  /// clock.
+  std::string tenure;         ///< random id of the acquisition
+  std::int64_t sequence = 0;  ///< of the write in its tenure, from 0
+  /// Lifetime from the write on; 0: released. A successor measures it on its
+  /// own clock.
   std::int64_t ttl_ms = 0;
-  /// The longest time from an order's sending to its deadline.
+  /// The longest time from sending an order to its deadline.
   std::int64_t order_window_ms = 0;
-  std::int64_t expires_unix_ms = 0;         ///< for people only
-  std::int64_t order_deadline_unix_ms = 0;  ///< for people only
+  std::int64_t expires_unix_ms = 0;         ///< for operators only
+  std::int64_t order_deadline_unix_ms = 0;  ///< for operators only
 
   friend bool operator==(const LeaseDocument&, const LeaseDocument&) = default;
 };
 
-/// @brief The document as JSON text.
+/// @brief Encodes a document as JSON.
 std::string EncodeLease(const LeaseDocument& document);
 
-/// @brief Parses a document; an error names the field at fault.
+/// @brief Parses a document; an error names the invalid field.
 absl::StatusOr<LeaseDocument> ParseLease(std::string_view text);
 
 }  // namespace meadowthread
--- a/src/placement/load_budget.h
+++ b/src/placement/load_budget.h
@@ -7,37 +7,39 @@
 
 namespace meadowthread {
 
-/// @brief A group's share of the weight store's rate.
+/// @brief Limits on the model loads that a group orders from the weight store.
 struct LoadBudgetSettings {
-  double loads_per_second = 0.5;  ///< the store's rate over all groups' count
-  double burst = 2;               ///< loads that may be saved up
-  double urgent_reserve = 1;      ///< of these, kept for urgent loads
-  double lowest_rate = 0.02;      ///< never slower than this
+  double loads_per_second = 0.5;  ///< total rate / number of groups
+  double burst = 2;               ///< capacity of the token bucket
+  double urgent_reserve = 1;      ///< tokens kept for urgent loads
+  double min_rate = 0.02;         ///< lower limit of the rate
 };
 
-/// @brief A token bucket whose rate gives way to the weight store's refusals.
+/// @brief A token bucket for model loads that slows down when the weight store
+/// is overloaded.
 ///
-/// Its rate halves when the store refuses or a load takes far too long, and
-/// comes back by a tenth of its full rate with each load that completes.
+/// The rate halves when the store refuses a load or a load times out, and rises
+/// by a tenth of the full rate with each load that completes.
 class LoadBudget {
  public:
-  /// @param[in] by outlives the budget
-  LoadBudget(const LoadBudgetSettings& with, const Clock& by);
+  /// @param[in] clock outlives the budget
+  LoadBudget(const LoadBudgetSettings& settings, const Clock& clock);
 
-  /// @brief Whole loads that may be ordered now.
+  /// @brief The number of loads that may be ordered now.
   int Available();
 
-  /// @brief The same for urgent loads; never fewer.
+  /// @brief The number of urgent loads that may be ordered now, which may use
+  /// the reserve.
   int UrgentAvailable();
 
-  /// @brief Loads have been ordered.
+  /// @brief Takes the tokens of loads that are ordered.
   void Take(int loads);
 
-  /// @brief The weight store is too busy.
-  /// @param[in] pause_ms nothing is loaded for so long; spread by the caller
+  /// @brief Halves the rate, empties the bucket and pauses its refill.
+  /// @param[in] pause_ms with jitter added by the caller
   void OnRefused(std::int64_t pause_ms);
 
-  /// @brief A load has completed.
+  /// @brief Raises the rate after a completed load.
   void OnLoaded();
 
   double Rate() const { return this->rate; }
--- a/src/placement/nonce_source.h
+++ b/src/placement/nonce_source.h
@@ -7,16 +7,16 @@
 
 namespace meadowthread {
 
-/// @brief Where values come from that no one else will ever mint.
+/// @brief Generates values that are unique over all processes.
 class NonceSource {
  public:
   virtual ~NonceSource() = default;
 
-  /// @brief A new value; holds no '.'.
+  /// @brief A new value; it contains no '.'.
   virtual std::string Next() = 0;
 };
 
-/// @brief 128 random bits, in hexadecimal.
+/// @brief Generates 128 random bits in hexadecimal.
 class RandomNonceSource final : public NonceSource {
  public:
   std::string Next() override;
--- a/src/placement/order_messages.cc
+++ b/src/placement/order_messages.cc
@@ -24,7 +24,7 @@
   return MakeError(absl::StatusCode::kFailedPrecondition, error, message);
 }
 
-OrderResult Unread(const HttpEnd& end) {
+OrderResult NoAnswerResult(const HttpEnd& end) {
   OrderResult result;
   result.outcome = end.request_may_have_left ? OrderOutcome::kUnknown
                                              : OrderOutcome::kNotSent;
@@ -32,14 +32,14 @@
   return result;
 }
 
-OrderResult ReadOk(const json& body, std::string_view engine) {
+OrderResult ReadAccepted(const json& body, std::string_view engine) {
   OrderResult result;
   if (BoolOr(body, "applied", false)) {
     result.outcome = OrderOutcome::kApplied;
     return result;
   }
   result.status = OrderError(ErrorId::kPeerMalformed, engine,
-                             "the answer does not say applied");
+                             "the answer to the order lacks 'applied': true");
   return result;
 }
 
@@ -92,21 +92,22 @@
 OrderResult ReadOrderAnswer(const HttpFetched& fetched,
                             std::string_view engine) {
   if (!fetched.end.status.ok()) {
-    return Unread(fetched.end);
+    return NoAnswerResult(fetched.end);
   }
   const HttpResponse& response = fetched.response;
   const int status = response.http_status;
   const json body = json::parse(response.body, nullptr, false);
   if (status == http_code::kOk) {
-    return ReadOk(body, engine);
+    return ReadAccepted(body, engine);
   }
   OrderResult result;
-  result.status =
-      OrderError(ErrorId::kRejectedByPeer, engine, "the engine refused");
+  result.status = OrderError(ErrorId::kRejectedByPeer, engine,
+                             "the engine refused the order");
   if (status == http_code::kConflict) {
     result.outcome = OrderOutcome::kStaleFence;
     result.peer_fence = IntOr(body, "fence", 0);
-    result.status = OrderError(ErrorId::kOrderStale, engine, "stale fence");
+    result.status = OrderError(ErrorId::kOrderStale, engine,
+                               "the order's fence is older than the engine's");
   } else if (status == http_code::kGone) {
     result.outcome = OrderOutcome::kDeadlinePassed;
   } else if (status == http_code::kTooManyRequests ||
--- a/src/placement/order_messages.h
+++ b/src/placement/order_messages.h
@@ -11,22 +11,23 @@
 
 namespace meadowthread {
 
-/// @brief What became of an order.
+/// @brief The outcome of sending an order to an engine.
 enum class OrderOutcome {
-  kApplied,         ///< the engine has taken it; loading may go on
-  kStaleFence,      ///< another holder has ordered: this one has stepped down
-  kSuperseded,      ///< refused for a newer order of our own tenure
-  kDeadlinePassed,  ///< came too late; not applied
-  kThrottled,       ///< too busy; not applied
-  kRejected,        ///< refused for another reason; not applied
-  kNotSent,         ///< nothing has left this host
-  kUnknown,         ///< it may be applied, now or later: read back
+  kApplied,         ///< accepted; the engine may still be loading
+  kStaleFence,      ///< not applied: the engine saw a newer fencing token
+  kSuperseded,      ///< not applied: a newer order of our own tenure was
+  kDeadlinePassed,  ///< not applied: it arrived after its deadline
+  kThrottled,       ///< not applied: the engine or the weight store is busy
+  kRejected,        ///< not applied for another reason
+  kNotSent,         ///< not sent by this host
+  kUnknown,         ///< it may be applied now or later; read the load back
 };
 
-/// @brief The outcome's name in log lines.
+/// @brief The name of an outcome in log lines.
 std::string_view OrderOutcomeName(OrderOutcome outcome);
 
-/// @brief An order as it goes to an engine.
+/// @brief An order as it is sent to an engine: the state to reach, and what the
+/// engine checks before it applies the order.
 struct OrderMessage {
   std::string holder;
   std::int64_t fence = 0;
@@ -34,19 +35,20 @@
   DesiredState desired;
 };
 
-/// @brief An order's outcome with what the engine said.
+/// @brief The outcome of an order with details from the engine's answer.
 struct OrderResult {
   OrderOutcome outcome = OrderOutcome::kUnknown;
-  std::int64_t peer_fence = 0;       ///< where the fence was stale; 0: unsaid
-  std::int64_t retry_after_ms = -1;  ///< where throttled; -1: unsaid
+  std::int64_t peer_fence = 0;       ///< newest one the engine saw; 0: unknown
+  std::int64_t retry_after_ms = -1;  ///< when throttled; -1: not given
   absl::Status status;
 };
 
-/// @brief The order's body on the wire (docs/INTERFACES.md, section 1).
+/// @brief The body of the HTTP request (docs/INTERFACES.md, section 1).
 std::string EncodeOrder(const OrderMessage& order);
 
-/// @brief Reads the answer to an order. Tells kStaleFence for any stale fence;
-/// whose the newer one is, the orderer knows.
+/// @brief Reads the answer to an order. Any stale fencing token gives
+/// kStaleFence; OrderSender turns it into kSuperseded where the newer token is
+/// our own.
 OrderResult ReadOrderAnswer(const HttpFetched& fetched,
                             std::string_view engine);
 
--- a/src/placement/orderer.cc
+++ b/src/placement/order_sender.cc
@@ -1,4 +1,4 @@
-#include "placement/orderer.h"
+#include "placement/order_sender.h"
 
 #include <algorithm>
 
@@ -8,12 +8,13 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::size_t kAnswerLimitBytes = 65'536;
-// With less left than this the order would hardly arrive in time.
-constexpr std::int64_t kLeastRemainingMs = 100;
+constexpr std::size_t kMaxAnswerBytes = 65'536;
+// With less of the lease left, the order would hardly arrive before its
+// deadline.
+constexpr std::int64_t kMinRemainingMs = 100;
 
-absl::Status NotSent(ErrorId id, std::string_view engine,
-                     std::string_view message) {
+absl::Status NotSentError(ErrorId id, std::string_view engine,
+                          std::string_view message) {
   ErrorDetail error;
   error.id = id;
   error.outcome = Outcome::kNotRun;
@@ -26,7 +27,7 @@
          const OrderResult& result) {
   LogLine line("placement");
   line.Add("engine", order.engine).Add("fence", fence);
-  line.Add("why", order.why);
+  line.Add("why", order.reason);
   line.Add("outcome", OrderOutcomeName(result.outcome));
   line.Add("role", order.desired.role);
   std::string models;
@@ -44,28 +45,30 @@
 
 }  // namespace
 
-absl::Status Orderer::MaySend(const EngineOrder& order) const {
-  if (this->lease.RemainingMs() < kLeastRemainingMs) {
-    return NotSent(ErrorId::kLeaseLost, order.engine, "the lease is not held");
+absl::Status OrderSender::CheckMaySend(const EngineOrder& order) const {
+  if (this->lease.RemainingMs() < kMinRemainingMs) {
+    return NotSentError(ErrorId::kLeaseLost, order.engine,
+                        "the lease is not held");
   }
-  const OwnershipAnswer owned =
+  const OwnershipLookup owned =
       this->ownership.Look({OwnedKind::kEngine, order.engine});
   if (owned.verdict != OwnershipVerdict::kOurs) {
-    return NotSent(ErrorId::kOwnedElsewhere, order.engine,
-                   OwnershipVerdictName(owned.verdict));
+    return NotSentError(ErrorId::kOwnedElsewhere, order.engine,
+                        OwnershipVerdictName(owned.verdict));
   }
-  // The former owner's fences are older than the hand-over: ours must be
-  // newer, or its late orders would look newer than ours.
+  // The previous owner's fencing tokens are older than the change of owner.
+  // Ours must be newer than it, or a late order of the previous owner could
+  // count as newer than ours.
   if (this->lease.Fence() <= owned.version) {
-    return NotSent(ErrorId::kOrderStale, order.engine,
-                   "the fence is older than the engine's hand-over");
+    return NotSentError(ErrorId::kOrderStale, order.engine,
+                        "the fence is older than the engine's change of owner");
   }
   return absl::OkStatus();
 }
 
-HttpRequest Orderer::Request(const EngineOrder& order) const {
-  // The wall clock first: a pause between the two readings must shorten the
-  // engine's deadline, never move it past the lease's end.
+HttpRequest OrderSender::Request(const EngineOrder& order) const {
+  // Reads the wall clock first: a pause before the next reading then shortens
+  // the deadline and cannot move it past the end of the lease.
   const std::int64_t now_unix_ms = this->clock.WallMs();
   const std::int64_t window_ms = std::min(
       this->lease.Settings().order_window_ms, this->lease.RemainingMs());
@@ -79,41 +82,42 @@
   request.url = order.base_url + "/v1/orders";
   request.headers = {{"Content-Type", "application/json"}};
   request.body = EncodeOrder(message);
-  // 0 would mean no limit at all.
+  // 0 would mean no timeout.
   request.total_timeout_ms = std::max<std::int64_t>(1, window_ms);
   request.connect_timeout_ms =
       std::min(request.connect_timeout_ms, request.total_timeout_ms);
-  // A second sending by the library would come after our check.
+  // An automatic retry by the HTTP client would bypass the checks.
   request.send_once = true;
   request.reuse_idle_ms = 0;
   return request;
 }
 
-void Orderer::Send(const EngineOrder& order, const Done& done) {
-  const absl::Status may = this->MaySend(order);
-  if (!may.ok()) {
-    if (DetailOf(may).id == ErrorId::kOrderStale) {
+void OrderSender::Send(const EngineOrder& order, const Done& done) {
+  const absl::Status check = this->CheckMaySend(order);
+  if (!check.ok()) {
+    if (DetailOf(check).id == ErrorId::kOrderStale) {
       this->lease.RenewSoon();
     }
     OrderResult result;
     result.outcome = OrderOutcome::kNotSent;
-    result.status = may;
+    result.status = check;
     Log(order, this->lease.Fence(), result);
     done(result);
     return;
   }
   const std::int64_t fence = this->lease.Fence();
-  Fetch(this->client, this->Request(order), kAnswerLimitBytes,
+  Fetch(this->client, this->Request(order), kMaxAnswerBytes,
         this->life.Guarded(
             [this, order, fence, done](const HttpFetched& fetched) {
-              const OrderResult result =
-                  this->Settle(ReadOrderAnswer(fetched, order.engine), fence);
+              const OrderResult result = this->ClassifyAnswer(
+                  ReadOrderAnswer(fetched, order.engine), fence);
               Log(order, fence, result);
               done(result);
             }));
 }
 
-OrderResult Orderer::Settle(const OrderResult& answer, std::int64_t fence) {
+OrderResult OrderSender::ClassifyAnswer(const OrderResult& answer,
+                                        std::int64_t fence) {
   if (answer.outcome != OrderOutcome::kStaleFence) {
     return answer;
   }
@@ -121,8 +125,8 @@
   if (this->lease.IsOwnFence(answer.peer_fence)) {
     result.outcome = OrderOutcome::kSuperseded;
   } else if (this->lease.IsOwnFence(fence)) {
-    // Some other holder ordered this engine: whatever our clock says, we are
-    // not, or not alone, in charge.
+    // Another holder has sent orders to this engine, so this host does not hold
+    // the lease alone, whatever its clock says.
     this->lease.StepDown("stale_fence");
   }
   return result;
--- a/src/placement/ownership.cc
+++ b/src/placement/ownership.cc
@@ -5,7 +5,7 @@
 #include "absl/strings/str_cat.h"
 #include "base/json_fields.h"
 #include "nlohmann/json.hpp"
-#include "placement/document_fields.h"
+#include "placement/json_field_reader.h"
 
 namespace meadowthread {
 namespace {
@@ -17,9 +17,9 @@
 constexpr std::string_view kEnginePrefix = "engine.";
 constexpr std::string_view kOwnedName = "owned";
 constexpr std::string_view kDrainingName = "draining";
-constexpr std::int64_t kMostEpochs = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxEpoch = std::numeric_limits<std::int64_t>::max();
 
-OwnershipState ReadState(detail::FieldReader& reader) {
+OwnershipState ReadState(detail::JsonFieldReader& reader) {
   const std::string name = reader.String("state");
   if (name != kOwnedName && name != kDrainingName) {
     reader.Fail("state", "is neither 'owned' nor 'draining'");
@@ -28,8 +28,8 @@
                                : OwnershipState::kOwned;
 }
 
-void CheckSense(detail::FieldReader& reader,
-                const OwnershipDocument& document) {
+void CheckConsistency(detail::JsonFieldReader& reader,
+                      const OwnershipDocument& document) {
   if (document.owner.empty()) {
     reader.Fail("owner", "is empty");
   }
@@ -82,16 +82,16 @@
   if (!object.ok()) {
     return object.status();
   }
-  detail::FieldReader reader(*object, kStep);
+  detail::JsonFieldReader reader(*object, kStep);
   OwnershipDocument document;
   document.owner = reader.String("owner");
-  document.epoch = reader.Int("epoch", 1, kMostEpochs);
+  document.epoch = reader.Int("epoch", 1, kMaxEpoch);
   document.state = ReadState(reader);
   document.address = StringOr(*object, "address", "");
   document.next_owner = StringOr(*object, "next_owner", "");
   document.next_address = StringOr(*object, "next_address", "");
   document.operation = StringOr(*object, "operation", "");
-  CheckSense(reader, document);
+  CheckConsistency(reader, document);
   if (!reader.Status().ok()) {
     return reader.Status();
   }
--- a/src/placement/ownership.h
+++ b/src/placement/ownership.h
@@ -11,13 +11,18 @@
 
 namespace meadowthread {
 
-/// @brief The kind of ownership objects at the object API.
+/// @brief The kind of ownership objects in the object API.
 inline constexpr std::string_view kOwnershipKind = "ownership";
 
-/// @brief What one half of the migration can own.
+/// @brief What a deployment can own.
+///
+/// During a migration two deployments of this system (`half` in the settings)
+/// share the object store and the engines. Each workspace and each engine is
+/// owned by one deployment at a time; only its hosts serve the workspace or use
+/// the engine.
 enum class OwnedKind { kWorkspace, kEngine };
 
-/// @brief Names one workspace or engine.
+/// @brief Identifies a workspace or an engine.
 struct OwnedId {
   OwnedKind kind = OwnedKind::kWorkspace;
   std::string name;
@@ -28,21 +33,21 @@
   }
 };
 
-/// @brief The steps of a hand-over.
+/// @brief The steps of moving something to another owner.
 enum class OwnershipState {
-  kOwned,     ///< the owner acts
-  kDraining,  ///< the owner takes nothing new; the next owner is named
+  kOwned,     ///< the owner starts new work
+  kDraining,  ///< the owner only finishes work in flight
 };
 
-/// @brief What `ownership/{kind}.{name}` holds.
+/// @brief The content of an ownership object, `ownership/{kind}.{name}`.
 struct OwnershipDocument {
-  std::string owner;       ///< a half's name
-  std::string address;     ///< where callers of the owner go
-  std::int64_t epoch = 1;  ///< grows by one with every change of owner
+  std::string owner;       ///< a deployment's name
+  std::string address;     ///< URL for callers of the owner
+  std::int64_t epoch = 1;  ///< one more with every change of owner
   OwnershipState state = OwnershipState::kOwned;
-  std::string next_owner;  ///< while draining
+  std::string next_owner;  ///< set while draining
   std::string next_address;
-  std::string operation;  ///< the move that wrote it
+  std::string operation;  ///< id of the move that wrote the object
 
   friend bool operator==(const OwnershipDocument&,
                          const OwnershipDocument&) = default;
@@ -51,13 +56,13 @@
 /// @brief "workspace.NAME" or "engine.NAME".
 std::string OwnershipObjectName(const OwnedId& id);
 
-/// @brief The inverse; nothing where the name is of neither form.
+/// @brief The inverse of OwnershipObjectName; nullopt for any other name.
 std::optional<OwnedId> ParseOwnershipObjectName(std::string_view name);
 
-/// @brief The document as JSON text.
+/// @brief Encodes a document as JSON.
 std::string EncodeOwnership(const OwnershipDocument& document);
 
-/// @brief Parses a document; an error names the field at fault.
+/// @brief Parses a document; an error names the invalid field.
 absl::StatusOr<OwnershipDocument> ParseOwnership(std::string_view text);
 
 }  // namespace meadowthread
--- a/src/placement/ownership_mover.cc
+++ b/src/placement/ownership_mover.cc
@@ -9,24 +9,25 @@
 namespace meadowthread {
 namespace {}  // namespace
 
-OwnershipMover::OwnershipMover(const MoveRequest& what,
-                               const MoverSettings& with, ObjectStore& over)
-    : request(what),
-      settings(with),
-      store(over),
-      object_name(OwnershipObjectName(what.id)) {}
+OwnershipMover::OwnershipMover(const MoveRequest& request,
+                               const MoverSettings& settings,
+                               ObjectStore& store)
+    : request(request),
+      settings(settings),
+      store(store),
+      object_name(OwnershipObjectName(request.id)) {}
 
 void OwnershipMover::Tick() {
-  const bool over = this->progress.phase == MovePhase::kDone ||
-                    this->progress.phase == MovePhase::kConflict;
-  if (this->busy || over) {
+  const bool ended = this->progress.phase == MovePhase::kDone ||
+                     this->progress.phase == MovePhase::kConflict;
+  if (this->call_in_flight || ended) {
     return;
   }
-  this->busy = true;
+  this->call_in_flight = true;
   this->store.Get(
       kOwnershipKind, this->object_name,
       this->life.Guarded([this](const absl::StatusOr<StoredObject>& answer) {
-        this->busy = false;
+        this->call_in_flight = false;
         this->OnObject(answer);
       }));
 }
@@ -57,7 +58,7 @@
   this->progress.epoch = document.epoch;
   if (document.state == OwnershipState::kDraining) {
     if (document.next_owner != this->request.next_owner) {
-      this->Conflict("it is being handed to another half");
+      this->Conflict("it is being moved to another deployment");
       return;
     }
     this->OnDraining(document, version);
@@ -69,13 +70,14 @@
     return;
   }
   if (this->progress.phase == MovePhase::kDraining) {
-    this->Conflict("the move was called off");
+    this->Conflict("the move was cancelled");
     return;
   }
-  this->Mark(document, version);
+  this->MarkDraining(document, version);
 }
 
-void OwnershipMover::Mark(const OwnershipDocument& from, std::int64_t version) {
+void OwnershipMover::MarkDraining(const OwnershipDocument& from,
+                                  std::int64_t version) {
   OwnershipDocument next = from;
   next.state = OwnershipState::kDraining;
   next.next_owner = this->request.next_owner;
@@ -87,14 +89,14 @@
 void OwnershipMover::OnDraining(const OwnershipDocument& document,
                                 std::int64_t version) {
   this->progress.phase = MovePhase::kDraining;
-  // Listed only now that the mark has been seen to stand: a host that is not
-  // among them reads the mark before it starts any work.
-  this->busy = true;
+  // The hosts are listed only after the draining mark has been read back. A
+  // host that registers later reads the mark before it starts any work.
+  this->call_in_flight = true;
   this->store.List(
       kStatusKind, 0,
       this->life.Guarded(
           [this, document, version](const absl::StatusOr<ObjectList>& list) {
-            this->busy = false;
+            this->call_in_flight = false;
             this->OnStatuses(document, version, list);
           }));
 }
@@ -109,23 +111,23 @@
   this->progress.waiting_for.clear();
   for (const StoredObject& status : list->items) {
     if (!this->IsDrained(status, document.owner, version) &&
-        !this->IsGone(status.name)) {
+        !this->IsDeclaredDead(status.name)) {
       this->progress.waiting_for.push_back(status.name);
     }
   }
   if (this->progress.waiting_for.empty()) {
-    this->Flip(document, version);
+    this->ChangeOwner(document, version);
   }
 }
 
 bool OwnershipMover::IsDrained(const StoredObject& status,
-                               std::string_view half,
+                               std::string_view deployment,
                                std::int64_t version) const {
   const absl::StatusOr<DrainReport> report = ParseDrainReport(status.value);
   if (!report.ok()) {
-    return false;  // it may be a host of that half with work in flight
+    return false;  // it may be a host of the owner with work in flight
   }
-  if (report->half != half) {
+  if (report->deployment != deployment) {
     return true;
   }
   const DrainConfirmation wanted{this->object_name, version};
@@ -133,14 +135,16 @@
          report->drained.end();
 }
 
-// A host that has not been heard of may be cut off and at work: only someone
-// who can see the machine may say that it is gone.
-bool OwnershipMover::IsGone(std::string_view host) const {
-  const std::vector<std::string>& gone = this->request.gone;
-  return std::find(gone.begin(), gone.end(), host) != gone.end();
+// A host that does not answer may be partitioned and still working, so only an
+// operator can declare it dead.
+bool OwnershipMover::IsDeclaredDead(std::string_view host) const {
+  const std::vector<std::string>& dead_hosts = this->request.dead_hosts;
+  return std::find(dead_hosts.begin(), dead_hosts.end(), host) !=
+         dead_hosts.end();
 }
 
-void OwnershipMover::Flip(const OwnershipDocument& from, std::int64_t version) {
+void OwnershipMover::ChangeOwner(const OwnershipDocument& from,
+                                 std::int64_t version) {
   OwnershipDocument next;
   next.owner = from.next_owner;
   next.address = from.next_address;
@@ -157,23 +161,23 @@
   line.Add("why",
            document.state == OwnershipState::kDraining ? "drain" : "hand_over");
   line.Write();
-  this->busy = true;
+  this->call_in_flight = true;
   this->store.Put(
       kOwnershipKind, this->object_name, EncodeOwnership(document), version,
       this->life.Guarded([this](const absl::StatusOr<std::int64_t>& answer) {
-        this->busy = false;
+        this->call_in_flight = false;
         this->progress.last_error = answer.status();
       }));
 }
 
-void OwnershipMover::Conflict(std::string_view why) {
+void OwnershipMover::Conflict(std::string_view reason) {
   ErrorDetail error;
   error.id = ErrorId::kStoreConflict;
   error.step = "ownership.move";
   error.peer = this->object_name;
   this->progress.phase = MovePhase::kConflict;
   this->progress.last_error =
-      MakeError(absl::StatusCode::kFailedPrecondition, error, why);
+      MakeError(absl::StatusCode::kFailedPrecondition, error, reason);
 }
 
 }  // namespace meadowthread
--- a/src/placement/ownership_mover.h
+++ b/src/placement/ownership_mover.h
@@ -12,47 +12,56 @@
 
 namespace meadowthread {
 
-/// @brief The kind of hosts' status objects at the object API.
+/// @brief The kind of the hosts' status objects in the object API.
 inline constexpr std::string_view kStatusKind = "status";
 
-/// @brief What is to be handed to which half.
+/// @brief What to move, and to which deployment.
 struct MoveRequest {
   OwnedId id;
   std::string next_owner;
   std::string next_address;
-  std::string operation;          ///< names the move in the object
-  std::vector<std::string> gone;  ///< hosts an operator vouches are dead
+  std::string operation;  ///< id of the move, written to the object
+  /// Hosts that an operator declares dead for good: not waited for.
+  std::vector<std::string> dead_hosts;
 };
 
-/// @brief What a missing object means, as on the hosts.
+/// @brief The owner of anything without an ownership object; the same as on the
+/// hosts.
 struct MoverSettings {
   std::string default_owner;
   std::string default_address;
 };
 
-/// @brief How far a move has come.
-enum class MovePhase { kStarting, kDraining, kDone, kConflict };
+/// @brief The phases of a move.
+enum class MovePhase {
+  kStarting,  ///< the draining mark was not read back yet
+  kDraining,  ///< waits for the owner's hosts
+  kDone,      ///< the next deployment is the owner
+  kConflict   ///< ended: the object is invalid or was changed by someone else
+};
 
-/// @brief The phase, and what it waits for.
+/// @brief The phase of a move, and what it waits for.
 struct MoveProgress {
   MovePhase phase = MovePhase::kStarting;
   std::int64_t epoch = 0;
   std::vector<std::string> waiting_for;  ///< hosts not yet drained
-  absl::Status last_error;  ///< of the last call, or why there is a conflict
+  absl::Status last_error;  ///< of the last store call, or the conflict
 };
 
-/// @brief Carries one move, a step at a time.
+/// @brief Moves a workspace or an engine to another deployment.
 ///
-/// All state is in the object: a mover that crashed at any step is replaced by
-/// a new one with the same request, and two at once do no harm. A lost answer
-/// needs no settling of its own, as every step begins by reading.
+/// Marks the ownership object as draining, waits until every host of the owner
+/// has confirmed that it has no work in flight, and then writes the new owner.
+/// All state is in the object: after a crash at any step, a new mover with the
+/// same request continues, and two at once do no harm. A lost answer needs no
+/// special handling, as every step starts by reading the object.
 class OwnershipMover {
  public:
-  /// @param[in] over outlives the mover
-  OwnershipMover(const MoveRequest& what, const MoverSettings& with,
-                 ObjectStore& over);
+  /// @param[in] store outlives the mover
+  OwnershipMover(const MoveRequest& request, const MoverSettings& settings,
+                 ObjectStore& store);
 
-  /// @brief Takes the next step, unless one is in progress.
+  /// @brief Starts the next step, unless one is in progress.
   void Tick();
 
   const MoveProgress& Progress() const { return this->progress; }
@@ -60,23 +69,23 @@
  private:
   void OnObject(const absl::StatusOr<StoredObject>& answer);
   void OnDocument(const OwnershipDocument& document, std::int64_t version);
-  void Mark(const OwnershipDocument& from, std::int64_t version);
+  void MarkDraining(const OwnershipDocument& from, std::int64_t version);
   void OnDraining(const OwnershipDocument& document, std::int64_t version);
   void OnStatuses(const OwnershipDocument& document, std::int64_t version,
                   const absl::StatusOr<ObjectList>& list);
-  bool IsDrained(const StoredObject& status, std::string_view half,
+  bool IsDrained(const StoredObject& status, std::string_view deployment,
                  std::int64_t version) const;
-  bool IsGone(std::string_view host) const;
-  void Flip(const OwnershipDocument& from, std::int64_t version);
+  bool IsDeclaredDead(std::string_view host) const;
+  void ChangeOwner(const OwnershipDocument& from, std::int64_t version);
   void Put(const OwnershipDocument& document, std::int64_t version);
-  void Conflict(std::string_view why);
+  void Conflict(std::string_view reason);
 
   MoveRequest request;
   MoverSettings settings;
   ObjectStore& store;
   std::string object_name;
   MoveProgress progress;
-  bool busy = false;
+  bool call_in_flight = false;
   Lifetime life;
 };
 
--- a/src/placement/ownership_view.cc
+++ b/src/placement/ownership_view.cc
@@ -12,8 +12,8 @@
 
 constexpr std::string_view kStep = "ownership";
 
-absl::Status NotRun(ErrorId id, std::string_view peer,
-                    std::string_view message) {
+absl::Status NotRunError(ErrorId id, std::string_view peer,
+                         std::string_view message) {
   ErrorDetail error;
   error.id = id;
   error.outcome = Outcome::kNotRun;
@@ -62,8 +62,8 @@
   entry.deleted = object.deleted;
   const absl::StatusOr<OwnershipDocument> document =
       ParseOwnership(object.value);
-  // What cannot be read may have given the thing away: keeping to the older
-  // document could have both halves act, so neither does.
+  // An invalid document may have changed the owner. Using the older document
+  // could let two deployments start work, so neither does.
   entry.readable = document.ok();
   if (document.ok()) {
     entry.document = *document;
@@ -78,20 +78,21 @@
 }
 
 void OwnershipView::SetRegistered() {
-  // Kept at the first time: later writes of the same status change nothing.
+  // Later writes of the same status object keep the time of the first one.
   if (!this->registered_ms.has_value()) {
     this->registered_ms = this->clock.MonotonicMs();
   }
 }
 
-// Strictly later: a read sent within the same millisecond may have been sent
-// before the status object stood.
+// Strictly later, because a read sent in the same millisecond may have been
+// sent before the status object was written.
 bool OwnershipView::HasReadSinceRegistered() const {
   return this->confirmed_ms.has_value() && this->registered_ms.has_value() &&
          *this->confirmed_ms > *this->registered_ms;
 }
 
-OwnershipVerdict OwnershipView::Judge(const OwnershipDocument& document) const {
+OwnershipVerdict OwnershipView::VerdictFor(
+    const OwnershipDocument& document) const {
   if (document.owner != this->settings.half) {
     return OwnershipVerdict::kElsewhere;
   }
@@ -100,8 +101,8 @@
              : OwnershipVerdict::kOurs;
 }
 
-OwnershipAnswer OwnershipView::Look(const OwnedId& id) const {
-  OwnershipAnswer answer;
+OwnershipLookup OwnershipView::Look(const OwnedId& id) const {
+  OwnershipLookup answer;
   OwnershipDocument document;
   document.owner = this->settings.default_owner;
   document.address = this->settings.default_address;
@@ -118,8 +119,9 @@
   const bool draining = document.state == OwnershipState::kDraining;
   answer.address = draining ? document.next_address : document.address;
   answer.verdict =
-      readable ? this->Judge(document) : OwnershipVerdict::kUnreadable;
-  // What is known to be another's stays so whatever is missing here.
+      readable ? this->VerdictFor(document) : OwnershipVerdict::kUnreadable;
+  // A refusal needs no fresh view; only permission depends on the registration
+  // and the read after it.
   if (answer.verdict != OwnershipVerdict::kOurs ||
       !this->settings.has_other_half) {
     return answer;
@@ -133,26 +135,27 @@
 }
 
 absl::Status OwnershipView::MayStart(const OwnedId& id) const {
-  const OwnershipAnswer answer = this->Look(id);
+  const OwnershipLookup answer = this->Look(id);
   const std::string name = OwnershipObjectName(id);
   switch (answer.verdict) {
     case OwnershipVerdict::kOurs:
       return absl::OkStatus();
     case OwnershipVerdict::kDraining:
     case OwnershipVerdict::kElsewhere:
-      return NotRun(ErrorId::kOwnedElsewhere, answer.address,
-                    absl::StrCat(name, " is served by the other half"));
+      return NotRunError(
+          ErrorId::kOwnedElsewhere, answer.address,
+          absl::StrCat(name, " is served by another deployment"));
     case OwnershipVerdict::kUnreadable:
-      return NotRun(ErrorId::kHostNotReady, name,
-                    "the ownership object cannot be read");
+      return NotRunError(ErrorId::kHostNotReady, name,
+                         "the ownership object cannot be read");
     case OwnershipVerdict::kUnregistered:
-      return NotRun(ErrorId::kHostNotReady, name,
-                    "this host's status is not at the platform yet");
+      return NotRunError(ErrorId::kHostNotReady, name,
+                         "this host has not written its status object yet");
     case OwnershipVerdict::kUnread:
       break;
   }
-  return NotRun(ErrorId::kHostNotReady, name,
-                "ownership has not been read since this host's start");
+  return NotRunError(ErrorId::kHostNotReady, name,
+                     "ownership has not been read since this host registered");
 }
 
 std::vector<DrainingObject> OwnershipView::Draining() const {
@@ -160,7 +163,7 @@
   for (const auto& [id, entry] : this->entries) {
     const bool ours =
         !entry.deleted && entry.readable &&
-        this->Judge(entry.document) == OwnershipVerdict::kDraining;
+        this->VerdictFor(entry.document) == OwnershipVerdict::kDraining;
     if (ours) {
       draining.push_back({id, entry.version});
     }
--- a/src/placement/ownership_view.h
+++ b/src/placement/ownership_view.h
@@ -15,76 +15,80 @@
 
 namespace meadowthread {
 
-/// @brief Which half this is, and what a missing object means.
+/// @brief The deployment of this host, and the default owner.
 struct OwnershipSettings {
-  std::string half;           ///< this half's name
-  std::string default_owner;  ///< owns what has no object
+  std::string half;           ///< the name of this deployment
+  std::string default_owner;  ///< owns anything without an object
   std::string default_address;
-  /// Whether another half may act too. Without one a host needs neither to be
-  /// registered nor to have read the platform before it starts work.
+  /// Whether another deployment shares the object store. If not, a host may
+  /// start work without having registered or read the ownership objects.
   bool has_other_half = true;
 };
 
-/// @brief Whether this half may act.
+/// @brief Whether this host may start work of a workspace, or on an engine.
 enum class OwnershipVerdict {
-  kOurs,
-  kDraining,      ///< ours, but nothing new may start
-  kElsewhere,     ///< the other half's
-  kUnreadable,    ///< its object makes no sense: neither half acts
-  kUnregistered,  ///< this host's status object is not known to stand
-  kUnread,        ///< the platform was not read since it was registered
+  kOurs,          ///< yes: this deployment owns it
+  kDraining,      ///< no: it is being moved to another deployment
+  kElsewhere,     ///< no: another deployment owns it
+  kUnreadable,    ///< no: its object is invalid, so no deployment may
+  kUnregistered,  ///< not yet: this host's status object is not written
+  kUnread,        ///< not yet: the objects were not read since registration
 };
 
-/// @brief The verdict's name in log lines.
+/// @brief The name of a verdict in log lines.
 std::string_view OwnershipVerdictName(OwnershipVerdict verdict);
 
-/// @brief What is known of one workspace or engine.
-struct OwnershipAnswer {
+/// @brief What is known about the ownership of one workspace or engine.
+struct OwnershipLookup {
   OwnershipVerdict verdict = OwnershipVerdict::kUnread;
   std::string owner;
-  std::string address;       ///< where to go instead, empty if not known
+  std::string address;       ///< of the owner or next owner; empty: unknown
   std::int64_t epoch = 0;    ///< 0: no object
   std::int64_t version = 0;  ///< of the object; 0: none
 };
 
-/// @brief An ownership object that names us as draining.
+/// @brief Something that this deployment owns and is draining.
 struct DrainingObject {
   OwnedId id;
   std::int64_t version = 0;
 };
 
-/// @brief This host's copy of the ownership objects, and how fresh it is.
+/// @brief This host's replica of the ownership objects, which decides whether
+/// work may start.
 class OwnershipView {
  public:
-  /// @param[in] by outlives the view
-  OwnershipView(const OwnershipSettings& with, const Clock& by)
-      : settings(with), clock(by) {}
+  /// @param[in] clock outlives the view
+  OwnershipView(const OwnershipSettings& settings, const Clock& clock)
+      : settings(settings), clock(clock) {}
 
-  /// @brief Takes an object, from the platform or a peer; versions only grow.
+  /// @brief Applies an object from the object store or from a peer; older
+  /// versions are ignored.
   void Apply(const StoredObject& object);
 
-  /// @brief All that stood at the platform at some instant no earlier than
-  /// `since_ms` has been applied.
-  /// @param[in] since_ms monotonic time at which the read was *sent*; for a
-  /// peer's confirmation: when the peer was asked, less the age it answered
+  /// @brief States that everything has been applied that the object store held
+  /// at some time not before `since_ms`.
+  /// @param[in] since_ms monotonic time at which the read was *sent*; if a peer
+  /// did the read: when the peer was asked, minus the age that it answered
   void Confirm(std::int64_t since_ms);
 
-  /// @brief This host's status object stands at the platform, so that a mover
-  /// waits for its word; told when the write's answer has come.
+  /// @brief Called when the write of this host's status object has succeeded:
+  /// from then on movers wait for this host to drain.
   void SetRegistered();
 
-  /// @brief The status object was found removed or written by another
-  /// incarnation: a mover no longer waits for this host.
+  /// @brief Called when the status object was found to be removed or written by
+  /// another incarnation: movers no longer wait for this host.
   void SetUnregistered() { this->registered_ms.reset(); }
 
-  /// @brief What is known now. @complexity logarithmic in the objects
-  OwnershipAnswer Look(const OwnedId& id) const;
+  /// @brief The owner of a workspace or engine, and whether work may start.
+  /// @complexity logarithmic in the objects
+  OwnershipLookup Look(const OwnedId& id) const;
 
-  /// @brief OK, or why no new work may start: kOwnedElsewhere with the address
-  /// as peer, or kHostNotReady; both not run.
+  /// @brief Whether new work may start.
+  /// @return OK; kOwnedElsewhere with the address to use instead as `peer`; or
+  /// kHostNotReady. Both errors state that nothing was run.
   absl::Status MayStart(const OwnedId& id) const;
 
-  /// @brief What this half is draining.
+  /// @brief Everything that this deployment is draining.
   std::vector<DrainingObject> Draining() const;
 
   const OwnershipSettings& Settings() const { return this->settings; }
@@ -97,9 +101,10 @@
     OwnershipDocument document;
   };
 
-  /// @brief Whether all that stood when the host was registered is known.
+  /// @brief Whether the objects were read after this host registered, so that
+  /// any earlier draining mark is known.
   bool HasReadSinceRegistered() const;
-  OwnershipVerdict Judge(const OwnershipDocument& document) const;
+  OwnershipVerdict VerdictFor(const OwnershipDocument& document) const;
 
   OwnershipSettings settings;
   const Clock& clock;
--- a/src/placement/placement_source.h
+++ b/src/placement/placement_source.h
@@ -11,31 +11,34 @@
 
 namespace meadowthread {
 
-/// @brief An engine as the host list and the load reports show it.
+/// @brief An engine with its entry in the host list and its last load report.
 struct ListedEngine {
   std::string name;
   std::string base_url;
   std::string zone;
   bool leaving = false;
-  int capacity = 1;  ///< models it can hold at once
+  int capacity = 1;  ///< models it can have loaded at once
   std::optional<LoadReport> report;
 };
 
-/// @brief What placement needs to know from the rest of the host.
+/// @brief Provides placement with the needed models, the engines and the hosts.
 class PlacementSource {
  public:
   virtual ~PlacementSource() = default;
 
-  /// @brief What the accepted templates need, in force on this host.
+  /// @brief The models that the accepted templates need, as this host knows
+  /// them.
   virtual std::vector<NeededModel> Needed() = 0;
 
-  /// @brief Whether that view is confirmed lately enough to unload by it.
+  /// @brief Whether the list of needed models is recent enough to unload models
+  /// that are not in it.
   virtual bool NeededIsFresh() = 0;
 
-  /// @brief All engines known; valid until the next turn of the event loop.
+  /// @brief All known engines; the span is valid until the next turn of the
+  /// event loop.
   virtual std::span<const ListedEngine> Engines() = 0;
 
-  /// @brief Names of the entry hosts believed live; a hint.
+  /// @brief Names of the entry hosts believed live; the list may be wrong.
   virtual std::span<const std::string> LiveHosts() = 0;
 };
 
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -4,20 +4,20 @@
 #include <cmath>
 #include <tuple>
 
-#include "placement/holdings.h"
+#include "placement/placement_state.h"
 #include "placement/role_plan.h"
 
 namespace meadowthread {
 namespace {
 
-using detail::EngineHoldings;
-using detail::HeldModel;
-using detail::Holdings;
-using detail::ModelHoldings;
+using detail::EnginePlacement;
+using detail::ModelCopy;
+using detail::ModelCopyCounts;
+using detail::PlacementState;
 
 constexpr int kNoModel = -1;
 
-/// What a model is short of.
+/// A needed model that lacks copies, and why it needs one.
 struct Need {
   int model = kNoModel;
   ChangeReason reason = ChangeReason::kDemand;
@@ -29,51 +29,56 @@
   }
 };
 
-/// What a copy on an engine would cost.
-enum class SlotCost { kFree, kUnneeded, kVictim, kNone };
+/// Where the slot for a copy comes from, the cheapest first.
+enum class SlotCost {
+  kFree,      ///< an empty slot
+  kUnneeded,  ///< unloads a model that no template needs
+  kVictim,    ///< evicts a copy of another needed model
+  kNone       ///< the engine cannot take the copy
+};
 
-/// An engine that could take a copy.
+/// An engine that could take a copy; the lowest rank is chosen.
 struct Candidate {
-  EngineHoldings* engine = nullptr;
+  EnginePlacement* engine = nullptr;
   SlotCost cost = SlotCost::kNone;
   int victim = kNoModel;
-  bool zone_held = false;  ///< the zone has a copy already
+  bool zone_held = false;  ///< its zone already has a copy
   double zone_share = 0;
   double victim_excess = 0;
 
   auto Rank() const {
-    const std::string_view name = this->engine->view->name;
+    const std::string_view name = this->engine->input->name;
     return std::make_tuple(this->zone_held, this->cost, this->zone_share,
-                           -this->victim_excess, this->engine->view->load,
-                           name);
+                           -this->victim_excess,
+                           this->engine->input->utilization, name);
   }
 };
 
 class Planner {
  public:
-  Planner(const PlannerSettings& with, const PlannerInput& from)
-      : settings(with),
-        input(from),
-        holdings(with, from),
-        blocked(from.needed.size()) {}
+  Planner(const PlannerSettings& settings, const PlannerInput& input)
+      : settings(settings),
+        input(input),
+        placement(settings, input),
+        blocked(input.needed.size()) {}
 
   Plan Make() {
     for (Need need = this->NextNeed(); need.model != kNoModel;
          need = this->NextNeed()) {
-      const Candidate best = this->Choose(need);
+      const Candidate best = this->ChooseEngine(need);
       if (best.engine == nullptr) {
         this->blocked[need.model].push_back(need.reason);
       } else {
-        this->Change(need, best);
+        this->ApplyChange(need, best);
       }
     }
     this->AddShortages();
-    detail::PlanRoles(this->settings, this->holdings, this->plan);
+    detail::PlanRoles(this->settings, this->placement, this->plan);
     return std::move(this->plan);
   }
 
  private:
-  // 1. What is needed most.
+  // 1. The most important need.
 
   Need NextNeed() const {
     Need best;
@@ -91,7 +96,7 @@
   }
 
   bool NeedOf(int model, Need& need) const {
-    const ModelHoldings& held = this->holdings.Models()[model];
+    const ModelCopyCounts& held = this->placement.Models()[model];
     need.model = model;
     need.urgent = this->input.needed[model].urgent;
     need.excess = held.Excess();
@@ -99,12 +104,12 @@
       need.reason = ChangeReason::kNoCopy;
       return true;
     }
-    if (held.copies < held.least) {
+    if (held.copies < held.min_copies) {
       need.reason = ChangeReason::kFewCopies;
       return true;
     }
     const bool one_zone = held.copies > 1 && held.ZonesHeld() == 1 &&
-                          this->holdings.ZoneCount() > 1;
+                          this->placement.ZoneCount() > 1;
     if (one_zone && !this->IsBlocked(model, ChangeReason::kOneZone)) {
       need.reason = ChangeReason::kOneZone;
       return true;
@@ -119,29 +124,29 @@
   }
 
   bool InBudget(ChangeReason reason) const {
-    const bool short_of_least =
+    const bool below_min_copies =
         reason == ChangeReason::kNoCopy || reason == ChangeReason::kFewCopies;
-    const int most =
-        short_of_least ? this->input.urgent_loads : this->input.loads;
-    return static_cast<int>(this->plan.changes.size()) < most &&
+    const int budget = below_min_copies ? this->input.urgent_load_budget
+                                        : this->input.load_budget;
+    return static_cast<int>(this->plan.changes.size()) < budget &&
            (reason == ChangeReason::kNoCopy || this->MayChangeMore());
   }
 
   bool MayChangeMore() const {
-    const double most = this->settings.max_changing_share *
-                        static_cast<double>(this->engine_count);
-    return this->holdings.Changing() < std::max(1.0, most);
+    const double limit = this->settings.max_changing_share *
+                         static_cast<double>(this->engine_count);
+    return this->placement.Changing() < std::max(1.0, limit);
   }
 
   // 2. Which engine takes the copy.
 
-  Candidate Choose(const Need& need) {
+  Candidate ChooseEngine(const Need& need) {
     Candidate best;
-    for (EngineHoldings& engine : this->holdings.Engines()) {
+    for (EnginePlacement& engine : this->placement.Engines()) {
       if (!MayChange(engine, need)) {
         continue;
       }
-      const Candidate candidate = this->Weigh(engine, need);
+      const Candidate candidate = this->Evaluate(engine, need);
       const bool fits = candidate.cost != SlotCost::kNone;
       if (fits && (best.engine == nullptr || candidate.Rank() < best.Rank())) {
         best = candidate;
@@ -150,19 +155,21 @@
     return best;
   }
 
-  static bool MayChange(const EngineHoldings& engine, const Need& need) {
-    const PlacedEngine& view = *engine.view;
-    const bool rested = view.settled || need.reason == ChangeReason::kNoCopy;
-    return view.state == EngineState::kLive && !view.ordered.has_value() &&
-           !engine.changed && rested && !engine.Holds(need.model);
+  static bool MayChange(const EnginePlacement& engine, const Need& need) {
+    const PlacedEngine& placed = *engine.input;
+    const bool may_change_now =
+        placed.cooled_down || need.reason == ChangeReason::kNoCopy;
+    return placed.state == EngineLiveness::kLive &&
+           !placed.ordered.has_value() && !engine.changed && may_change_now &&
+           !engine.Holds(need.model);
   }
 
-  Candidate Weigh(EngineHoldings& engine, const Need& need) const {
-    const ModelHoldings& held = this->holdings.Models()[need.model];
+  Candidate Evaluate(EnginePlacement& engine, const Need& need) const {
+    const ModelCopyCounts& held = this->placement.Models()[need.model];
     Candidate candidate;
     candidate.engine = &engine;
     candidate.zone_held = held.by_zone[engine.zone] > 0;
-    candidate.zone_share = this->holdings.ZoneShare(need.model, engine.zone);
+    candidate.zone_share = this->placement.ZoneShare(need.model, engine.zone);
     if (need.reason == ChangeReason::kOneZone && candidate.zone_held) {
       return candidate;
     }
@@ -179,11 +186,11 @@
   }
 
   void FindVictim(const Need& need, Candidate& candidate) const {
-    for (const HeldModel& held : candidate.engine->held) {
-      const ModelHoldings& model = this->holdings.Models()[held.model];
+    for (const ModelCopy& held : candidate.engine->held) {
+      const ModelCopyCounts& model = this->placement.Models()[held.model];
       const bool more = candidate.victim == kNoModel ||
                         model.Excess() > candidate.victim_excess;
-      if (more && this->MayTake(need, *candidate.engine, model)) {
+      if (more && this->MayEvict(need, *candidate.engine, model)) {
         candidate.cost = SlotCost::kVictim;
         candidate.victim = held.model;
         candidate.victim_excess = model.Excess();
@@ -191,11 +198,11 @@
     }
   }
 
-  bool MayTake(const Need& need, const EngineHoldings& engine,
-               const ModelHoldings& victim) const {
-    // Another live engine must report it loaded: an order under way is no
-    // copy yet, and a silent engine may be gone.
-    if (victim.sure < 2) {
+  bool MayEvict(const Need& need, const EnginePlacement& engine,
+                const ModelCopyCounts& victim) const {
+    // Another live engine must report the victim as loaded. A pending load does
+    // not count, and neither does a silent engine, which may be gone.
+    if (victim.confirmed_copies < 2) {
       return false;
     }
     if (need.reason == ChangeReason::kNoCopy) {
@@ -205,43 +212,43 @@
     if (only_one_in_zone && victim.ZonesHeld() == 2) {
       return false;
     }
-    if (victim.copies <= victim.least) {
+    if (victim.copies <= victim.min_copies) {
       return false;
     }
     return need.reason == ChangeReason::kFewCopies ||
-           (victim.Excess() > 0 && this->IsFarBelow(need));
+           (victim.Excess() > 0 && this->ExceedsHysteresis(need));
   }
 
-  // A copy is taken from another model only for a shortfall of a whole copy
-  // and more than the hysteresis: each such move lowers the sum of squared
-  // excesses, so that the moves come to an end.
-  bool IsFarBelow(const Need& need) const {
+  // For demand, another model's copy is evicted only if the shortfall is at
+  // least one copy and reaches the hysteresis. Each such change lowers the sum
+  // of the squared excesses, so that planning converges.
+  bool ExceedsHysteresis(const Need& need) const {
     if (need.reason == ChangeReason::kOneZone) {
       return true;
     }
-    const double quota = this->holdings.Models()[need.model].quota;
+    const double quota = this->placement.Models()[need.model].quota;
     return -need.excess >= std::max(1.0, this->settings.hysteresis * quota);
   }
 
-  // 3. The change.
+  // 3. Applying the change.
 
-  void Change(const Need& need, const Candidate& chosen) {
-    EngineHoldings& engine = *chosen.engine;
+  void ApplyChange(const Need& need, const Candidate& chosen) {
+    EnginePlacement& engine = *chosen.engine;
     EngineChange change;
-    change.engine = engine.view->name;
+    change.engine = engine.input->name;
     change.reason = need.reason;
     change.load = this->input.needed[need.model].key;
     if (chosen.cost == SlotCost::kVictim) {
       change.unload = this->input.needed[chosen.victim].key;
-      this->holdings.Remove(engine, chosen.victim);
+      this->placement.Remove(engine, chosen.victim);
     } else if (chosen.cost == SlotCost::kUnneeded) {
       change.unload = engine.unneeded.front();
       engine.unneeded.erase(engine.unneeded.begin());
     }
-    this->holdings.Add(engine, need.model);
-    this->holdings.MarkChanged(engine);
-    change.desired.role = engine.view->reported.role;
-    for (const HeldModel& held : engine.held) {
+    this->placement.Add(engine, need.model);
+    this->placement.MarkChanged(engine);
+    change.desired.role = engine.input->reported.role;
+    for (const ModelCopy& held : engine.held) {
       change.desired.models.push_back(this->input.needed[held.model].key);
     }
     change.desired.models.insert(change.desired.models.end(),
@@ -252,8 +259,8 @@
 
   void AddShortages() {
     for (std::size_t model = 0; model < this->input.needed.size(); ++model) {
-      const ModelHoldings& held = this->holdings.Models()[model];
-      if (held.copies < held.least || held.copies == 0) {
+      const ModelCopyCounts& held = this->placement.Models()[model];
+      if (held.copies < held.min_copies || held.copies == 0) {
         this->plan.shortages.push_back(
             {this->input.needed[model].key, held.copies});
       }
@@ -262,9 +269,9 @@
 
   const PlannerSettings& settings;
   const PlannerInput& input;
-  Holdings holdings;
-  std::size_t engine_count = this->holdings.Engines().size();
-  /// Needs of each model that no engine can meet in this plan.
+  PlacementState placement;
+  std::size_t engine_count = this->placement.Engines().size();
+  /// Per model, the reasons for which no engine can take a copy in this plan.
   std::vector<std::vector<ChangeReason>> blocked;
   Plan plan;
 };
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -11,22 +11,23 @@
 
 namespace meadowthread {
 
-/// @brief What an accepted template needs.
+/// @brief A model that the accepted templates need.
 struct NeededModel {
   ServedModel key;
-  double weight = 1;    ///< its share of the demand, relative to the others
-  bool urgent = false;  ///< some workspace's urgent work waits on it
+  double weight = 1;    ///< share of the demand, relative to the other models
+  bool urgent = false;  ///< an urgent service needs it
 };
 
-/// @brief Whether an engine can be counted on.
-enum class EngineState {
+/// @brief Whether an engine can be relied on.
+enum class EngineLiveness {
   kLive,
-  kSilent,   ///< has not reported for a while: not replaced yet, not relied on
-  kLeaving,  ///< marked to leave: replaced, and sent no order
-  kGone,     ///< reclaimed or silent for long: replaced
+  kSilent,   ///< no recent report: gets no orders, is not replaced yet
+  kLeaving,  ///< to be removed: gets no orders, is replaced
+  kGone,     ///< no report for long: gets no orders, is replaced
 };
 
-/// @brief The whole state wanted of an engine; sending it twice is harmless.
+/// @brief The complete state that an engine shall have, so that sending it
+/// twice is harmless.
 struct DesiredState {
   std::string role;
   std::vector<ServedModel> models;
@@ -34,59 +35,59 @@
   friend bool operator==(const DesiredState&, const DesiredState&) = default;
 };
 
-/// @brief An engine as the planner sees it.
+/// @brief An engine as input for the planner.
 struct PlacedEngine {
   std::string name;
   std::string zone;
-  EngineState state = EngineState::kLive;
-  bool owned = true;                    ///< by this half, by a fresh view
-  bool settled = true;                  ///< long enough since its last change
-  int capacity = 1;                     ///< models it can hold at once
-  double load = 0;                      ///< 0: idle, 1: full
-  DesiredState reported;                ///< as its last load report says
-  std::optional<DesiredState> ordered;  ///< ordered and not yet reported
+  EngineLiveness state = EngineLiveness::kLive;
+  bool owned = true;        ///< by this deployment, and accepts orders
+  bool cooled_down = true;  ///< its last change is long enough ago
+  int capacity = 1;         ///< models it can have loaded at once
+  double utilization = 0;   ///< of its KV cache; 0: empty, 1: full
+  DesiredState reported;    ///< in its last load report
+  std::optional<DesiredState> ordered;  ///< pending order
 };
 
-/// @brief A role and its share of the engines.
+/// @brief The share of the engines that shall have a role.
 struct RoleShare {
   std::string role;
   double share = 0;
 };
 
-/// @brief What the planner keeps to.
+/// @brief Rules for the planner.
 struct PlannerSettings {
   int min_copies = 2;  ///< of each needed model, on different engines
-  /// A model is given another copy, at another's cost, only when it is short
-  /// of this share of its copies (and of one copy at least).
+  /// A copy of another model is evicted for demand only if the shortfall is at
+  /// least this share of the model's quota, and at least one copy.
   double hysteresis = 0.1;
-  double max_changing_share = 0.25;  ///< of the engines, at a time
-  std::vector<RoleShare> roles;      ///< empty: roles are left as they are
+  double max_changing_share = 0.25;  ///< engines with pending orders, of all
+  std::vector<RoleShare> roles;      ///< empty: the planner changes no roles
 };
 
-/// @brief All that a plan depends on.
+/// @brief Everything that a plan depends on besides the settings.
 struct PlannerInput {
   std::span<const NeededModel> needed;
   std::span<const PlacedEngine> engines;
-  int loads = 0;         ///< loads that may be ordered now
-  int urgent_loads = 0;  ///< the same for models short of their least copies
-  /// Whether the view of the accepted templates is fresh enough to take
-  /// models away.
+  int load_budget = 0;         ///< loads that may be ordered now
+  int urgent_load_budget = 0;  ///< the same for models below min_copies
+  /// Whether `needed` is recent enough to unload models. If not, only free
+  /// slots are used.
   bool may_unload = true;
 };
 
-/// @brief Why an engine is changed.
+/// @brief Why an engine is changed, the most important reason first.
 enum class ChangeReason {
-  kNoCopy,     ///< no engine has the model
-  kFewCopies,  ///< fewer than the least number of copies
+  kNoCopy,     ///< no engine has a copy of the model
+  kFewCopies,  ///< fewer copies than min_copies
   kOneZone,    ///< all copies are in one availability zone
-  kDemand,     ///< too few copies for its share of the demand
-  kRole,       ///< too few engines of a role
+  kDemand,     ///< fewer copies than its share of the demand
+  kRole,       ///< too few engines have a role
 };
 
-/// @brief The reason's name in log lines.
+/// @brief The name of a reason in log lines.
 std::string_view ChangeReasonName(ChangeReason reason);
 
-/// @brief A change to one engine.
+/// @brief A change of the models or the role of one engine.
 struct EngineChange {
   std::string engine;
   DesiredState desired;
@@ -95,7 +96,7 @@
   std::optional<ServedModel> unload;
 };
 
-/// @brief A needed model that cannot be given its least copies now.
+/// @brief A needed model that has fewer than min_copies after the plan.
 struct Shortage {
   ServedModel key;
   int copies = 0;
@@ -103,18 +104,19 @@
   friend bool operator==(const Shortage&, const Shortage&) = default;
 };
 
-/// @brief The next changes, the most urgent first.
+/// @brief The next changes, the most important first, and what stays short.
 struct Plan {
   std::vector<EngineChange> changes;
   std::vector<Shortage> shortages;
 };
 
-/// @brief The least changes that bring the engines nearer to what is needed.
+/// @brief Plans the next changes that bring the engines closer to what is
+/// needed.
 ///
-/// Pure: no clock, no I/O, the same plan for the same input. A plan changes an
-/// engine at most once, and never takes away the last copy of a needed model
-/// that a live engine reports.
-/// @complexity engines x (loads + models an engine)
+/// A pure function: the same input gives the same plan. A plan changes an
+/// engine at most once, and never unloads the last copy of a needed model that
+/// a live engine reports.
+/// @complexity O(engines * (loads + models per engine))
 Plan MakePlan(const PlannerSettings& settings, const PlannerInput& input);
 
 }  // namespace meadowthread
--- a/src/placement/role_plan.cc
+++ b/src/placement/role_plan.cc
@@ -6,7 +6,7 @@
 namespace meadowthread::detail {
 namespace {
 
-/// A role's engines against its share of them.
+/// The number of engines that have a role, and that should have it.
 struct RoleCount {
   std::string_view role;
   double quota = 0;
@@ -15,26 +15,27 @@
   double Excess() const { return this->engines - this->quota; }
 };
 
-std::string_view RoleOf(const PlacedEngine& view) {
-  return view.ordered.has_value() ? view.ordered->role : view.reported.role;
+std::string_view RoleOf(const PlacedEngine& engine) {
+  return engine.ordered.has_value() ? engine.ordered->role
+                                    : engine.reported.role;
 }
 
 std::vector<RoleCount> CountRoles(const PlannerSettings& settings,
-                                  const std::vector<EngineHoldings>& engines) {
+                                  const std::vector<EnginePlacement>& engines) {
   std::vector<RoleCount> counts;
   for (const RoleShare& share : settings.roles) {
     RoleCount count;
     count.role = share.role;
     count.quota = share.share * static_cast<double>(engines.size());
-    for (const EngineHoldings& engine : engines) {
-      count.engines += RoleOf(*engine.view) == count.role ? 1 : 0;
+    for (const EnginePlacement& engine : engines) {
+      count.engines += RoleOf(*engine.input) == count.role ? 1 : 0;
     }
     counts.push_back(count);
   }
   return counts;
 }
 
-const RoleCount* Shortest(const std::vector<RoleCount>& counts) {
+const RoleCount* LargestDeficit(const std::vector<RoleCount>& counts) {
   const RoleCount* best = nullptr;
   for (const RoleCount& count : counts) {
     const bool is_short = count.Excess() <= -1;
@@ -45,49 +46,51 @@
   return best;
 }
 
-// An engine whose role has no share may always be given one that has.
-bool MayGive(const std::vector<RoleCount>& counts, std::string_view role) {
-  constexpr double kClearlyAbove = 0.5;
+// An engine whose role has no configured share may always change.
+bool MayReduce(const std::vector<RoleCount>& counts, std::string_view role) {
+  constexpr double kMinSurplus = 0.5;
   for (const RoleCount& count : counts) {
     if (count.role == role) {
-      return count.engines > 1 && count.Excess() >= kClearlyAbove;
+      return count.engines > 1 && count.Excess() >= kMinSurplus;
     }
   }
   return true;
 }
 
-bool MayChange(const EngineHoldings& engine) {
-  const PlacedEngine& view = *engine.view;
-  return view.state == EngineState::kLive && view.settled &&
-         !view.ordered.has_value() && !engine.changed;
+bool MayChange(const EnginePlacement& engine) {
+  const PlacedEngine& placed = *engine.input;
+  return placed.state == EngineLiveness::kLive && placed.cooled_down &&
+         !placed.ordered.has_value() && !engine.changed;
 }
 
 }  // namespace
 
-void PlanRoles(const PlannerSettings& settings, Holdings& holdings,
+void PlanRoles(const PlannerSettings& settings, PlacementState& placement,
                Plan& plan) {
   const std::vector<RoleCount> counts =
-      CountRoles(settings, holdings.Engines());
-  const RoleCount* wanted = Shortest(counts);
-  if (wanted == nullptr) {
+      CountRoles(settings, placement.Engines());
+  const RoleCount* target = LargestDeficit(counts);
+  if (target == nullptr) {
     return;
   }
-  EngineHoldings* best = nullptr;
-  for (EngineHoldings& engine : holdings.Engines()) {
-    const bool can = MayChange(engine) && MayGive(counts, RoleOf(*engine.view));
-    const bool idler =
-        can && (best == nullptr || engine.view->load < best->view->load);
-    best = idler ? &engine : best;
+  EnginePlacement* best = nullptr;
+  for (EnginePlacement& engine : placement.Engines()) {
+    const bool eligible =
+        MayChange(engine) && MayReduce(counts, RoleOf(*engine.input));
+    const bool less_utilized =
+        eligible && (best == nullptr ||
+                     engine.input->utilization < best->input->utilization);
+    best = less_utilized ? &engine : best;
   }
   if (best == nullptr) {
     return;
   }
   EngineChange& change = plan.changes.emplace_back();
-  change.engine = best->view->name;
-  change.desired = best->view->reported;
-  change.desired.role = std::string(wanted->role);
+  change.engine = best->input->name;
+  change.desired = best->input->reported;
+  change.desired.role = std::string(target->role);
   change.reason = ChangeReason::kRole;
-  holdings.MarkChanged(*best);
+  placement.MarkChanged(*best);
 }
 
 }  // namespace meadowthread::detail
--- a/src/placement/role_plan.h
+++ b/src/placement/role_plan.h
@@ -1,14 +1,16 @@
 #ifndef MEADOWTHREAD_PLACEMENT_ROLE_PLAN_H_
 #define MEADOWTHREAD_PLACEMENT_ROLE_PLAN_H_
 
-#include "placement/holdings.h"
+#include "placement/placement_state.h"
 #include "placement/planner.h"
 
 namespace meadowthread::detail {
 
-/// @brief Adds at most one change of role: from a role above its share by more
-/// than half an engine to one that is short of a whole one.
-void PlanRoles(const PlannerSettings& settings, Holdings& holdings, Plan& plan);
+/// @brief Adds at most one change of an engine's role to the plan: to the role
+/// that is furthest below its share, by at least one engine, from a role that
+/// is above its share by at least half an engine.
+void PlanRoles(const PlannerSettings& settings, PlacementState& placement,
+               Plan& plan);
 
 }  // namespace meadowthread::detail
 
--- a/src/placement/tests/controller_fixture.h
+++ b/src/placement/tests/controller_fixture.h
@@ -7,14 +7,15 @@
 
 #include "base/manual_scheduler.h"
 #include "placement/controller.h"
-#include "placement/tests/fake_engines.h"
+#include "placement/tests/fake_engine_client.h"
 #include "placement/tests/lease_fixture.h"
 
 namespace meadowthread {
 
 inline constexpr std::int64_t kTickMs = 250;
 
-class FakeSource final : public PlacementSource {
+/// @brief A placement source whose answers a test sets.
+class FakePlacementSource final : public PlacementSource {
  public:
   std::vector<NeededModel> Needed() override { return this->needed; }
   bool NeededIsFresh() override { return true; }
@@ -26,9 +27,9 @@
   std::vector<std::string> hosts = {"one", "two"};
 };
 
-inline OwnershipSettings HalfNamed(std::string_view half) {
+inline OwnershipSettings OwnershipSettingsFor(std::string_view deployment) {
   OwnershipSettings settings;
-  settings.half = std::string(half);
+  settings.half = std::string(deployment);
   settings.default_owner = "lukot";
   return settings;
 }
@@ -43,18 +44,18 @@
   return settings;
 }
 
-/// One entry host with its controller and its own way to the engines.
-struct PlacementHost {
-  PlacementHost(std::string_view name, std::string_view half,
-                MemoryStore& in_store, FakeFleet& fleet, ManualClock& clock,
-                FakeSource& source)
-      : store(in_store),
+/// @brief One entry host: its controller, ownership view and HTTP client.
+struct PlacementTestHost {
+  PlacementTestHost(std::string_view name, std::string_view deployment,
+                    MemoryStore& store, FakeEngineFleet& fleet,
+                    ManualClock& clock, FakePlacementSource& source)
+      : store(store),
         client(fleet, clock),
         nonces(name),
-        view(HalfNamed(half), clock),
+        view(OwnershipSettingsFor(deployment), clock),
         scheduler(&clock),
         controller(
-            half, ControllerSettings(name),
+            deployment, ControllerSettings(name),
             {store, this->client, clock, this->nonces, this->view, source},
             this->scheduler) {
     this->view.SetRegistered();
@@ -63,8 +64,8 @@
 
   bool Holds() { return !this->controller.Held().empty(); }
 
-  /// Reads the ownership objects; the answer waits in the store.
-  void LookAtOwnership() {
+  /// @brief Lists the ownership objects; `store` delivers the answer later.
+  void ReadOwnership() {
     this->store.List(kOwnershipKind, 0,
                      [this](const absl::StatusOr<ObjectList>& list) {
                        for (const StoredObject& object : list->items) {
@@ -74,15 +75,17 @@
   }
 
   MemoryStore& store;
-  FakeEngines client;
-  CountingNonces nonces;
+  FakeEngineClient client;
+  SequentialNonceSource nonces;
   OwnershipView view;
   ManualScheduler scheduler;
   PlacementController controller;
 };
 
-struct PlacementScene {
-  explicit PlacementScene(int engines) {
+/// @brief Engines and two hosts of one deployment, with a shared clock and
+/// store.
+struct PlacementTestbed {
+  explicit PlacementTestbed(int engines) {
     for (int index = 0; index < engines; ++index) {
       const std::string name = "e" + std::to_string(index);
       this->fleet.engines[name];
@@ -95,13 +98,14 @@
     this->source.needed = {{{"a", "", "1"}}, {{"b", "", "1"}}};
   }
 
-  /// What load reports tell, lagging by up to a turn.
+  /// @brief Completes the loads that are due, and updates the load reports of
+  /// the engines that are not dead. The reports thus lag by up to one tick.
   void Report() {
     for (ListedEngine& listed : this->source.listed) {
-      FakeEngine& engine = this->fleet.engines[listed.name];
+      FakePlacementEngine& engine = this->fleet.engines[listed.name];
       const bool ready = this->clock.MonotonicMs() >= engine.ready_ms;
       if (ready && !engine.never_loads) {
-        engine.state = engine.wanted;
+        engine.state = engine.desired;
       }
       LoadReport report;
       report.as_of_unix_ms = this->clock.WallMs();
@@ -119,20 +123,22 @@
            this->dead.end();
   }
 
-  /// Time passes with these hosts awake and their calls delivered.
-  void Run(std::int64_t ms, const std::vector<PlacementHost*>& awake) {
+  /// @brief Advances the clock by `ms` in ticks. Only `hosts` run in this time,
+  /// and only their calls are delivered.
+  void Run(std::int64_t ms, const std::vector<PlacementTestHost*>& hosts) {
     for (std::int64_t passed = 0; passed < ms; passed += kTickMs) {
       this->clock.Advance(kTickMs);
       this->Report();
-      for (PlacementHost* host : awake) {
+      for (PlacementTestHost* host : hosts) {
         host->controller.Tick();
         this->store.Settle();
-        host->client.Settle();
+        host->client.DeliverAll();
       }
     }
   }
 
-  int Loaded(std::string_view model) {
+  /// @brief The number of engines whose first loaded model is `model`.
+  int EnginesWith(std::string_view model) {
     return static_cast<int>(
         std::count_if(this->fleet.engines.begin(), this->fleet.engines.end(),
                       [model](const auto& entry) {
@@ -143,11 +149,11 @@
 
   MemoryStore store;
   ManualClock clock{1'000'000};
-  FakeFleet fleet;
-  FakeSource source;
-  std::vector<std::string> dead;
-  PlacementHost one{"one", "lukot", store, fleet, clock, source};
-  PlacementHost two{"two", "lukot", store, fleet, clock, source};
+  FakeEngineFleet fleet;
+  FakePlacementSource source;
+  std::vector<std::string> dead;  ///< engines that no longer report
+  PlacementTestHost one{"one", "lukot", store, fleet, clock, source};
+  PlacementTestHost two{"two", "lukot", store, fleet, clock, source};
 };
 
 }  // namespace meadowthread
--- a/src/placement/tests/engine_table_test.cc
+++ b/src/placement/tests/engine_table_test.cc
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-#include "placement/duty.h"
+#include "placement/group_assignment.h"
 
 namespace meadowthread {
 namespace {
@@ -18,7 +18,7 @@
   return report;
 }
 
-OwnershipSettings Half() {
+OwnershipSettings Settings() {
   OwnershipSettings settings;
   settings.half = "lukot";
   settings.default_owner = "lukot";
@@ -26,14 +26,14 @@
 }
 
 /// One engine, "e", that is listed and has reported once.
-struct Scene {
-  Scene() {
+struct Fixture {
+  Fixture() {
     this->view.SetRegistered();
     this->view.Confirm(this->clock.MonotonicMs() + 1);
-    this->Hear(DesiredState{"mixed", {}});
+    this->ListWithReport(DesiredState{"mixed", {}});
   }
 
-  void Hear(const DesiredState& state) {
+  void ListWithReport(const DesiredState& state) {
     ListedEngine engine;
     engine.name = "e";
     engine.report = Report(this->clock.WallMs(), state);
@@ -48,9 +48,10 @@
     this->table.Order(change);
   }
 
-  /// Sends what is due, and answers it.
-  std::size_t Send(OrderOutcome outcome) {
-    const std::vector<EngineOrder> due = this->table.TakeDue();
+  /// Sends the due orders and answers each with `outcome`; returns their
+  /// number.
+  std::size_t SendDue(OrderOutcome outcome) {
+    const std::vector<EngineOrder> due = this->table.TakeDueOrders();
     OrderResult result;
     result.outcome = outcome;
     for (const EngineOrder& order : due) {
@@ -59,125 +60,126 @@
     return due.size();
   }
 
-  PlacedEngine Engine() { return this->table.View(this->view).at(0); }
+  PlacedEngine Engine() { return this->table.PlannerView(this->view).at(0); }
 
   ManualClock clock{1'000'000};
   EngineTable table{EngineTableSettings{}, clock};
-  OwnershipView view{Half(), clock};
+  OwnershipView view{Settings(), clock};
 };
 
-Test(an_order_under_way, is_sent_again_until_the_engine_reports_its_state) {
-  Scene scene;
-  scene.Order();
-  cr_assert(scene.Send(OrderOutcome::kUnknown) == 1);
-  cr_assert(scene.Send(OrderOutcome::kUnknown) == 0);
-  scene.clock.Advance(5'000);
-  cr_assert(scene.Send(OrderOutcome::kApplied) == 1);
-  cr_assert(scene.Engine().ordered == kWithM);
-  scene.Hear(kWithM);
-  cr_assert(scene.table.Settle().carried_out == 1);
-  cr_assert(!scene.Engine().ordered.has_value() && !scene.Engine().settled);
-  scene.clock.Advance(30'000);
-  cr_assert(scene.Engine().settled);
+Test(a_pending_order, is_sent_again_until_the_engine_reports_its_state) {
+  Fixture fixture;
+  fixture.Order();
+  cr_assert(fixture.SendDue(OrderOutcome::kUnknown) == 1);
+  cr_assert(fixture.SendDue(OrderOutcome::kUnknown) == 0);
+  fixture.clock.Advance(5'000);
+  cr_assert(fixture.SendDue(OrderOutcome::kApplied) == 1);
+  cr_assert(fixture.Engine().ordered == kWithM);
+  fixture.ListWithReport(kWithM);
+  cr_assert(fixture.table.FinishOrders().completed == 1);
+  cr_assert(!fixture.Engine().ordered.has_value() &&
+            !fixture.Engine().cooled_down);
+  fixture.clock.Advance(30'000);
+  cr_assert(fixture.Engine().cooled_down);
 }
 
-Test(an_order_under_way, is_read_back_whatever_became_of_it) {
-  Scene scene;
-  scene.Order();
-  scene.Send(OrderOutcome::kUnknown);
-  scene.clock.Advance(1'000);
-  cr_assert(scene.table.TakeReadsDue().size() == 1);
-  cr_assert(scene.table.TakeReadsDue().empty());
+Test(a_pending_order, is_read_back_whatever_its_outcome) {
+  Fixture fixture;
+  fixture.Order();
+  fixture.SendDue(OrderOutcome::kUnknown);
+  fixture.clock.Advance(1'000);
+  cr_assert(fixture.table.TakeDueReads().size() == 1);
+  cr_assert(fixture.table.TakeDueReads().empty());
 }
 
-Test(an_order_under_way, is_given_up_in_the_end) {
-  Scene scene;
-  scene.Order();
-  scene.Send(OrderOutcome::kApplied);
-  scene.clock.Advance(120'000);
-  scene.Hear(DesiredState{"mixed", {}});
-  cr_assert(scene.table.Settle().given_up == 1);
-  cr_assert(!scene.Engine().ordered.has_value());
+Test(a_pending_order, times_out) {
+  Fixture fixture;
+  fixture.Order();
+  fixture.SendDue(OrderOutcome::kApplied);
+  fixture.clock.Advance(120'000);
+  fixture.ListWithReport(DesiredState{"mixed", {}});
+  cr_assert(fixture.table.FinishOrders().timed_out == 1);
+  cr_assert(!fixture.Engine().ordered.has_value());
 }
 
-Test(an_engine, that_keeps_refusing_is_left_alone_for_a_while) {
-  Scene scene;
+Test(an_engine, that_keeps_refusing_gets_no_orders_for_a_while) {
+  Fixture fixture;
   for (int time = 0; time < 3; ++time) {
-    cr_assert(scene.Engine().owned);
-    scene.Order();
-    scene.Send(OrderOutcome::kStaleFence);
-    scene.table.ForgetOrders();  // its holder has stepped down
+    cr_assert(fixture.Engine().owned);
+    fixture.Order();
+    fixture.SendDue(OrderOutcome::kStaleFence);
+    fixture.table.DropOrders();  // as when the holder steps down
   }
-  cr_assert(!scene.Engine().owned);
-  scene.clock.Advance(600'000);
-  cr_assert(scene.Engine().owned);
+  cr_assert(!fixture.Engine().owned);
+  fixture.clock.Advance(600'000);
+  cr_assert(fixture.Engine().owned);
 }
 
-Test(an_engine, that_reports_no_more_is_silent_before_it_is_gone) {
-  Scene scene;
-  cr_assert(scene.Engine().state == EngineState::kLive);
-  scene.clock.Advance(6'000);
-  cr_assert(scene.Engine().state == EngineState::kSilent);
-  scene.clock.Advance(19'000);
-  cr_assert(scene.Engine().state == EngineState::kGone);
+Test(an_engine, that_stops_reporting_is_silent_and_later_gone) {
+  Fixture fixture;
+  cr_assert(fixture.Engine().state == EngineLiveness::kLive);
+  fixture.clock.Advance(6'000);
+  cr_assert(fixture.Engine().state == EngineLiveness::kSilent);
+  fixture.clock.Advance(19'000);
+  cr_assert(fixture.Engine().state == EngineLiveness::kGone);
 }
 
 Test(an_engine, is_not_kept_alive_by_an_old_report) {
-  Scene scene;
-  scene.clock.Advance(3'000);
+  Fixture fixture;
+  fixture.clock.Advance(3'000);
   ListedEngine engine;
   engine.name = "e";
   engine.report = Report(1'000'000, DesiredState{});
   const std::vector<ListedEngine> listed = {engine};
-  scene.table.Update(listed);
-  scene.clock.Advance(3'000);
-  cr_assert(scene.Engine().state == EngineState::kSilent);
+  fixture.table.Update(listed);
+  fixture.clock.Advance(3'000);
+  cr_assert(fixture.Engine().state == EngineLiveness::kSilent);
 }
 
-Test(an_engine_started_again, is_heard_though_its_clock_was_put_back) {
-  Scene scene;
+Test(a_restarted_engine, is_live_although_its_clock_was_set_back) {
+  Fixture fixture;
   LoadReport next = Report(900'000, DesiredState{"mixed", {}});
   next.incarnation = "2";
-  scene.clock.Advance(7'000);
-  cr_assert(scene.Engine().state == EngineState::kSilent);
-  scene.table.TakeReport("e", next);
-  cr_assert(scene.Engine().state == EngineState::kLive);
-  // And a late report of the start before does not bring that back.
-  scene.clock.Advance(7'000);
-  scene.table.TakeReport("e", Report(2'000'000, kWithM));
-  cr_assert(scene.Engine().state == EngineState::kSilent);
-  cr_assert(scene.Engine().reported.models.empty());
+  fixture.clock.Advance(7'000);
+  cr_assert(fixture.Engine().state == EngineLiveness::kSilent);
+  fixture.table.ApplyReport("e", next);
+  cr_assert(fixture.Engine().state == EngineLiveness::kLive);
+  // A late report of the previous incarnation changes nothing.
+  fixture.clock.Advance(7'000);
+  fixture.table.ApplyReport("e", Report(2'000'000, kWithM));
+  cr_assert(fixture.Engine().state == EngineLiveness::kSilent);
+  cr_assert(fixture.Engine().reported.models.empty());
 }
 
-Test(an_engine_started_again, is_not_left_alone_for_what_it_refused_before) {
-  Scene scene;
+Test(a_restarted_engine, gets_orders_despite_earlier_refusals) {
+  Fixture fixture;
   for (int time = 0; time < 3; ++time) {
-    scene.Order();
-    scene.Send(OrderOutcome::kStaleFence);
-    scene.table.ForgetOrders();
+    fixture.Order();
+    fixture.SendDue(OrderOutcome::kStaleFence);
+    fixture.table.DropOrders();
   }
-  cr_assert(!scene.Engine().owned);
-  LoadReport next = Report(scene.clock.WallMs(), DesiredState{"mixed", {}});
+  cr_assert(!fixture.Engine().owned);
+  LoadReport next = Report(fixture.clock.WallMs(), DesiredState{"mixed", {}});
   next.incarnation = "2";
-  scene.table.TakeReport("e", next);
-  cr_assert(scene.Engine().owned);
+  fixture.table.ApplyReport("e", next);
+  cr_assert(fixture.Engine().owned);
 }
 
-Test(duties, spread_over_the_hosts_and_few_hosts_try_for_each) {
+Test(a_free_lease, is_tried_first_by_one_host_and_early_by_three) {
   std::vector<std::string> hosts;
   hosts.reserve(350);
   for (int index = 0; index < 350; ++index) {
     hosts.push_back("h" + std::to_string(index));
   }
-  int prompt = 0;
+  int early = 0;
   int first = 0;
   for (const std::string& host : hosts) {
     const std::int64_t delay_ms =
-        TakeoverDelayMs(host, PlacementDuty("lukot", 64, 7), hosts);
-    prompt += delay_ms < 3'000 ? 1 : 0;
+        TakeoverDelayMs(host, PlacementLeaseName("lukot", 64, 7), hosts);
+    early += delay_ms < 3'000 ? 1 : 0;
     first += delay_ms == 0 ? 1 : 0;
   }
-  cr_assert(prompt == 3 && first == 1);
+  cr_assert(early == 3 && first == 1);
 }
 
 }  // namespace
--- a/src/placement/tests/fake_engines.cc
+++ b/src/placement/tests/fake_engine_client.cc
@@ -1,4 +1,4 @@
-#include "placement/tests/fake_engines.h"
+#include "placement/tests/fake_engine_client.h"
 
 #include <algorithm>
 
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-HttpCallId FakeEngines::Start(const HttpRequest& request,
-                              HttpHandler* handler) {
+HttpCallId FakeEngineClient::Start(const HttpRequest& request,
+                                   HttpHandler* handler) {
   this->calls.push_back({request, handler});
   if (IsOrder(request)) {
     ++this->orders_sent;
@@ -40,46 +40,48 @@
   return ++this->last_call;
 }
 
-int FakeEngines::OrdersWaiting() const {
+int FakeEngineClient::PendingOrders() const {
   return static_cast<int>(
       std::count_if(this->calls.begin(), this->calls.end(),
                     [](const Call& call) { return IsOrder(call.request); }));
 }
 
-void FakeEngines::Settle() {
-  while (this->Step()) {
+void FakeEngineClient::DeliverAll() {
+  while (this->DeliverNext()) {
   }
 }
 
-bool FakeEngines::Step() {
+bool FakeEngineClient::DeliverNext() {
   if (this->calls.empty()) {
     return false;
   }
   const Call call = this->calls.front();
   this->calls.pop_front();
-  FakeEngine& engine = this->fleet.engines[EngineName(call.request.url)];
+  FakePlacementEngine& engine =
+      this->fleet.engines[EngineName(call.request.url)];
   if (IsOrder(call.request)) {
-    this->TakeOrder(call, engine);
+    this->ApplyOrder(call, engine);
   } else {
-    this->TellLoad(call, engine);
+    this->AnswerLoad(call, engine);
   }
   return true;
 }
 
-void FakeEngines::Answer(const Call& call, int status,
-                         const std::string& body) const {
+void FakeEngineClient::Answer(const Call& call, int status,
+                              const std::string& body) const {
   call.handler->OnHead(status, {});
   call.handler->OnData(body);
   call.handler->OnEnd({absl::OkStatus(), status, true});
 }
 
-void FakeEngines::TakeOrder(const Call& call, FakeEngine& engine) {
+void FakeEngineClient::ApplyOrder(const Call& call,
+                                  FakePlacementEngine& engine) {
   OrderFault fault = OrderFault::kNone;
   if (!this->faults.empty()) {
     fault = this->faults.front();
     this->faults.pop_front();
   }
-  if (fault == OrderFault::kNeverLeft) {
+  if (fault == OrderFault::kSendFailed) {
     call.handler->OnEnd({absl::UnavailableError("refused"), 0, false});
     return;
   }
@@ -105,10 +107,10 @@
   engine.highest_fence = std::max(engine.highest_fence, fence);
   engine.applied_fences.push_back(fence);
   const DesiredState desired = ReadDesired(body["desired"]);
-  if (!(desired == engine.wanted)) {
+  if (!(desired == engine.desired)) {
     engine.ready_ms = this->clock.MonotonicMs() + engine.load_ms;
   }
-  engine.wanted = desired;
+  engine.desired = desired;
   if (fault == OrderFault::kAnswerLost) {
     call.handler->OnEnd({absl::UnavailableError("lost"), 0, true});
     return;
@@ -116,10 +118,11 @@
   this->Answer(call, 200, R"({"applied":true})");
 }
 
-void FakeEngines::TellLoad(const Call& call, FakeEngine& engine) const {
+void FakeEngineClient::AnswerLoad(const Call& call,
+                                  FakePlacementEngine& engine) const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   if (now_ms >= engine.ready_ms && !engine.never_loads) {
-    engine.state = engine.wanted;
+    engine.state = engine.desired;
   }
   json models = json::array();
   for (const ServedModel& model : engine.state.models) {
--- a/src/placement/tests/lease_fixture.h
+++ b/src/placement/tests/lease_fixture.h
@@ -10,10 +10,10 @@
 
 namespace meadowthread {
 
-/// @brief Nonces that count up, told apart by a prefix.
-class CountingNonces final : public NonceSource {
+/// @brief Generates the prefix with 1, 2, 3 and so on appended.
+class SequentialNonceSource final : public NonceSource {
  public:
-  explicit CountingNonces(std::string_view with_prefix) : prefix(with_prefix) {}
+  explicit SequentialNonceSource(std::string_view prefix) : prefix(prefix) {}
   std::string Next() override {
     return this->prefix + std::to_string(++this->count);
   }
@@ -23,13 +23,14 @@
   int count = 0;
 };
 
-/// @brief One host's lease with its own clock.
+/// @brief A host that competes for the lease "placement.a.0", with its own
+/// clock.
 struct LeaseHost {
-  LeaseHost(std::string_view name, MemoryStore& over)
-      : store(over),
+  LeaseHost(std::string_view name, MemoryStore& store)
+      : store(store),
         clock(1'000'000),
         nonces(name),
-        lease("placement.a.0", Named(name), over, clock, nonces) {}
+        lease("placement.a.0", Named(name), store, clock, nonces) {}
 
   static LeaseSettings Named(std::string_view name) {
     LeaseSettings settings;
@@ -38,8 +39,8 @@
     return settings;
   }
 
-  /// @brief Asks for a listing; its answer waits in the store.
-  void Look() {
+  /// @brief Lists the leases; `store` delivers the answer later.
+  void ListLeases() {
     this->store.List(kLeaseKind, 0,
                      [this](const absl::StatusOr<ObjectList>& list) {
                        if (!list.ok()) {
@@ -54,9 +55,9 @@
                      });
   }
 
-  /// @brief Looks, ticks, and gives every answer.
-  void Turn() {
-    this->Look();
+  /// @brief Lists the leases, ticks, and delivers all answers.
+  void RunRound() {
+    this->ListLeases();
     this->store.Settle();
     this->lease.Tick();
     this->store.Settle();
@@ -64,7 +65,7 @@
 
   MemoryStore& store;
   ManualClock clock;
-  CountingNonces nonces;
+  SequentialNonceSource nonces;
   Lease lease;
 };
 
--- a/src/placement/tests/lease_test.cc
+++ b/src/placement/tests/lease_test.cc
@@ -13,34 +13,35 @@
 namespace {
 
 constexpr std::int64_t kTtlMs = 15'000;
-constexpr std::int64_t kWaitMs = 15'000 + 3'000 + 500;
+// Lifetime, order window and drift margin.
+constexpr std::int64_t kTakeoverWaitMs = 15'000 + 3'000 + 500;
 
-Test(a_lease, goes_to_the_first_who_asks) {
+Test(a_lease, is_acquired_by_the_first_host_that_asks) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
+  first.RunRound();
+  second.RunRound();
   cr_assert(first.lease.Held() && !second.lease.Held());
   cr_assert(first.lease.Fence() == 1 && second.lease.Fence() == 0);
 }
 
-Test(a_lease, is_renewed_and_its_fence_only_grows) {
+Test(a_lease, is_renewed_with_a_higher_fence) {
   MemoryStore store;
   LeaseHost host("first", store);
-  host.Turn();
+  host.RunRound();
   const std::int64_t before = host.lease.Fence();
   host.clock.Advance(6'000);
-  host.Turn();
+  host.RunRound();
   host.clock.Advance(12'000);
   cr_assert(host.lease.Held());
   cr_assert(host.lease.Fence() > before && host.lease.IsOwnFence(before));
 }
 
-Test(a_lease, ends_by_the_holders_clock_before_anyone_can_take_it) {
+Test(a_lease, expires_by_the_holders_clock_before_anyone_can_take_over) {
   MemoryStore store;
   LeaseHost host("first", store);
-  host.Turn();
+  host.RunRound();
   host.clock.Advance(kTtlMs - 501);
   cr_assert(host.lease.Held());
   host.clock.Advance(1);
@@ -51,7 +52,7 @@
   MemoryStore store;
   LeaseHost host("first", store);
   {  // given a write whose answer takes ten seconds
-    host.Look();
+    host.ListLeases();
     store.Settle();
     host.lease.Tick();
     host.clock.Advance(10'000);
@@ -60,49 +61,49 @@
   cr_assert(host.lease.RemainingMs() == kTtlMs - 500 - 10'000);
 }
 
-Test(a_lease, is_waited_out_with_its_order_window) {
+Test(a_lease, is_taken_over_after_its_lifetime_and_order_window) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
+  first.RunRound();
+  second.RunRound();
   {  // when the wait is one millisecond short
-    second.clock.Advance(kWaitMs - 1);
-    second.Turn();
+    second.clock.Advance(kTakeoverWaitMs - 1);
+    second.RunRound();
     cr_assert(!second.lease.Held());
   }
-  {  // and when it is over
+  {  // and when the wait is over
     second.clock.Advance(1);
-    second.Turn();
+    second.RunRound();
     cr_assert(second.lease.Held());
   }
 }
 
-Test(a_lease, renewed_meanwhile_is_waited_out_anew) {
+Test(a_lease, renewed_in_between_restarts_the_wait) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
+  first.RunRound();
+  second.RunRound();
   first.clock.Advance(6'000);
   first.lease.Tick();
   store.Settle();
-  second.clock.Advance(kWaitMs);
-  second.lease.Tick();  // its sight is old: the condition refuses the write
+  second.clock.Advance(kTakeoverWaitMs);
+  second.lease.Tick();  // without the renewal seen, its write conflicts
   store.Settle();
   cr_assert(!second.lease.Held() && first.lease.Held());
 }
 
-Test(a_paused_holder, does_not_hold_when_it_wakes) {
+Test(a_paused_holder, no_longer_holds_when_it_resumes) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
+  first.RunRound();
+  second.RunRound();
   const std::int64_t old_fence = first.lease.Fence();
-  second.clock.Advance(kWaitMs);
-  second.Turn();
-  first.clock.Advance(kWaitMs);
+  second.clock.Advance(kTakeoverWaitMs);
+  second.RunRound();
+  first.clock.Advance(kTakeoverWaitMs);
   cr_assert(second.lease.Fence() > old_fence);
   cr_assert(!first.lease.Held() && first.lease.Fence() == 0);
   first.lease.Tick();
@@ -110,7 +111,7 @@
   cr_assert(!first.lease.Held() && second.lease.Held());
 }
 
-Test(a_paused_holder, notices_a_monotonic_clock_that_stood_still) {
+Test(a_paused_holder, notices_that_the_monotonic_clock_stopped) {
   class StoppedClock final : public Clock {
    public:
     std::int64_t MonotonicMs() const override { return 5'000; }
@@ -119,7 +120,7 @@
   };
   MemoryStore store;
   StoppedClock clock;
-  CountingNonces nonces("n");
+  SequentialNonceSource nonces("n");
   Lease lease("d", LeaseHost::Named("h"), store, clock, nonces);
   lease.ObserveAbsent();
   lease.Tick();
@@ -129,44 +130,44 @@
   cr_assert(!lease.Held());
 }
 
-Test(a_stale_listing, does_not_end_a_hold) {
+Test(a_stale_listing, does_not_end_a_held_lease) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
+  first.RunRound();
   StoredObject old;
   store.Get(kLeaseKind, "placement.a.0",
             [&old](const auto& object) { old = *object; });
   store.Settle();
-  second.Turn();
-  second.clock.Advance(kWaitMs);
-  second.Turn();
+  second.RunRound();
+  second.clock.Advance(kTakeoverWaitMs);
+  second.RunRound();
   second.lease.Observe(old);
   cr_assert(second.lease.Held());
 }
 
-Test(a_lost_answer, to_an_acquisition_is_settled_by_reading_back) {
+Test(a_lost_answer, to_an_acquisition_is_resolved_by_reading_back) {
   MemoryStore store;
   LeaseHost host("first", store);
   store.FailWrites({WriteFault::kAnswerLost});
-  host.Turn();
+  host.RunRound();
   cr_assert(host.lease.Held() && host.lease.Fence() == 1);
 }
 
-Test(a_lost_answer, to_a_write_that_never_arrived_leads_to_another) {
+Test(a_lost_answer, to_a_write_that_never_arrived_leads_to_a_retry) {
   MemoryStore store;
   LeaseHost host("first", store);
   store.FailWrites({WriteFault::kRequestLost});
-  host.Turn();
+  host.RunRound();
   cr_assert(!host.lease.Held());
-  host.Turn();
+  host.RunRound();
   cr_assert(host.lease.Held());
 }
 
-Test(a_lost_answer, to_a_renewal_extends_only_what_took_effect) {
+Test(a_lost_answer, to_a_renewal_extends_the_lease_only_if_it_took_effect) {
   MemoryStore store;
   LeaseHost host("first", store);
-  host.Turn();
+  host.RunRound();
   host.clock.Advance(5'000);
   store.FailWrites({WriteFault::kRequestLost});
   host.lease.Tick();
@@ -179,86 +180,86 @@
   cr_assert(host.lease.RemainingMs() == kTtlMs - 500);
 }
 
-Test(a_delayed_write, that_acquires_late_is_known_as_ones_own) {
+Test(a_delayed_write, that_acquires_late_is_recognized) {
   MemoryStore store;
   LeaseHost host("first", store);
   store.FailWrites({WriteFault::kDelayed});
-  host.Turn();
+  host.RunRound();
   store.ReleaseDelayed();
-  host.lease.Tick();  // conflicts with the delayed write, and reads it back
+  host.lease.Tick();  // conflicts with the delayed write, and reads back
   store.Settle();
   cr_assert(host.lease.Held() && host.lease.Fence() == 1);
 }
 
-Test(a_delayed_write, that_renews_lands_after_anothers_acquisition) {
+Test(a_delayed_write, that_renews_after_a_takeover_has_no_effect) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
-  {  // given a renewal that is on its way while the holder sleeps
+  first.RunRound();
+  second.RunRound();
+  {  // given a renewal that is delayed while its holder is paused
     first.clock.Advance(5'000);
     store.FailWrites({WriteFault::kDelayed});
     first.lease.Tick();
     store.Settle();
   }
-  {  // when another has taken over before it lands
-    second.clock.Advance(kWaitMs);
-    second.Turn();
-    first.clock.Advance(kWaitMs);
+  {  // when another host takes over before the renewal arrives
+    second.clock.Advance(kTakeoverWaitMs);
+    second.RunRound();
+    first.clock.Advance(kTakeoverWaitMs);
     store.ReleaseDelayed();
   }
-  first.Turn();
+  first.RunRound();
   cr_assert(second.lease.Held() && !first.lease.Held());
 }
 
-Test(a_delayed_write, that_renews_before_anothers_attempt_holds_it_off) {
+Test(a_delayed_write, that_renews_before_a_takeover_prevents_it) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
-  second.Turn();
+  first.RunRound();
+  second.RunRound();
   store.FailWrites({WriteFault::kDelayed});
   first.clock.Advance(5'000);
   first.lease.Tick();
   store.Settle();
-  second.clock.Advance(kWaitMs);
+  second.clock.Advance(kTakeoverWaitMs);
   store.ReleaseDelayed();
   second.lease.Tick();
   store.Settle();
   cr_assert(!second.lease.Held());
 }
 
-Test(a_released_lease, is_taken_after_the_order_window_alone) {
+Test(a_released_lease, is_taken_over_after_the_order_window_only) {
   MemoryStore store;
   LeaseHost first("first", store);
   LeaseHost second("second", store);
-  first.Turn();
+  first.RunRound();
   first.lease.Release();
   cr_assert(!first.lease.Held());
-  second.Turn();
+  second.RunRound();
   second.clock.Advance(3'499);
-  second.Turn();
+  second.RunRound();
   cr_assert(!second.lease.Held());
   second.clock.Advance(1);
-  second.Turn();
+  second.RunRound();
   cr_assert(second.lease.Held());
 }
 
-Test(a_lease_document, that_cannot_be_read_is_waited_out_longest) {
+Test(a_lease_document, that_is_invalid_delays_the_takeover_longest) {
   MemoryStore store;
   LeaseHost host("first", store);
   store.Put(kLeaseKind, "placement.a.0", "{\"holder\":3}", 0, [](auto&&) {});
-  host.Turn();
-  host.clock.Advance(2 * kLongestLeaseMs);
-  host.Turn();
+  host.RunRound();
+  host.clock.Advance(2 * kMaxLeaseMs);
+  host.RunRound();
   cr_assert(!host.lease.Held());
   host.clock.Advance(500);
-  host.Turn();
+  host.RunRound();
   cr_assert(host.lease.Held());
 }
 
-Test(a_lease_document, names_the_field_at_fault) {
+Test(a_lease_document, reports_the_invalid_field) {
   const auto field_of = [](std::string_view text) {
     return DetailOf(ParseLease(text).status()).field;
   };
@@ -272,12 +273,12 @@
                      R"("ttl_ms":60001})") == "ttl_ms");
 }
 
-namespace racing {
+namespace random_schedule {
 
-// What must hold whatever happens: two never hold at once, and a fence that is
-// shown later is never lower than one shown before.
-struct Watchdog {
-  bool Allows(std::span<LeaseHost* const> hosts) {
+// Checks that at most one host holds the lease at a time, and that the fencing
+// token never decreases.
+struct LeaseInvariants {
+  bool Hold(std::span<LeaseHost* const> hosts) {
     int holders = 0;
     bool grows = true;
     for (LeaseHost* host : hosts) {
@@ -295,7 +296,8 @@
   int held = 0;
 };
 
-// A random step of one host: sleeps, faults, answers out of turn.
+// One random step of a host: a tick, a listing, a release, a write fault, or
+// the delivery of an answer or of the delayed writes.
 void RandomStep(std::mt19937& random, MemoryStore& store, LeaseHost& host) {
   constexpr WriteFault kFaults[] = {WriteFault::kNone, WriteFault::kAnswerLost,
                                     WriteFault::kRequestLost,
@@ -308,7 +310,7 @@
       store.ReleaseDelayed();
       break;
     case 2:
-      host.Look();
+      host.ListLeases();
       break;
     case 3:
       if (random() % 20 == 0) {
@@ -324,9 +326,9 @@
   }
 }
 
-}  // namespace racing
+}  // namespace random_schedule
 
-Test(racing_holders, never_hold_at_once_over_many_seeds) {
+Test(random_schedules, never_give_the_lease_to_two_hosts_at_once) {
   int held = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
@@ -335,17 +337,17 @@
     LeaseHost two("two", store);
     LeaseHost three("three", store);
     const std::vector<LeaseHost*> hosts = {&one, &two, &three};
-    racing::Watchdog watchdog;
+    random_schedule::LeaseInvariants invariants;
     for (int step = 0; step < 2'000; ++step) {
-      racing::RandomStep(random, store, *hosts[random() % 3]);
-      // Time passes for all at rates that differ by up to a hundredth.
+      random_schedule::RandomStep(random, store, *hosts[random() % 3]);
+      // The clocks of the hosts advance at rates that differ by up to 1 %.
       const std::int64_t pass_ms = random() % 50 == 0 ? 20'000 : 200;
       for (LeaseHost* host : hosts) {
         host->clock.Advance(pass_ms + static_cast<std::int64_t>(random() % 3));
       }
-      cr_assert(watchdog.Allows(hosts), "seed %u", seed);
+      cr_assert(invariants.Hold(hosts), "seed %u", seed);
     }
-    held += watchdog.held;
+    held += invariants.held;
   }
   cr_assert(held > 10'000);
 }
--- a/src/placement/tests/load_budget_test.cc
+++ b/src/placement/tests/load_budget_test.cc
@@ -26,7 +26,7 @@
   cr_assert(budget.Available() == 1 && budget.UrgentAvailable() == 2);
 }
 
-Test(a_load_budget, gives_way_to_refusals_and_comes_back) {
+Test(a_load_budget, slows_down_after_refusals_and_recovers) {
   ManualClock clock(0);
   LoadBudget budget(LoadBudgetSettings{}, clock);
   budget.OnRefused(10'000);
--- a/src/placement/tests/ownership_mover_test.cc
+++ b/src/placement/tests/ownership_mover_test.cc
@@ -16,24 +16,24 @@
 
 const OwnedId kWorkspaceA{OwnedKind::kWorkspace, "a"};
 
-/// An entry host as far as a hand-over sees it.
+/// The parts of an entry host that take part in a change of ownership.
 struct Host {
-  Host(std::string_view with_name, std::string_view half, MemoryStore& over)
-      : name(with_name),
-        store(over),
+  Host(std::string_view name, std::string_view deployment, MemoryStore& store)
+      : name(name),
+        store(store),
         clock(1'000),
-        view(Settings(half), clock),
+        view(Settings(deployment), clock),
         tracker(view) {}
 
-  static OwnershipSettings Settings(std::string_view half) {
+  static OwnershipSettings Settings(std::string_view deployment) {
     OwnershipSettings settings;
-    settings.half = std::string(half);
+    settings.half = std::string(deployment);
     settings.default_owner = "lukot";
     return settings;
   }
 
-  /// Reads the ownership objects; the answer waits in the store.
-  void Look() {
+  /// Lists the ownership objects; `store` delivers the answer later.
+  void ListOwnership() {
     const std::int64_t asked_ms = this->clock.MonotonicMs();
     this->store.List(kOwnershipKind, 0,
                      [this, asked_ms](const absl::StatusOr<ObjectList>& list) {
@@ -47,8 +47,8 @@
                      });
   }
 
-  /// Writes the status object; the answer waits in the store.
-  void Tell() {
+  /// Writes the status object; `store` delivers the answer later.
+  void WriteStatus() {
     const std::string text =
         "{\"ownership\":" + EncodeDrainReport(this->tracker.Report()) + "}";
     this->store.Put("status", this->name, text, this->status_version,
@@ -57,25 +57,25 @@
                         this->status_version = *version;
                         this->view.SetRegistered();
                       } else {
-                        this->LearnStatusVersion();
+                        this->ReadStatusVersion();
                       }
                     });
   }
 
-  void LearnStatusVersion() {
+  void ReadStatusVersion() {
     this->store.Get("status", this->name,
                     [this](const absl::StatusOr<StoredObject>& status) {
                       this->status_version = status.ok() ? status->version : 0;
                     });
   }
 
-  void Turn() {
-    this->Tell();
+  void RunRound() {
+    this->WriteStatus();
     this->store.Settle();
     this->clock.Advance(1);
-    this->Look();
+    this->ListOwnership();
     this->store.Settle();
-    this->Tell();
+    this->WriteStatus();
     this->store.Settle();
   }
 
@@ -87,7 +87,7 @@
   std::int64_t status_version = 0;
 };
 
-MoveRequest ToNorte() {
+MoveRequest MoveToNorte() {
   MoveRequest request;
   request.id = kWorkspaceA;
   request.next_owner = "norte";
@@ -96,17 +96,17 @@
   return request;
 }
 
-MoverSettings Bounds() {
+MoverSettings DefaultOwnerLukot() {
   MoverSettings settings;
   settings.default_owner = "lukot";
   return settings;
 }
 
-struct Scene {
-  Scene() { this->Restart(); }
+struct Fixture {
+  Fixture() { this->Restart(); }
   void Restart() {
-    this->mover =
-        std::make_unique<OwnershipMover>(ToNorte(), Bounds(), this->store);
+    this->mover = std::make_unique<OwnershipMover>(
+        MoveToNorte(), DefaultOwnerLukot(), this->store);
   }
   void Tick() {
     this->mover->Tick();
@@ -121,124 +121,126 @@
 };
 
 Test(a_move, waits_for_work_in_flight_and_then_raises_the_epoch) {
-  Scene scene;
-  scene.old_host.Turn();
-  cr_assert(scene.old_host.tracker.Begin(kWorkspaceA).ok());
-  scene.Tick();  // marks
-  scene.old_host.Turn();
-  cr_assert(!scene.old_host.tracker.Begin(kWorkspaceA).ok());
-  scene.Tick();
-  cr_assert(scene.mover->Progress().waiting_for ==
+  Fixture fixture;
+  fixture.old_host.RunRound();
+  cr_assert(fixture.old_host.tracker.Begin(kWorkspaceA).ok());
+  fixture.Tick();  // marks the object as draining
+  fixture.old_host.RunRound();
+  cr_assert(!fixture.old_host.tracker.Begin(kWorkspaceA).ok());
+  fixture.Tick();
+  cr_assert(fixture.mover->Progress().waiting_for ==
             std::vector<std::string>{"old"});
-  scene.old_host.tracker.End(kWorkspaceA);
-  scene.old_host.Turn();
-  scene.Tick();
-  scene.Tick();
-  cr_assert(scene.Phase() == MovePhase::kDone);
-  cr_assert(scene.mover->Progress().epoch == 2);
-  scene.new_host.Turn();
-  cr_assert(scene.new_host.tracker.Begin(kWorkspaceA).ok());
+  fixture.old_host.tracker.End(kWorkspaceA);
+  fixture.old_host.RunRound();
+  fixture.Tick();
+  fixture.Tick();
+  cr_assert(fixture.Phase() == MovePhase::kDone);
+  cr_assert(fixture.mover->Progress().epoch == 2);
+  fixture.new_host.RunRound();
+  cr_assert(fixture.new_host.tracker.Begin(kWorkspaceA).ok());
 }
 
 Test(a_move, waits_for_a_host_that_has_not_seen_the_mark) {
-  Scene scene;
-  scene.old_host.Turn();
-  scene.Tick();
+  Fixture fixture;
+  fixture.old_host.RunRound();
+  fixture.Tick();
   for (int turn = 0; turn < 100; ++turn) {
-    scene.old_host.clock.Advance(3'600'000);
-    scene.Tick();
+    fixture.old_host.clock.Advance(3'600'000);
+    fixture.Tick();
   }
-  cr_assert(scene.Phase() == MovePhase::kDraining);
-  cr_assert(scene.old_host.tracker.Begin(kWorkspaceA).ok());
+  cr_assert(fixture.Phase() == MovePhase::kDraining);
+  cr_assert(fixture.old_host.tracker.Begin(kWorkspaceA).ok());
 }
 
-Test(a_move, is_seen_by_a_host_that_starts_too_late_to_be_waited_for) {
-  Scene scene;
-  scene.old_host.Look();  // before the mark
-  scene.store.Settle();
-  scene.Tick();
-  scene.Tick();  // lists, finds no host, and hands over
-  scene.old_host.Tell();
-  scene.store.Settle();
-  cr_assert(!scene.old_host.tracker.Begin(kWorkspaceA).ok());
-  scene.old_host.Turn();
-  cr_assert(!scene.old_host.tracker.Begin(kWorkspaceA).ok());
+Test(a_move, is_seen_by_a_host_that_registers_after_the_listing) {
+  Fixture fixture;
+  fixture.old_host.ListOwnership();  // before the object is marked
+  fixture.store.Settle();
+  fixture.Tick();
+  fixture.Tick();  // finds no host to wait for, and changes the owner
+  fixture.old_host.WriteStatus();
+  fixture.store.Settle();
+  cr_assert(!fixture.old_host.tracker.Begin(kWorkspaceA).ok());
+  fixture.old_host.RunRound();
+  cr_assert(!fixture.old_host.tracker.Begin(kWorkspaceA).ok());
 }
 
-Test(a_move, takes_no_confirmation_of_an_earlier_drain) {
-  Scene scene;
-  scene.Tick();           // marks
-  scene.old_host.Turn();  // confirms the first drain
-  {  // when the move is called off, work starts, and it is begun again
-    OwnershipDocument back;
-    back.owner = "lukot";
-    scene.store.Put(kOwnershipKind, "workspace.a", EncodeOwnership(back), 1,
-                    [](auto&&) {});
-    scene.old_host.Look();
-    scene.store.Settle();
-    cr_assert(scene.old_host.tracker.Begin(kWorkspaceA).ok());
+Test(a_move, ignores_confirmations_of_an_earlier_drain) {
+  Fixture fixture;
+  fixture.Tick();               // marks the object as draining
+  fixture.old_host.RunRound();  // confirms the first drain
+  {  // when the move is cancelled, work starts, and the move starts again
+    OwnershipDocument cancelled;
+    cancelled.owner = "lukot";
+    fixture.store.Put(kOwnershipKind, "workspace.a", EncodeOwnership(cancelled),
+                      1, [](auto&&) {});
+    fixture.old_host.ListOwnership();
+    fixture.store.Settle();
+    cr_assert(fixture.old_host.tracker.Begin(kWorkspaceA).ok());
   }
-  scene.Restart();
-  scene.Tick();  // marks
-  scene.Tick();
-  scene.Tick();
-  cr_assert(scene.Phase() == MovePhase::kDraining);
+  fixture.Restart();
+  fixture.Tick();  // marks the object as draining
+  fixture.Tick();
+  fixture.Tick();
+  cr_assert(fixture.Phase() == MovePhase::kDraining);
 }
 
-Test(a_move, waits_for_a_status_that_says_nothing_of_ownership) {
-  Scene scene;
-  scene.store.Put("status", "old", "{}", 0, [](auto&&) {});
-  scene.Tick();  // marks
-  scene.Tick();
-  cr_assert(scene.mover->Progress().waiting_for.size() == 1);
-  MoveRequest vouched = ToNorte();
-  vouched.gone = {"old"};
-  OwnershipMover mover(vouched, Bounds(), scene.store);
+Test(a_move, waits_for_a_host_whose_status_lacks_ownership) {
+  Fixture fixture;
+  fixture.store.Put("status", "old", "{}", 0, [](auto&&) {});
+  fixture.Tick();  // marks the object as draining
+  fixture.Tick();
+  cr_assert(fixture.mover->Progress().waiting_for.size() == 1);
+  MoveRequest with_dead_host = MoveToNorte();
+  with_dead_host.dead_hosts = {"old"};
+  OwnershipMover mover(with_dead_host, DefaultOwnerLukot(), fixture.store);
   for (int turn = 0; turn < 3; ++turn) {
     mover.Tick();
-    scene.store.Settle();
+    fixture.store.Settle();
   }
   cr_assert(mover.Progress().phase == MovePhase::kDone);
 }
 
-Test(a_move, loses_to_one_that_names_another_half) {
-  Scene scene;
-  scene.Tick();
-  MoveRequest other = ToNorte();
+Test(a_move, conflicts_with_a_move_to_another_deployment) {
+  Fixture fixture;
+  fixture.Tick();
+  MoveRequest other = MoveToNorte();
   other.next_owner = "third";
-  OwnershipMover mover(other, Bounds(), scene.store);
+  OwnershipMover mover(other, DefaultOwnerLukot(), fixture.store);
   mover.Tick();
-  scene.store.Settle();
+  fixture.store.Settle();
   cr_assert(mover.Progress().phase == MovePhase::kConflict);
   cr_assert(DetailOf(mover.Progress().last_error).id ==
             ErrorId::kStoreConflict);
 }
 
-Test(a_mover, that_crashes_at_any_step_is_replaced) {
+Test(a_mover, can_be_replaced_after_a_crash_at_any_step) {
   for (int crash_at = 0; crash_at < 12; ++crash_at) {
-    Scene scene;
-    scene.old_host.Turn();
-    for (int turn = 0; turn < 40 && scene.Phase() != MovePhase::kDone; ++turn) {
-      scene.store.FailWrites(
+    Fixture fixture;
+    fixture.old_host.RunRound();
+    for (int turn = 0; turn < 40 && fixture.Phase() != MovePhase::kDone;
+         ++turn) {
+      fixture.store.FailWrites(
           {turn % 3 == 1 ? WriteFault::kAnswerLost : WriteFault::kNone});
-      scene.mover->Tick();
+      fixture.mover->Tick();
       if (turn == crash_at) {
-        scene.store.Step();
-        scene.Restart();  // what it had sent stays sent
+        fixture.store.Step();
+        fixture.Restart();  // the call that was sent still takes effect
       }
-      scene.store.Settle();
-      scene.old_host.Turn();
-      scene.old_host.clock.Advance(1'000);
+      fixture.store.Settle();
+      fixture.old_host.RunRound();
+      fixture.old_host.clock.Advance(1'000);
     }
-    cr_assert(scene.Phase() == MovePhase::kDone);
-    cr_assert(scene.mover->Progress().epoch == 2);
+    cr_assert(fixture.Phase() == MovePhase::kDone);
+    cr_assert(fixture.mover->Progress().epoch == 2);
   }
 }
 
-namespace both_halves {
+namespace random_moves {
 
-struct Fleet {
-  explicit Fleet(unsigned seed) : random(seed) {
+/// Two hosts of each deployment and a mover, which take steps in random order.
+struct Simulation {
+  explicit Simulation(unsigned seed) : random(seed) {
     for (int index = 0; index < 4; ++index) {
       this->hosts.push_back(std::make_unique<Host>(
           "h" + std::to_string(index), index % 2 == 0 ? "lukot" : "norte",
@@ -249,19 +251,19 @@
   }
 
   void Restart() {
-    this->mover =
-        std::make_unique<OwnershipMover>(ToNorte(), Bounds(), this->store);
+    this->mover = std::make_unique<OwnershipMover>(
+        MoveToNorte(), DefaultOwnerLukot(), this->store);
   }
 
-  void ActHost() {
+  void StepHost() {
     const std::size_t index = this->random() % 4;
     Host& host = *this->hosts[index];
     switch (this->random() % 4) {
       case 0:
-        host.Look();
+        host.ListOwnership();
         break;
       case 1:
-        host.Tell();
+        host.WriteStatus();
         break;
       case 2:
         if (host.tracker.Begin(kWorkspaceA).ok()) {
@@ -277,7 +279,7 @@
     }
   }
 
-  void ActMover() {
+  void StepMover() {
     constexpr WriteFault kFaults[] = {WriteFault::kNone, WriteFault::kDelayed,
                                       WriteFault::kAnswerLost,
                                       WriteFault::kRequestLost};
@@ -293,19 +295,19 @@
 
   void Step() {
     const bool moving = ++this->steps > 300;
-    moving&& this->random() % 4 == 0 ? this->ActMover() : this->ActHost();
+    moving&& this->random() % 4 == 0 ? this->StepMover() : this->StepHost();
     while (this->random() % 3 != 0) {
       this->store.Step();
     }
-    // Some hosts' clocks run on while others are hardly scheduled: that is
-    // what a pause looks like from here.
+    // The clocks of all hosts advance although only one of them runs in a step.
+    // A host that is not chosen for several steps thus appears to be paused.
     const auto pass_ms = static_cast<std::int64_t>(this->random() % 300);
     for (const auto& host : this->hosts) {
       host->clock.Advance(pass_ms);
     }
   }
 
-  /// Whether the halves have work of the workspace in flight at once.
+  /// Whether both deployments have work of the workspace in flight.
   bool Overlap() const {
     return this->in_flight[0] + this->in_flight[2] > 0 &&
            this->in_flight[1] + this->in_flight[3] > 0;
@@ -320,19 +322,19 @@
   std::unique_ptr<OwnershipMover> mover;
 };
 
-}  // namespace both_halves
+}  // namespace random_moves
 
-Test(both_halves_running, never_have_one_workspace_in_flight_at_once) {
+Test(two_deployments, never_have_work_of_one_workspace_in_flight_at_once) {
   int by_old = 0;
   int by_new = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    both_halves::Fleet fleet(seed);
+    random_moves::Simulation simulation(seed);
     for (int step = 0; step < 1'500; ++step) {
-      fleet.Step();
-      cr_assert(!fleet.Overlap());
+      simulation.Step();
+      cr_assert(!simulation.Overlap());
     }
-    by_old += fleet.started[0];
-    by_new += fleet.started[1];
+    by_old += simulation.started[0];
+    by_new += simulation.started[1];
   }
   cr_assert(by_old > 300 && by_new > 300, "%d %d", by_old, by_new);
 }
--- a/src/placement/tests/ownership_test.cc
+++ b/src/placement/tests/ownership_test.cc
@@ -10,7 +10,7 @@
 
 const OwnedId kWorkspaceA{OwnedKind::kWorkspace, "a"};
 
-OwnershipSettings Half(std::string_view name) {
+OwnershipSettings OwnershipSettingsFor(std::string_view name) {
   OwnershipSettings settings;
   settings.half = std::string(name);
   settings.default_owner = "lukot";
@@ -38,9 +38,10 @@
   return document;
 }
 
-struct Fresh {
-  explicit Fresh(std::string_view half)
-      : clock(50'000), view(Half(half), clock) {
+/// A host that is registered and has read the ownership objects since.
+struct RegisteredHost {
+  explicit RegisteredHost(std::string_view deployment)
+      : clock(50'000), view(OwnershipSettingsFor(deployment), clock) {
     this->view.SetRegistered();
     this->view.Confirm(50'001);
   }
@@ -48,7 +49,7 @@
   OwnershipView view;
 };
 
-Test(an_ownership_document, reads_back_and_names_bad_fields) {
+Test(an_ownership_document, can_be_parsed_again_and_reports_invalid_fields) {
   const auto field_of = [](std::string_view text) {
     return DetailOf(ParseOwnership(text).status()).field;
   };
@@ -61,41 +62,42 @@
                      R"("next_owner":"a"})") == "next_owner");
 }
 
-Test(a_missing_object, means_the_half_named_in_the_settings) {
-  cr_assert(Fresh("lukot").view.MayStart(kWorkspaceA).ok());
-  const absl::Status refused = Fresh("norte").view.MayStart(kWorkspaceA);
+Test(a_missing_object, means_the_default_owner) {
+  cr_assert(RegisteredHost("lukot").view.MayStart(kWorkspaceA).ok());
+  const absl::Status refused =
+      RegisteredHost("norte").view.MayStart(kWorkspaceA);
   cr_assert(DetailOf(refused).id == ErrorId::kOwnedElsewhere);
   cr_assert(DetailOf(refused).outcome == Outcome::kNotRun);
   cr_assert(DetailOf(refused).peer == "https://lukot");
 }
 
-Test(a_hand_over, stops_the_owner_and_names_where_to_go) {
-  Fresh old_half("lukot");
-  Fresh new_half("norte");
+Test(a_change_of_owner, stops_the_old_owner_and_names_the_new_address) {
+  RegisteredHost old_owner("lukot");
+  RegisteredHost new_owner("norte");
   const StoredObject draining = Stored(Draining("lukot", "norte"), 7);
-  old_half.view.Apply(draining);
-  new_half.view.Apply(draining);
-  const ErrorDetail refused = DetailOf(old_half.view.MayStart(kWorkspaceA));
+  old_owner.view.Apply(draining);
+  new_owner.view.Apply(draining);
+  const ErrorDetail refused = DetailOf(old_owner.view.MayStart(kWorkspaceA));
   cr_assert(refused.id == ErrorId::kOwnedElsewhere);
   cr_assert(refused.peer == "https://norte");
-  cr_assert(!new_half.view.MayStart(kWorkspaceA).ok());
+  cr_assert(!new_owner.view.MayStart(kWorkspaceA).ok());
   const StoredObject moved = Stored(Owned("norte"), 9);
-  old_half.view.Apply(moved);
-  new_half.view.Apply(moved);
-  cr_assert(!old_half.view.MayStart(kWorkspaceA).ok());
-  cr_assert(new_half.view.MayStart(kWorkspaceA).ok());
+  old_owner.view.Apply(moved);
+  new_owner.view.Apply(moved);
+  cr_assert(!old_owner.view.MayStart(kWorkspaceA).ok());
+  cr_assert(new_owner.view.MayStart(kWorkspaceA).ok());
 }
 
 Test(a_view, never_goes_back_to_an_older_version) {
-  Fresh half("lukot");
-  half.view.Apply(Stored(Owned("norte"), 9));
-  half.view.Apply(Stored(Owned("lukot"), 4));
-  cr_assert(!half.view.MayStart(kWorkspaceA).ok());
+  RegisteredHost host("lukot");
+  host.view.Apply(Stored(Owned("norte"), 9));
+  host.view.Apply(Stored(Owned("lukot"), 4));
+  cr_assert(!host.view.MayStart(kWorkspaceA).ok());
 }
 
 Test(a_view, starts_nothing_before_the_host_is_registered) {
   ManualClock clock(50'000);
-  OwnershipView view(Half("lukot"), clock);
+  OwnershipView view(OwnershipSettingsFor("lukot"), clock);
   view.Confirm(50'000);
   cr_assert(view.Look(kWorkspaceA).verdict == OwnershipVerdict::kUnregistered);
   const ErrorDetail refused = DetailOf(view.MayStart(kWorkspaceA));
@@ -103,11 +105,11 @@
   cr_assert(refused.outcome == Outcome::kNotRun);
 }
 
-Test(a_view, starts_nothing_before_it_is_read_after_the_registration) {
+Test(a_view, starts_nothing_before_a_read_after_the_registration) {
   ManualClock clock(50'000);
-  OwnershipView view(Half("lukot"), clock);
+  OwnershipView view(OwnershipSettingsFor("lukot"), clock);
   view.SetRegistered();
-  view.Confirm(50'000);  // may have been sent before
+  view.Confirm(50'000);  // the read may have been sent before
   cr_assert(view.Look(kWorkspaceA).verdict == OwnershipVerdict::kUnread);
   view.Confirm(50'001);
   cr_assert(view.MayStart(kWorkspaceA).ok());
@@ -118,27 +120,27 @@
   cr_assert(view.MayStart(kWorkspaceA).ok());
 }
 
-Test(a_view, goes_on_through_an_outage_of_the_platform) {
-  Fresh half("lukot");
-  half.clock.Advance(86'400'000);
-  cr_assert(half.view.MayStart(kWorkspaceA).ok());
+Test(a_view, goes_on_during_an_outage_of_the_object_store) {
+  RegisteredHost host("lukot");
+  host.clock.Advance(86'400'000);
+  cr_assert(host.view.MayStart(kWorkspaceA).ok());
 }
 
-Test(a_view, needs_no_registration_without_another_half) {
+Test(a_view, needs_no_registration_without_another_deployment) {
   ManualClock clock(50'000);
-  OwnershipSettings settings = Half("lukot");
+  OwnershipSettings settings = OwnershipSettingsFor("lukot");
   settings.has_other_half = false;
   cr_assert(OwnershipView(settings, clock).MayStart(kWorkspaceA).ok());
 }
 
-Test(an_object_that_cannot_be_read, lets_neither_half_act) {
+Test(an_invalid_object, stops_both_deployments) {
   for (const std::string_view name : {"lukot", "norte"}) {
-    Fresh half(name);
-    half.view.Apply(Stored(Owned("lukot"), 3));
-    half.view.Apply({"ownership", "workspace.a", 4, "{}", false});
-    cr_assert(half.view.Look(kWorkspaceA).verdict ==
+    RegisteredHost host(name);
+    host.view.Apply(Stored(Owned("lukot"), 3));
+    host.view.Apply({"ownership", "workspace.a", 4, "{}", false});
+    cr_assert(host.view.Look(kWorkspaceA).verdict ==
               OwnershipVerdict::kUnreadable);
-    cr_assert(!half.view.MayStart(kWorkspaceA).ok());
+    cr_assert(!host.view.MayStart(kWorkspaceA).ok());
   }
 }
 
--- a/src/placement/tests/planner_property_test.cc
+++ b/src/placement/tests/planner_property_test.cc
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr int kModels = 6;
-constexpr int kBudget = 3;
+constexpr int kLoadBudget = 3;
 constexpr int kLoadRounds = 3;
 
-/// A fleet that carries orders out some rounds later, and loses engines.
-struct Fleet {
-  explicit Fleet(unsigned seed) : random(seed) {
+/// Simulated engines that complete orders some rounds later and can fail.
+struct SimulatedFleet {
+  explicit SimulatedFleet(unsigned seed) : random(seed) {
     const int count = 8 + static_cast<int>(this->random() % 30);
     for (int index = 0; index < count; ++index) {
       PlacedEngine engine;
@@ -25,7 +25,7 @@
       engine.capacity = 2 + static_cast<int>(this->random() % 2);
       this->engines.push_back(engine);
     }
-    this->due.assign(count, 0);
+    this->due_rounds.assign(count, 0);
     for (int model = 0; model < kModels; ++model) {
       this->needed.push_back({{"m" + std::to_string(model), "", "1"},
                               1.0 + static_cast<double>(this->random() % 5),
@@ -33,17 +33,18 @@
     }
   }
 
-  Plan Next() {
+  Plan MakeNextPlan() {
     PlannerInput input;
     input.needed = this->needed;
     input.engines = this->engines;
-    input.loads = kBudget - 1;
-    input.urgent_loads = kBudget;
+    input.load_budget = kLoadBudget - 1;
+    input.urgent_load_budget = kLoadBudget;
     return MakePlan(PlannerSettings{}, input);
   }
 
-  /// Live engines that report the model and will go on holding it.
-  int SureCopies(const ServedModel& key) const {
+  /// The number of live engines that report the model and have no order to
+  /// unload it.
+  int ConfirmedCopies(const ServedModel& key) const {
     return static_cast<int>(std::count_if(
         this->engines.begin(), this->engines.end(),
         [&](const PlacedEngine& one) {
@@ -51,7 +52,7 @@
             return std::find(state.models.begin(), state.models.end(), key) !=
                    state.models.end();
           };
-          return one.state == EngineState::kLive && has(one.reported) &&
+          return one.state == EngineLiveness::kLive && has(one.reported) &&
                  (!one.ordered.has_value() || has(*one.ordered));
         }));
   }
@@ -60,31 +61,32 @@
     for (const EngineChange& change : plan.changes) {
       const std::size_t index = std::stoul(change.engine.substr(1));
       this->engines[index].ordered = change.desired;
-      this->due[index] = this->round + kLoadRounds;
+      this->due_rounds[index] = this->round + kLoadRounds;
     }
   }
 
-  void Pass() {
+  void AdvanceRound() {
     ++this->round;
     for (std::size_t index = 0; index < this->engines.size(); ++index) {
       PlacedEngine& engine = this->engines[index];
-      if (engine.ordered.has_value() && this->round >= this->due[index]) {
+      if (engine.ordered.has_value() &&
+          this->round >= this->due_rounds[index]) {
         engine.reported = *engine.ordered;
         engine.ordered.reset();
       }
     }
   }
 
-  /// An engine falls silent, is reclaimed, or comes back empty; a template
-  /// comes to need another version.
-  void Disturb() {
+  /// Makes an engine silent, gone or live, or a template need a new version of
+  /// its model. An engine loses its models when it is gone.
+  void InjectFault() {
     PlacedEngine& engine = this->engines[this->random() % this->engines.size()];
     switch (this->random() % 4) {
       case 0:
-        engine.state = EngineState::kSilent;
+        engine.state = EngineLiveness::kSilent;
         break;
       case 1:
-        engine.state = EngineState::kGone;
+        engine.state = EngineLiveness::kGone;
         engine.ordered.reset();
         engine.reported.models.clear();
         break;
@@ -92,27 +94,28 @@
         this->needed[this->random() % kModels].key.version += "1";
         break;
       default:
-        engine.state = EngineState::kLive;
+        engine.state = EngineLiveness::kLive;
     }
   }
 
   std::mt19937 random;
   std::vector<PlacedEngine> engines;
-  std::vector<int> due;
+  std::vector<int> due_rounds;
   std::vector<NeededModel> needed;
   int round = 0;
 };
 
-/// Whether every needed model that had a copy keeps one, once it is ordered.
-bool KeepsLastCopies(Fleet& fleet, const Plan& plan) {
+/// Orders the plan. Returns whether each needed model that had a confirmed copy
+/// still has one.
+bool KeepsLastCopies(SimulatedFleet& fleet, const Plan& plan) {
   std::vector<int> before;
   before.reserve(fleet.needed.size());
   for (const NeededModel& one : fleet.needed) {
-    before.push_back(fleet.SureCopies(one.key));
+    before.push_back(fleet.ConfirmedCopies(one.key));
   }
   fleet.Order(plan);
   for (std::size_t model = 0; model < fleet.needed.size(); ++model) {
-    const int after = fleet.SureCopies(fleet.needed[model].key);
+    const int after = fleet.ConfirmedCopies(fleet.needed[model].key);
     if (before[model] > 0 && after == 0) {
       return false;
     }
@@ -120,7 +123,7 @@
   return true;
 }
 
-bool KeepsCapacities(const Fleet& fleet) {
+bool RespectsCapacities(const SimulatedFleet& fleet) {
   return std::all_of(fleet.engines.begin(), fleet.engines.end(),
                      [](const auto& engine) {
                        return !engine.ordered.has_value() ||
@@ -129,64 +132,67 @@
                      });
 }
 
-Test(plans_over_many_seeds, keep_the_last_copies_and_the_budget) {
+Test(random_plans, keep_last_copies_and_stay_within_the_budget) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
-    Fleet fleet(seed);
+    SimulatedFleet fleet(seed);
     for (int round = 0; round < 150; ++round) {
       if (fleet.random() % 6 == 0) {
-        fleet.Disturb();
+        fleet.InjectFault();
       }
-      const Plan plan = fleet.Next();
-      cr_assert(plan.changes.size() <= kBudget);
+      const Plan plan = fleet.MakeNextPlan();
+      cr_assert(plan.changes.size() <= kLoadBudget);
       cr_assert(KeepsLastCopies(fleet, plan), "seed %u", seed);
-      cr_assert(KeepsCapacities(fleet));
-      fleet.Pass();
+      cr_assert(RespectsCapacities(fleet));
+      fleet.AdvanceRound();
     }
   }
 }
 
-Test(plans_over_many_seeds, come_to_an_end_with_every_model_held) {
+Test(random_plans, converge_with_every_model_loaded) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
-    Fleet fleet(seed);
+    SimulatedFleet fleet(seed);
     for (int fault = 0; fault < 5; ++fault) {
-      fleet.Order(fleet.Next());
-      fleet.Pass();
-      fleet.Disturb();
+      fleet.Order(fleet.MakeNextPlan());
+      fleet.AdvanceRound();
+      fleet.InjectFault();
     }
-    int quiet = 0;
-    for (int round = 0; round < 400 && quiet <= kLoadRounds; ++round) {
-      const Plan plan = fleet.Next();
-      quiet = plan.changes.empty() ? quiet + 1 : 0;
+    int rounds_without_change = 0;
+    for (int round = 0; round < 400 && rounds_without_change <= kLoadRounds;
+         ++round) {
+      const Plan plan = fleet.MakeNextPlan();
+      rounds_without_change =
+          plan.changes.empty() ? rounds_without_change + 1 : 0;
       fleet.Order(plan);
-      fleet.Pass();
+      fleet.AdvanceRound();
     }
-    cr_assert(quiet > kLoadRounds, "seed %u does not settle", seed);
+    cr_assert(rounds_without_change > kLoadRounds, "seed %u does not settle",
+              seed);
     for (const NeededModel& one : fleet.needed) {
-      cr_assert(fleet.SureCopies(one.key) >= 1);
+      cr_assert(fleet.ConfirmedCopies(one.key) >= 1);
     }
-    cr_assert(fleet.Next().shortages.empty());
+    cr_assert(fleet.MakeNextPlan().shortages.empty());
   }
 }
 
-Test(plans_over_many_seeds, replace_a_reclaimed_engine_once) {
+Test(random_plans, replace_a_reclaimed_engine_once) {
   for (unsigned seed = 1; seed <= 100; ++seed) {
-    Fleet fleet(seed);
+    SimulatedFleet fleet(seed);
     for (int round = 0; round < 300; ++round) {
-      fleet.Order(fleet.Next());
-      fleet.Pass();
+      fleet.Order(fleet.MakeNextPlan());
+      fleet.AdvanceRound();
     }
     PlacedEngine& lost = fleet.engines[fleet.random() % fleet.engines.size()];
     const std::size_t copies = lost.reported.models.size();
-    lost.state = EngineState::kGone;
+    lost.state = EngineLiveness::kGone;
     std::size_t loads = 0;
     for (int round = 0; round < 60; ++round) {
-      const Plan plan = fleet.Next();
+      const Plan plan = fleet.MakeNextPlan();
       loads += plan.changes.size();
       fleet.Order(plan);
-      fleet.Pass();
+      fleet.AdvanceRound();
     }
-    // Each copy lost leads to one load at most, with one more where taking a
-    // copy from another model leaves that one short in a zone.
+    // Each lost copy causes at most one load. One more follows if the evicted
+    // model then lacks a copy in a second zone.
     cr_assert(loads <= 2 * copies, "seed %u: %zu loads", seed, loads);
   }
 }
--- a/src/placement/tests/planner_test.cc
+++ b/src/placement/tests/planner_test.cc
@@ -37,18 +37,18 @@
   PlannerInput input;
   input.needed = needed;
   input.engines = engines;
-  input.loads = 100;
-  input.urgent_loads = 100;
+  input.load_budget = 100;
+  input.urgent_load_budget = 100;
   return input;
 }
 
-PlannerSettings Free() {
+PlannerSettings UnlimitedChanges() {
   PlannerSettings settings;
   settings.max_changing_share = 1;
   return settings;
 }
 
-int Loads(const Plan& plan, std::string_view model) {
+int CountLoads(const Plan& plan, std::string_view model) {
   return static_cast<int>(std::count_if(
       plan.changes.begin(), plan.changes.end(), [&](const EngineChange& one) {
         return one.load.has_value() && *one.load == Key(model);
@@ -58,14 +58,14 @@
 Test(a_plan, fills_empty_engines_by_share_of_the_demand) {
   const std::vector<NeededModel> needed = {{Key("a"), 2}, {Key("b"), 1}};
   const auto engines = SixEngines({""});
-  const Plan plan = MakePlan(Free(), Input(needed, engines));
-  cr_assert(Loads(plan, "a") == 4 && Loads(plan, "b") == 2);
+  const Plan plan = MakePlan(UnlimitedChanges(), Input(needed, engines));
+  cr_assert(CountLoads(plan, "a") == 4 && CountLoads(plan, "b") == 2);
 }
 
 Test(a_plan, puts_the_copies_of_a_model_into_different_zones) {
   const std::vector<NeededModel> needed = {{Key("a")}, {Key("b")}, {Key("c")}};
   const auto engines = SixEngines({""});
-  const Plan plan = MakePlan(Free(), Input(needed, engines));
+  const Plan plan = MakePlan(UnlimitedChanges(), Input(needed, engines));
   std::vector<std::string> of_a;
   for (const EngineChange& change : plan.changes) {
     if (*change.load == Key("a")) {
@@ -77,28 +77,30 @@
 
 Test(a_plan, is_empty_where_nothing_is_short) {
   const auto engines = SixEngines({"a", "b"});
-  for (const double weight : {0.8, 1.0, 1.25}) {  // demand that wavers
+  for (const double weight : {0.8, 1.0, 1.25}) {  // small changes of demand
     const std::vector<NeededModel> needed = {{Key("a"), weight}, {Key("b")}};
-    cr_assert(MakePlan(Free(), Input(needed, engines)).changes.empty());
+    cr_assert(
+        MakePlan(UnlimitedChanges(), Input(needed, engines)).changes.empty());
   }
 }
 
-Test(a_plan, follows_a_demand_that_has_clearly_moved) {
+Test(a_plan, follows_a_clear_change_of_demand) {
   const auto engines = SixEngines({"a", "b"});
   const std::vector<NeededModel> needed = {{Key("a"), 5}, {Key("b"), 1}};
-  const Plan plan = MakePlan(Free(), Input(needed, engines));
+  const Plan plan = MakePlan(UnlimitedChanges(), Input(needed, engines));
   cr_assert(plan.changes.size() == 1);
   cr_assert(plan.changes[0].load == Key("a"));
   cr_assert(plan.changes[0].unload == Key("b"));
 }
 
-Test(a_plan, counts_what_is_ordered_as_held) {
+Test(a_plan, counts_pending_loads_as_copies) {
   const std::vector<NeededModel> needed = {{Key("a")}};
   auto engines = SixEngines({""});
   for (PlacedEngine& engine : engines) {
     engine.ordered = DesiredState{"mixed", {Key("a")}};
   }
-  cr_assert(MakePlan(Free(), Input(needed, engines)).changes.empty());
+  cr_assert(
+      MakePlan(UnlimitedChanges(), Input(needed, engines)).changes.empty());
 }
 
 Test(a_plan, gives_models_without_a_copy_the_budget_first) {
@@ -106,37 +108,37 @@
   const std::vector<NeededModel> needed = {
       {Key("a"), 9}, {Key("b"), 1}, {Key("c"), 1, true}};
   PlannerInput input = Input(needed, engines);
-  input.urgent_loads = 1;
-  input.loads = 0;
-  const Plan plan = MakePlan(Free(), input);
+  input.urgent_load_budget = 1;
+  input.load_budget = 0;
+  const Plan plan = MakePlan(UnlimitedChanges(), input);
   cr_assert(plan.changes.size() == 1);
   cr_assert(plan.changes[0].load == Key("c"));
   cr_assert(plan.changes[0].reason == ChangeReason::kNoCopy);
 }
 
-Test(a_plan, orders_nothing_of_engines_that_are_not_ours_or_not_live) {
+Test(a_plan, changes_only_owned_live_engines_without_pending_orders) {
   const std::vector<NeededModel> needed = {{Key("a")}};
   auto engines = SixEngines({""});
   engines[0].owned = false;
-  engines[1].state = EngineState::kLeaving;
-  engines[2].state = EngineState::kSilent;
-  engines[3].state = EngineState::kGone;
+  engines[1].state = EngineLiveness::kLeaving;
+  engines[2].state = EngineLiveness::kSilent;
+  engines[3].state = EngineLiveness::kGone;
   engines[4].ordered = DesiredState{"mixed", {}};
-  const Plan plan = MakePlan(Free(), Input(needed, engines));
+  const Plan plan = MakePlan(UnlimitedChanges(), Input(needed, engines));
   cr_assert(plan.changes.size() == 1 && plan.changes[0].engine == "e5");
 }
 
-Test(a_plan, says_which_models_are_short) {
+Test(a_plan, reports_models_with_too_few_copies) {
   const std::vector<NeededModel> needed = {{Key("a")}, {Key("b")}};
   const std::vector<PlacedEngine> engines = {Engine("e0", "z0", {Key("a")})};
-  const Plan plan = MakePlan(Free(), Input(needed, engines));
+  const Plan plan = MakePlan(UnlimitedChanges(), Input(needed, engines));
   cr_assert(plan.changes.empty() && plan.shortages.size() == 1);
   cr_assert(plan.shortages[0].key == Key("b"));
 }
 
-Test(a_plan, moves_one_engine_to_a_role_that_is_short) {
+Test(a_plan, gives_one_engine_a_role_that_is_short) {
   const auto engines = SixEngines({"a"});
-  PlannerSettings settings = Free();
+  PlannerSettings settings = UnlimitedChanges();
   settings.roles = {{"mixed", 0.5}, {"prefill", 0.5}};
   const std::vector<NeededModel> needed = {{Key("a")}};
   const Plan plan = MakePlan(settings, Input(needed, engines));
@@ -147,13 +149,14 @@
 
 namespace the_last_copy {
 
-// "b" is needed and has no slot; "a" is held by e0, and by e1 in some way.
+// Plans for two full engines that both hold "a" while "b" is needed too.
+// `change` alters the engines first.
 Plan PlanWith(const std::function<void(std::vector<PlacedEngine>&)>& change) {
   std::vector<PlacedEngine> engines = {Engine("e0", "z0", {Key("a")}),
                                        Engine("e1", "z1", {Key("a")})};
   change(engines);
   const std::vector<NeededModel> needed = {{Key("a")}, {Key("b")}};
-  return MakePlan(Free(), Input(needed, engines));
+  return MakePlan(UnlimitedChanges(), Input(needed, engines));
 }
 
 }  // namespace the_last_copy
@@ -167,9 +170,9 @@
   using the_last_copy::PlanWith;
   cr_assert(!unloads_nothing(PlanWith([](auto&) {})));
   cr_assert(unloads_nothing(PlanWith(
-      [](auto& engines) { engines[1].state = EngineState::kSilent; })));
+      [](auto& engines) { engines[1].state = EngineLiveness::kSilent; })));
   cr_assert(unloads_nothing(PlanWith(
-      [](auto& engines) { engines[1].state = EngineState::kLeaving; })));
+      [](auto& engines) { engines[1].state = EngineLiveness::kLeaving; })));
   cr_assert(unloads_nothing(
       PlanWith([](auto& engines) { engines[1].owned = false; })));
   cr_assert(unloads_nothing(PlanWith([](auto& engines) {  // still loading
@@ -181,17 +184,17 @@
   })));
 }
 
-Test(a_stale_view_of_the_templates, takes_no_model_away) {
+Test(a_stale_list_of_needed_models, unloads_nothing) {
   const auto engines = SixEngines({"old"});
   const std::vector<NeededModel> needed = {{Key("a")}};
   PlannerInput input = Input(needed, engines);
   input.may_unload = false;
-  cr_assert(MakePlan(Free(), input).changes.empty());
+  cr_assert(MakePlan(UnlimitedChanges(), input).changes.empty());
   input.may_unload = true;
-  cr_assert(Loads(MakePlan(Free(), input), "a") == 6);
+  cr_assert(CountLoads(MakePlan(UnlimitedChanges(), input), "a") == 6);
 }
 
-Test(a_new_version, replaces_the_old_a_share_of_the_engines_at_a_time) {
+Test(a_new_version, replaces_the_old_one_on_a_share_of_the_engines_at_a_time) {
   const auto engines = SixEngines({"old"});
   const std::vector<NeededModel> needed = {{Key("a")}};
   PlannerSettings settings;
