--- a/src/hosts/host_list.h
+++ b/src/hosts/host_list.h
@@ -43,7 +43,7 @@
   std::int64_t as_of_unix_ms = 0;
   std::vector<HostEntry> hosts;
   int passed_over = 0;           ///< number of invalid entries, left out
-  std::string first_error = {};  ///< of the first invalid entry
+  std::string first_error = {};  ///< for the first of them; names the field
 };
 
 /// @brief Decodes the platform's JSON answer; an error names the invalid field.
--- a/src/placement/engine_table.h
+++ b/src/placement/engine_table.h
@@ -23,13 +23,13 @@
   /// An engine without a newer report becomes kSilent and then kGone.
   std::int64_t silent_after_ms = 6'000;
   std::int64_t gone_after_ms = 20'000;
-  std::int64_t gone_jitter_ms = 5'000;       ///< at most; by engine name
+  std::int64_t gone_jitter_ms = 5'000;  ///< kGone up to this later, per engine
   std::int64_t change_cooldown_ms = 30'000;  ///< between changes of an engine
   std::int64_t resend_interval_ms = 5'000;   ///< of an order until it completes
   /// Between reads of an engine's load while it has a pending order.
   std::int64_t read_interval_ms = 1'000;
   std::int64_t load_timeout_ms = 120'000;  ///< then an order is abandoned
-  /// Without orders for an engine that repeatedly refused them as stale.
+  /// Pause of orders to an engine that repeatedly refused them as stale.
   std::int64_t refusal_backoff_ms = 600'000;
 };
 
@@ -90,7 +90,8 @@
     bool is_listed = false;
     std::optional<LoadReport> report;
     std::optional<std::string> previous_incarnation;  ///< before a restart
-    std::int64_t last_report_ms = 0;  ///< or of the first listing
+    std::int64_t last_report_ms =
+        0;  ///< when it arrived; before: when first listed
     std::optional<std::int64_t> last_change_ms;
     std::optional<PendingOrder> pending;
     int refusals = 0;  ///< consecutive stale-fence answers
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -23,7 +23,7 @@
   kLive,
   kSilent,   ///< no recent report: gets no orders, is not replaced yet
   kLeaving,  ///< to be removed: gets no orders, is replaced
-  kGone,     ///< no report for long: gets no orders, is replaced
+  kGone,     ///< no report for long, as after being reclaimed: is replaced
 };
 
 /// @brief The complete state that an engine shall have, so that sending it
@@ -40,11 +40,12 @@
   std::string name;
   std::string zone;
   EngineLiveness state = EngineLiveness::kLive;
-  bool owned = true;        ///< by this deployment, and accepts orders
-  bool cooled_down = true;  ///< its last change is long enough ago
-  int capacity = 1;         ///< models it can have loaded at once
-  double utilization = 0;   ///< of its KV cache; 0: empty, 1: full
-  DesiredState reported;    ///< in its last load report
+  /// Known for certain to be owned by this deployment, and not refusing orders.
+  bool owned = true;
+  bool cooled_down = true;              ///< its last change is long enough ago
+  int capacity = 1;                     ///< models it can have loaded at once
+  double utilization = 0;               ///< of its KV cache; 0: empty, 1: full
+  DesiredState reported;                ///< in its last load report
   std::optional<DesiredState> ordered;  ///< pending order
 };
 
@@ -96,7 +97,8 @@
   std::optional<ServedModel> unload;
 };
 
-/// @brief A needed model that has fewer than min_copies after the plan.
+/// @brief A needed model that has fewer than min_copies, or none, after the
+/// plan.
 struct Shortage {
   ServedModel key;
   int copies = 0;
@@ -110,12 +112,12 @@
   std::vector<Shortage> shortages;
 };
 
-/// @brief Plans the next changes that bring the engines closer to what is
+/// @brief Plans the fewest changes that bring the engines closer to what is
 /// needed.
 ///
-/// A pure function: the same input gives the same plan. A plan changes an
-/// engine at most once, and never unloads the last copy of a needed model that
-/// a live engine reports.
+/// A pure function without clock or I/O: the same input gives the same plan. A
+/// plan changes an engine at most once, and never unloads the last copy of a
+/// needed model that a live engine reports.
 /// @complexity O(engines * (loads + models per engine))
 Plan MakePlan(const PlannerSettings& settings, const PlannerInput& input);
 
--- a/src/placement/tests/lease_fixture.h
+++ b/src/placement/tests/lease_fixture.h
@@ -30,9 +30,9 @@
       : store(store),
         clock(1'000'000),
         nonces(name),
-        lease("placement.a.0", Named(name), store, clock, nonces) {}
+        lease("placement.a.0", SettingsFor(name), store, clock, nonces) {}
 
-  static LeaseSettings Named(std::string_view name) {
+  static LeaseSettings SettingsFor(std::string_view name) {
     LeaseSettings settings;
     settings.holder = std::string(name);
     settings.incarnation = "1";
--- a/src/placement/tests/lease_test.cc
+++ b/src/placement/tests/lease_test.cc
@@ -121,7 +121,7 @@
   MemoryStore store;
   StoppedClock clock;
   SequentialNonceSource nonces("n");
-  Lease lease("d", LeaseHost::Named("h"), store, clock, nonces);
+  Lease lease("d", LeaseHost::SettingsFor("h"), store, clock, nonces);
   lease.ObserveAbsent();
   lease.Tick();
   store.Settle();
