--- a/src/placement/engine_table.h
+++ b/src/placement/engine_table.h
@@ -90,8 +90,8 @@
     bool is_listed = false;
     std::optional<LoadReport> report;
     std::optional<std::string> previous_incarnation;  ///< before a restart
-    std::int64_t last_report_ms =
-        0;  ///< when it arrived; before: when first listed
+    /// When the last newer report arrived; without one, when first listed.
+    std::int64_t last_report_ms = 0;
     std::optional<std::int64_t> last_change_ms;
     std::optional<PendingOrder> pending;
     int refusals = 0;  ///< consecutive stale-fence answers
--- a/src/placement/load_budget.h
+++ b/src/placement/load_budget.h
@@ -36,7 +36,7 @@
   void Take(int loads);
 
   /// @brief Halves the rate, empties the bucket and pauses its refill.
-  /// @param[in] pause_ms with jitter added by the caller
+  /// @param[in] pause_ms length of the pause, with jitter added by the caller
   void OnRefused(std::int64_t pause_ms);
 
   /// @brief Raises the rate after a completed load.
