--- a/src/answer/resume_token.cc
+++ b/src/answer/resume_token.cc
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-std::string Mac(std::string_view payload, const std::string& key) {
+std::string HmacSha256(std::string_view payload, const std::string& key) {
   const QByteArray mac = QMessageAuthenticationCode::hash(
       QByteArray(payload.data(), static_cast<qsizetype>(payload.size())),
       QByteArray::fromStdString(key), QCryptographicHash::Sha256);
@@ -24,24 +24,25 @@
   return text;
 }
 
-// Takes as long for a wrong signature as for a right one.
+// Compares all bytes whatever they are, so that the time taken does not reveal
+// how much of a forged signature is correct.
 bool ConstantTimeEqual(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
   }
-  unsigned char difference = 0;
+  unsigned char differing_bits = 0;
   for (std::size_t i = 0; i < a.size(); ++i) {
-    difference |= static_cast<unsigned char>(a[i] ^ b[i]);
+    differing_bits |= static_cast<unsigned char>(a[i] ^ b[i]);
   }
-  return difference == 0;
+  return differing_bits == 0;
 }
 
-absl::Status TokenError(ErrorId id, std::string_view what) {
+absl::Status TokenError(ErrorId id, std::string_view message) {
   ErrorDetail detail;
   detail.id = id;
   detail.step = "resume";
   detail.field = "Meadowthread-Resume-Token";
-  return MakeError(absl::StatusCode::kPermissionDenied, detail, what);
+  return MakeError(absl::StatusCode::kPermissionDenied, detail, message);
 }
 
 json ToJson(const ResumeClaims& claims) {
@@ -76,13 +77,13 @@
 std::string ResumeTokenCodec::Sign(const ResumeClaims& claims) const {
   std::string payload;
   absl::WebSafeBase64Escape(ToJson(claims).dump(), &payload);
-  return absl::StrCat(payload, ".", Mac(payload, this->keys.front()));
+  return absl::StrCat(payload, ".", HmacSha256(payload, this->keys.front()));
 }
 
-bool ResumeTokenCodec::IsSigned(std::string_view payload,
-                                std::string_view signature) const {
+bool ResumeTokenCodec::HasValidSignature(std::string_view payload,
+                                         std::string_view signature) const {
   for (const std::string& key : this->keys) {
-    if (ConstantTimeEqual(Mac(payload, key), signature)) {
+    if (ConstantTimeEqual(HmacSha256(payload, key), signature)) {
       return true;
     }
   }
@@ -94,9 +95,10 @@
     std::int64_t now_unix_ms) const {
   const std::size_t dot = token.find('.');
   if (dot == std::string_view::npos ||
-      !this->IsSigned(token.substr(0, dot), token.substr(dot + 1))) {
+      !this->HasValidSignature(token.substr(0, dot), token.substr(dot + 1))) {
     return TokenError(ErrorId::kResumeTokenInvalid,
-                      "the resume token is not one of this system's");
+                      "the resume token is malformed or its signature is "
+                      "invalid");
   }
   std::string text;
   absl::WebSafeBase64Unescape(absl::string_view(token.data(), dot), &text);
--- a/src/answer/resume_token.h
+++ b/src/answer/resume_token.h
@@ -11,14 +11,16 @@
 
 namespace meadowthread {
 
-/// @brief The form in which an answer is given to the caller.
+/// @brief Which API's response format the caller gets: chat completions or text
+/// completions.
 enum class AnswerForm { kChat, kCompletion };
 
-/// @brief What a caller holds so that any host can go on with its answer.
+/// @brief The contents of a resume token. With it, any host can continue the
+/// caller's interrupted answer.
 struct ResumeClaims {
   std::string request;
   std::string workspace;
-  std::string caller;  ///< a digest of the caller's key
+  std::string caller;  ///< digest of the caller's API key
   EngineAddress engine;
   std::string generation;
   std::string model;
@@ -36,14 +38,14 @@
   }
 };
 
-/// @brief Makes and checks resume tokens (HMAC-SHA256).
+/// @brief Signs and verifies resume tokens (HMAC-SHA256).
 class ResumeTokenCodec {
  public:
-  /// @param[in] keys the first signs; all of them are accepted, so that a key
-  /// can be replaced host by host
+  /// @param[in] keys the first one signs; signatures by any of them are
+  /// accepted, so that a key can be replaced host by host
   explicit ResumeTokenCodec(std::vector<std::string> keys);
 
-  /// @brief The token for `claims`, safe in a header.
+  /// @brief The signed token for `claims`, in characters allowed in a header.
   std::string Sign(const ResumeClaims& claims) const;
 
   /// @brief Checks signature, workspace, caller and expiry.
@@ -54,7 +56,8 @@
                                       std::int64_t now_unix_ms) const;
 
  private:
-  bool IsSigned(std::string_view payload, std::string_view signature) const;
+  bool HasValidSignature(std::string_view payload,
+                         std::string_view signature) const;
 
   std::vector<std::string> keys;
 };
--- a/src/answer/stream_assembler.cc
+++ b/src/answer/stream_assembler.cc
@@ -5,22 +5,22 @@
 namespace meadowthread {
 namespace {
 
-// How far tokens may overtake each other before the missing one counts as
-// lost. Small, since the caller waits meanwhile.
-constexpr std::size_t kMaxHeld = 16;
+// With more tokens than this waiting for a missing one, the missing one counts
+// as lost. Small, as the caller waits in the meantime.
+constexpr std::size_t kMaxOutOfOrder = 16;
 
 }  // namespace
 
-AssemblerVerdict StreamAssembler::OnStarted(std::string_view started) {
-  if (started.empty()) {
+AssemblerVerdict StreamAssembler::OnStarted(std::string_view new_generation) {
+  if (new_generation.empty()) {
     return AssemblerVerdict::kForeign;
   }
   if (!this->IsPinned()) {
-    this->generation = std::string(started);
+    this->generation = std::string(new_generation);
     return AssemblerVerdict::kGoOn;
   }
-  return this->generation == started ? AssemblerVerdict::kGoOn
-                                     : AssemblerVerdict::kForeign;
+  return this->generation == new_generation ? AssemblerVerdict::kGoOn
+                                            : AssemblerVerdict::kForeign;
 }
 
 AssemblerVerdict StreamAssembler::OnToken(const TokenEvent& token) {
@@ -31,25 +31,26 @@
     return AssemblerVerdict::kGoOn;
   }
   if (token.index > this->next_index) {
-    this->held.emplace(token.index, token);
-    return this->held.size() > kMaxHeld ? this->ReadOn()
-                                        : AssemblerVerdict::kGoOn;
+    this->out_of_order.emplace(token.index, token);
+    return this->out_of_order.size() > kMaxOutOfOrder ? this->RequestResume()
+                                                      : AssemblerVerdict::kGoOn;
   }
   this->ready.push_back(token);
   ++this->next_index;
-  this->MoveHeld();
+  this->MoveConsecutiveHeld();
   return this->IsComplete() ? AssemblerVerdict::kComplete
                             : AssemblerVerdict::kDeliver;
 }
 
-void StreamAssembler::MoveHeld() {
-  auto first = this->held.begin();
-  while (first != this->held.end() && first->first <= this->next_index) {
+void StreamAssembler::MoveConsecutiveHeld() {
+  auto first = this->out_of_order.begin();
+  while (first != this->out_of_order.end() &&
+         first->first <= this->next_index) {
     if (first->first == this->next_index) {
       this->ready.push_back(std::move(first->second));
       ++this->next_index;
     }
-    first = this->held.erase(first);
+    first = this->out_of_order.erase(first);
   }
 }
 
@@ -57,22 +58,25 @@
   if (!this->IsPinned() || finish.generation != this->generation) {
     return AssemblerVerdict::kForeign;
   }
-  // An end that lies before what was delivered, or a second one that says
-  // otherwise, can't belong to this generation.
-  const bool contradicts = finish.count < this->next_index ||
-                           (this->total >= 0 && this->total != finish.count);
+  // A finish event with fewer tokens than were delivered, or with another count
+  // than an earlier finish event, cannot belong to this generation.
+  const bool contradicts =
+      finish.count < this->next_index ||
+      (this->total_tokens >= 0 && this->total_tokens != finish.count);
   if (contradicts) {
     return AssemblerVerdict::kForeign;
   }
-  this->total = finish.count;
+  this->total_tokens = finish.count;
   this->finish_reason = finish.reason;
-  return this->IsComplete() ? AssemblerVerdict::kComplete : this->ReadOn();
+  return this->IsComplete() ? AssemblerVerdict::kComplete
+                            : this->RequestResume();
 }
 
-// What is held comes again. Kept, it would count against the next connection,
-// on which a single token out of order would then pass for a lost one.
-AssemblerVerdict StreamAssembler::ReadOn() {
-  this->held.clear();
+// Drops the out-of-order tokens, as the resumed stream sends them again. If
+// kept, they would count towards kMaxOutOfOrder on the next connection, where
+// the first token out of order would then make the missing one count as lost.
+AssemblerVerdict StreamAssembler::RequestResume() {
+  this->out_of_order.clear();
   return AssemblerVerdict::kResume;
 }
 
@@ -81,7 +85,7 @@
 }
 
 bool StreamAssembler::IsComplete() const {
-  return this->total >= 0 && this->next_index == this->total;
+  return this->total_tokens >= 0 && this->next_index == this->total_tokens;
 }
 
 }  // namespace meadowthread
--- a/src/answer/stream_assembler.h
+++ b/src/answer/stream_assembler.h
@@ -10,38 +10,39 @@
 
 namespace meadowthread {
 
-/// @brief What is to be done after an event was taken.
+/// @brief What the caller of StreamAssembler has to do after an event.
 enum class AssemblerVerdict {
-  kGoOn,      ///< nothing to do
-  kDeliver,   ///< take the ready tokens
-  kResume,    ///< a token is missing: read the generation anew from NextIndex
-  kForeign,   ///< another generation's event: it must not reach the caller
-  kComplete,  ///< every token up to the finish is ready or delivered
+  kGoOn,      ///< nothing
+  kDeliver,   ///< deliver the tokens of TakeReady
+  kResume,    ///< a token is missing: resume the stream from NextIndex
+  kForeign,   ///< event of another generation: it must not reach the caller
+  kComplete,  ///< every token up to the end is ready or delivered
 };
 
-/// @brief Puts one generation's events in order, each token exactly once.
+/// @brief Puts the events of one generation in order, each token exactly once.
 ///
-/// Pinned to the first generation it is told of; it never takes a token of
-/// another one, whatever address that comes from.
+/// It is pinned to the first generation that it sees a start event of, and
+/// rejects tokens of any other, even if they come from the same engine address.
 class StreamAssembler {
  public:
-  /// @param[in] first_index the first token that the caller still lacks
+  /// @param[in] first_index index of the first token that the caller lacks
   explicit StreamAssembler(std::int64_t first_index = 0)
       : next_index(first_index) {}
 
-  /// @brief Pins the generation; later ones must be the same.
+  /// @brief Handles a start event: pins the generation, which later start
+  /// events must repeat.
   AssemblerVerdict OnStarted(std::string_view generation);
 
-  /// @brief Takes a token.
+  /// @brief Handles a token, which may be a duplicate or out of order.
   AssemblerVerdict OnToken(const TokenEvent& token);
 
-  /// @brief Takes the generation's end.
+  /// @brief Handles the generation's finish event.
   AssemblerVerdict OnFinished(const GenerationFinish& finish);
 
-  /// @brief The tokens that are in order, each given once.
+  /// @brief Removes and returns the tokens that are ready, in order.
   std::vector<TokenEvent> TakeReady();
 
-  /// @brief The first index that was not made ready yet.
+  /// @brief Index of the first token that is not ready yet.
   std::int64_t NextIndex() const { return this->next_index; }
 
   const std::string& Generation() const { return this->generation; }
@@ -50,14 +51,15 @@
   const std::string& FinishReason() const { return this->finish_reason; }
 
  private:
-  void MoveHeld();
-  AssemblerVerdict ReadOn();
+  void MoveConsecutiveHeld();
+  AssemblerVerdict RequestResume();
 
   std::string generation;
   std::string finish_reason;
   std::int64_t next_index;
-  std::int64_t total = -1;  ///< tokens of the whole generation once known
-  std::map<std::int64_t, TokenEvent> held;  ///< tokens that came too early
+  std::int64_t total_tokens = -1;  ///< of the whole generation; -1: not known
+  /// Tokens that arrived before an earlier one, by index.
+  std::map<std::int64_t, TokenEvent> out_of_order;
   std::vector<TokenEvent> ready;
 };
 
--- a/src/answer/tests/stream_assembler_test.cc
+++ b/src/answer/tests/stream_assembler_test.cc
@@ -20,7 +20,7 @@
   return text;
 }
 
-Test(an_answer, takes_each_token_once_and_in_order) {
+Test(a_stream_assembler, returns_each_token_once_and_in_order) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
   for (const std::int64_t index : {0, 0, 2, 1, 1, 3, 2}) {
@@ -30,13 +30,13 @@
   cr_assert(assembler.TakeReady().empty());
 }
 
-Test(an_answer, takes_no_token_before_its_generation_is_known) {
+Test(a_stream_assembler, rejects_tokens_before_its_generation_is_known) {
   StreamAssembler assembler;
   cr_assert(assembler.OnToken(Token(0)) == AssemblerVerdict::kForeign);
   cr_assert(assembler.OnStarted("") == AssemblerVerdict::kForeign);
 }
 
-Test(an_answer, never_takes_a_token_of_another_generation) {
+Test(a_stream_assembler, rejects_events_of_another_generation) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
   assembler.OnToken(Token(0));
@@ -47,7 +47,7 @@
   cr_assert(assembler.NextIndex() == 1);
 }
 
-Test(an_answer, asks_to_resume_when_a_token_stays_away) {
+Test(a_stream_assembler, requests_a_resume_when_a_token_is_missing) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
   AssemblerVerdict verdict = AssemblerVerdict::kGoOn;
@@ -59,23 +59,24 @@
   cr_assert(assembler.NextIndex() == 0);
 }
 
-// Named for a failure of a_streamed_answer in CI beside busy processes: what
-// was held from a connection given up counted against the next one, so that its
-// first token out of order passed for a lost one, five times in a row.
-Test(an_answer, that_is_read_on_waits_for_overtaken_tokens_again) {
+// Out-of-order tokens kept from a dropped connection counted towards the limit
+// on the next one. Its first token out of order then triggered another resume:
+// with busy processes on the machine, five times in a row, which failed a
+// streamed answer.
+Test(a_stream_assembler, drops_out_of_order_tokens_on_a_resume) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
-  std::int64_t index = 1;  // 0 stays away
+  std::int64_t index = 1;  // 0 is missing
   while (assembler.OnToken(Token(index)) == AssemblerVerdict::kGoOn) {
     ++index;
   }
-  // the next connection brings 1 before 0
+  // the next connection delivers 1 before 0
   cr_assert(assembler.OnToken(Token(1)) == AssemblerVerdict::kGoOn);
   cr_assert(assembler.OnToken(Token(0)) == AssemblerVerdict::kDeliver);
   cr_assert(Joined(assembler.TakeReady()) == "w0 w1 ");
 }
 
-Test(an_answer, is_not_complete_while_a_token_before_its_end_is_missing) {
+Test(a_stream_assembler, is_not_complete_while_a_token_is_missing) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
   assembler.OnToken(Token(0));
@@ -85,7 +86,7 @@
   cr_assert(assembler.OnToken(Token(1)) == AssemblerVerdict::kComplete);
 }
 
-Test(an_answer, goes_on_behind_what_its_caller_already_has) {
+Test(a_stream_assembler, skips_tokens_that_the_caller_already_has) {
   StreamAssembler assembler(5);
   assembler.OnStarted("g1");
   assembler.OnToken(Token(4));
@@ -93,14 +94,14 @@
   cr_assert(Joined(assembler.TakeReady()) == "w5 ");
 }
 
-Test(an_answer, refuses_an_end_before_what_was_delivered) {
+Test(a_stream_assembler, rejects_an_end_before_its_next_index) {
   StreamAssembler assembler(5);
   assembler.OnStarted("g1");
   cr_assert(assembler.OnFinished({"g1", 3, "stop"}) ==
             AssemblerVerdict::kForeign);
 }
 
-Test(an_answer, comes_out_whole_from_any_mix_of_late_and_doubled_events) {
+Test(a_stream_assembler, restores_a_stream_with_late_and_duplicate_tokens) {
   constexpr std::int64_t kTokens = 200;
   constexpr int kSeeds = 300;
   for (int seed = 0; seed < kSeeds; ++seed) {
@@ -108,7 +109,7 @@
     StreamAssembler assembler;
     std::string text;
     bool complete = false;
-    // given a stream that is read again from the missing index on request
+    // given a stream that is resumed from the missing index on request
     while (!complete) {
       assembler.OnStarted("g1");
       std::vector<std::int64_t> order;
@@ -134,7 +135,7 @@
       }
       complete = assembler.IsComplete();
     }
-    // then every token is there once
+    // then every token was returned once
     std::string expected;
     for (std::int64_t i = 0; i < kTokens; ++i) {
       expected += Token(i).text;
--- a/src/claims/bench/claims_measure.cc
+++ b/src/claims/bench/claims_measure.cc
@@ -1,7 +1,8 @@
-// Prints the figures of docs/design/claims.md: group commit, conflicts against
-// hosts and shards with and without forwarding, bytes, processor time, and the
-// reads of a host that takes a shard over. Virtual time, fixed seed; only the
-// column cpu_us depends on the machine.
+// Prints the figures of docs/design/claims.md: the effect of group commit,
+// write conflicts by number of hosts and shards with and without forwarding,
+// entry sizes, CPU time, and the reads that a host needs to take over a shard.
+// It runs in virtual time with a fixed seed, so only the column cpu_us depends
+// on the machine.
 
 #include <malloc.h>
 
@@ -23,24 +24,25 @@
 namespace {
 
 constexpr std::int64_t kStartMs = 1'700'000'000'000;
-constexpr std::int64_t kHopMs = 2;      // one way to the object API
-constexpr std::int64_t kForwardMs = 1;  // one way between hosts
-constexpr std::int64_t kServiceMs = 50;
+constexpr std::int64_t kStoreOneWayMs = 2;    // one way to the object API
+constexpr std::int64_t kForwardOneWayMs = 1;  // one way between hosts
+constexpr std::int64_t kRequestServiceMs = 50;
 constexpr std::size_t kResultBytes = 300;
 
-/// @brief Calls that take effect after one hop and are answered after two.
+/// @brief An object store with a network delay: a call takes effect after one
+/// one-way delay, and its reply arrives after two.
 class TimedStore final : public ObjectStore {
  public:
   explicit TimedStore(Scheduler* scheduler) : scheduler(scheduler) {}
 
   void Get(std::string_view kind, std::string_view name,
            const GetDone& done) override {
-    this->Later([this, kind = std::string(kind), name = std::string(name),
-                 done] {
+    this->AfterOneWay([this, kind = std::string(kind), name = std::string(name),
+                       done] {
       this->store.Get(
           kind, name, [this, done](const absl::StatusOr<StoredObject>& answer) {
             this->bytes_read += answer.ok() ? answer->value.size() : 0;
-            this->Later([done, answer] { done(answer); });
+            this->AfterOneWay([done, answer] { done(answer); });
           });
       this->store.Settle();
     });
@@ -49,12 +51,12 @@
   void Put(std::string_view kind, std::string_view name, std::string_view value,
            std::int64_t version, const PutDone& done) override {
     this->bytes_written += value.size();
-    this->Later([this, kind = std::string(kind), name = std::string(name),
-                 value = std::string(value), version, done] {
+    this->AfterOneWay([this, kind = std::string(kind), name = std::string(name),
+                       value = std::string(value), version, done] {
       this->store.Put(kind, name, value, version,
                       [this, done](const absl::StatusOr<std::int64_t>& answer) {
                         this->conflicts += answer.ok() ? 0 : 1;
-                        this->Later([done, answer] { done(answer); });
+                        this->AfterOneWay([done, answer] { done(answer); });
                       });
       this->store.Settle();
     });
@@ -80,14 +82,14 @@
   std::size_t bytes_read = 0;
 
  private:
-  void Later(std::function<void()> task) {
-    this->scheduler->After(kHopMs, std::move(task));
+  void AfterOneWay(std::function<void()> task) {
+    this->scheduler->After(kStoreOneWayMs, std::move(task));
   }
 
   Scheduler* scheduler;
 };
 
-/// @brief Carries operations between the hosts of one run.
+/// @brief Forwards operations between the hosts of one run, with a delay.
 class DirectForwarder final : public ClaimForwarder {
  public:
   DirectForwarder(Scheduler* scheduler, int self, int hosts,
@@ -106,10 +108,10 @@
   void Forward(std::string_view host, const ForwardedOp& op,
                const ForwardDone& done) override {
     const std::size_t index = std::stoul(std::string(host));
-    this->scheduler->After(kForwardMs, [this, index, op, done] {
+    this->scheduler->After(kForwardOneWayMs, [this, index, op, done] {
       (*this->services)[index]->TakeForwarded(
           op, [this, done](const absl::StatusOr<ForwardedAnswer>& answer) {
-            this->scheduler->After(kForwardMs,
+            this->scheduler->After(kForwardOneWayMs,
                                    [done, answer] { done(answer); });
           });
     });
@@ -131,8 +133,8 @@
   std::size_t segment_bytes = std::size_t{64} * 1024;
 };
 
-/// @brief Hosts under a steady load of requests that may not be repeated, each
-/// with a claim and a recorded result.
+/// @brief Hosts under a steady load of requests that must run at most once,
+/// each with a claim and a recorded result.
 class Measurement {
  public:
   explicit Measurement(const Load& load) : load(load) {
@@ -146,18 +148,18 @@
   }
 
   std::unique_ptr<StoreClaimService> NewService(int host) {
-    ClaimTools tools;
-    tools.store = &this->store;
-    tools.scheduler = &this->scheduler;
-    tools.clock = &this->clock;
-    tools.settings.shards = this->load.shards;
-    tools.settings.segment_bytes = this->load.segment_bytes;
-    tools.settings.host = "entry-" + std::to_string(host);
+    ClaimDependencies dependencies;
+    dependencies.store = &this->store;
+    dependencies.scheduler = &this->scheduler;
+    dependencies.clock = &this->clock;
+    dependencies.settings.shards = this->load.shards;
+    dependencies.settings.segment_bytes = this->load.segment_bytes;
+    dependencies.settings.host = "entry-" + std::to_string(host);
     ClaimForwarder* const forwarder =
         this->load.forwards
             ? this->forwarders[static_cast<std::size_t>(host)].get()
             : nullptr;
-    return std::make_unique<StoreClaimService>(tools, forwarder);
+    return std::make_unique<StoreClaimService>(dependencies, forwarder);
   }
 
   void Run() {
@@ -177,7 +179,7 @@
             .count();
   }
 
-  void Print() {
+  void PrintRow() {
     std::ranges::sort(this->waits_ms);
     const auto seconds = static_cast<double>(this->load.seconds);
     const auto count = static_cast<double>(this->waits_ms.size());
@@ -191,11 +193,13 @@
         this->store.store.ReadCalls() / seconds, 2 * count / writes,
         static_cast<double>(this->store.bytes_written) / seconds / 1e6,
         static_cast<double>(this->store.bytes_read) / seconds / 1e6,
-        this->At(0.5), this->At(0.95), this->At(0.99), this->refused,
+        this->WaitQuantileMs(0.5), this->WaitQuantileMs(0.95),
+        this->WaitQuantileMs(0.99), this->refused,
         1e6 * this->cpu_s / std::max(count, 1.0));
   }
 
-  /// @brief One claim at a restarted host 0; how many reads it took.
+  /// @brief Restarts host 0 and submits one claim to it.
+  /// @return the number of store reads until the claim was answered
   int Takeover(KeyForm form) {
     this->services[0] = this->NewService(0);
     const int before = this->store.store.ReadCalls();
@@ -213,7 +217,7 @@
   std::int64_t takeover_ms = 0;
   int refused = 0;
   TimedStore& Store() { return this->store; }
-  ManualClock& Time() { return this->clock; }
+  ManualClock& VirtualClock() { return this->clock; }
 
  private:
   void Advance() {
@@ -221,11 +225,11 @@
     this->scheduler.RunDue();
   }
 
-  std::int64_t At(double share) const {
+  std::int64_t WaitQuantileMs(double quantile) const {
     const auto count = static_cast<double>(this->waits_ms.size());
-    return this->waits_ms.empty()
-               ? -1
-               : this->waits_ms[static_cast<std::size_t>(share * (count - 1))];
+    return this->waits_ms.empty() ? -1
+                                  : this->waits_ms[static_cast<std::size_t>(
+                                        quantile * (count - 1))];
   }
 
   void Submit() {
@@ -247,7 +251,7 @@
           }
           this->waits_ms.push_back(this->clock.WallMs() - now_ms);
           const ClaimGrant grant = std::get<ClaimGrant>(*answer);
-          this->scheduler.After(kServiceMs, [this, host, grant] {
+          this->scheduler.After(kRequestServiceMs, [this, host, grant] {
             this->services[host]->RecordResult(
                 grant,
                 {200, "application/json", std::string(kResultBytes, 'r')},
@@ -269,13 +273,13 @@
   double cpu_s = 0;
 };
 
-void PrintHead() {
+void PrintTableHeader() {
   std::printf(
       "hosts shards requests forward | writes/s conflict%% reads/s  "
       "ops/write MB/s out MB/s in | p50ms p95ms p99ms | refused cpu_us\n");
 }
 
-void Bytes() {
+void PrintEntrySizes() {
   constexpr int kEntries = 100'000;
   ClaimSegment segment;
   for (int i = 0; i < kEntries; ++i) {
@@ -298,14 +302,15 @@
   const std::size_t before = mallinfo2().uordblks;
   auto index = std::make_unique<ClaimIndex>();
   index->Add(segment, 0);
-  const std::size_t held = mallinfo2().uordblks - before;
+  const std::size_t index_bytes = mallinfo2().uordblks - before;
   std::printf(
       "bytes: claim %zu, result of %zu body bytes %zu; index per request "
       "(claim and result) %zu\n",
-      claim_bytes, kResultBytes, both_bytes - claim_bytes, held / kEntries);
+      claim_bytes, kResultBytes, both_bytes - claim_bytes,
+      index_bytes / kEntries);
 }
 
-void Takeovers() {
+void MeasureTakeovers() {
   for (const double rate : {45.0, 90.0, 181.0}) {
     Load load;
     load.shards = 1;
@@ -323,36 +328,36 @@
   }
 }
 
-void Measure(const Load& load) {
+void MeasureLoad(const Load& load) {
   Measurement measurement(load);
   measurement.Run();
-  measurement.Print();
+  measurement.PrintRow();
 }
 
 int Main() {
-  Bytes();
-  Takeovers();
-  PrintHead();
+  PrintEntrySizes();
+  MeasureTakeovers();
+  PrintTableHeader();
   for (const int hosts : {1, 2, 3, 6, 9}) {
     for (const bool forwards : {false, true}) {
-      Measure({hosts, 8, 100, forwards});
+      MeasureLoad({hosts, 8, 100, forwards});
     }
   }
   for (const double rate : {50.0, 100.0, 200.0, 400.0, 800.0}) {
-    Measure({9, 8, rate, true});
+    MeasureLoad({9, 8, rate, true});
   }
   for (const int hosts : {9}) {
     for (const bool forwards : {false, true}) {
-      Measure({hosts, 32, 1450, forwards, 2});
+      MeasureLoad({hosts, 32, 1450, forwards, 2});
     }
   }
   for (const double rate : {1450.0, 2900.0}) {
     for (const int shards : {8, 16, 32}) {
-      Measure({350, shards, rate, true, 2});
+      MeasureLoad({350, shards, rate, true, 2});
     }
   }
   for (const std::size_t segment : {8, 16, 32, 64}) {
-    Measure({350, 8, 1450, true, 2, segment * 1024});
+    MeasureLoad({350, 8, 1450, true, 2, segment * 1024});
   }
   return 0;
 }
--- a/src/claims/claim_entry.cc
+++ b/src/claims/claim_entry.cc
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 3> kKindNames = {"claim", "release",
                                                         "result"};
 
-std::string Base64(const void* data, std::size_t size) {
+std::string EncodeBase64(const void* data, std::size_t size) {
   std::string text;
   absl::WebSafeBase64Escape(
       absl::string_view(static_cast<const char*>(data), size), &text);
@@ -26,7 +26,8 @@
 }
 
 template <std::size_t Size>
-bool FromBase64(std::string_view text, std::array<std::uint8_t, Size>* bytes) {
+bool DecodeBase64(std::string_view text,
+                  std::array<std::uint8_t, Size>* bytes) {
   std::string raw;
   const absl::string_view view(text.data(), text.size());
   if (!absl::WebSafeBase64Unescape(view, &raw) || raw.size() != Size) {
@@ -36,13 +37,13 @@
   return true;
 }
 
-json ResultJson(const ClaimResult& result) {
+json ResultToJson(const ClaimResult& result) {
   return {{"status", result.status},
           {"type", result.content_type},
-          {"body", Base64(result.body.data(), result.body.size())}};
+          {"body", EncodeBase64(result.body.data(), result.body.size())}};
 }
 
-bool ResultOf(const json& value, ClaimResult* result) {
+bool ParseResult(const json& value, ClaimResult* result) {
   if (!value.is_object()) {
     return false;
   }
@@ -52,22 +53,25 @@
   return absl::WebSafeBase64Unescape(body, &result->body);
 }
 
-json EntryJson(const ClaimEntry& entry) {
-  json value = {{"c", kKindNames.at(static_cast<std::size_t>(entry.kind))},
-                {"k", Base64(entry.key_hash.data(), entry.key_hash.size())},
-                {"n", NonceText(entry.nonce)},
-                {"h", entry.host},
-                {"t", entry.unix_ms}};
+json EntryToJson(const ClaimEntry& entry) {
+  json value = {
+      {"c", kKindNames.at(static_cast<std::size_t>(entry.kind))},
+      {"k", EncodeBase64(entry.key_hash.data(), entry.key_hash.size())},
+      {"n", EncodeNonce(entry.nonce)},
+      {"h", entry.host},
+      {"t", entry.unix_ms}};
   if (entry.kind != EntryKind::kRelease) {
-    value["d"] = Base64(entry.body_digest.data(), entry.body_digest.size());
+    value["d"] =
+        EncodeBase64(entry.body_digest.data(), entry.body_digest.size());
   }
   if (entry.kind == EntryKind::kResult) {
-    value["r"] = entry.result_apart ? json("apart") : ResultJson(entry.result);
+    value["r"] = entry.result_stored_separately ? json("apart")
+                                                : ResultToJson(entry.result);
   }
   return value;
 }
 
-bool EntryOf(const json& value, ClaimEntry* entry) {
+bool ParseEntry(const json& value, ClaimEntry* entry) {
   if (!value.is_object()) {
     return false;
   }
@@ -79,44 +83,46 @@
   entry->kind = static_cast<EntryKind>(found - kKindNames.begin());
   entry->host = StringOr(value, "h", "");
   entry->unix_ms = IntOr(value, "t", -1);
-  const bool named = FromBase64(StringOr(value, "k", ""), &entry->key_hash) &&
-                     FromBase64(StringOr(value, "n", ""), &entry->nonce);
-  if (!named || entry->unix_ms < 0) {
+  const bool has_ids =
+      DecodeBase64(StringOr(value, "k", ""), &entry->key_hash) &&
+      DecodeBase64(StringOr(value, "n", ""), &entry->nonce);
+  if (!has_ids || entry->unix_ms < 0) {
     return false;
   }
   if (entry->kind == EntryKind::kRelease) {
     return true;
   }
-  if (!FromBase64(StringOr(value, "d", ""), &entry->body_digest)) {
+  if (!DecodeBase64(StringOr(value, "d", ""), &entry->body_digest)) {
     return false;
   }
   if (entry->kind == EntryKind::kClaim) {
     return true;
   }
-  entry->result_apart = StringOr(value, "r", "") == "apart";
-  return entry->result_apart ||
-         ResultOf(value.value("r", json()), &entry->result);
+  entry->result_stored_separately = StringOr(value, "r", "") == "apart";
+  return entry->result_stored_separately ||
+         ParseResult(value.value("r", json()), &entry->result);
 }
 
-absl::Status Malformed(std::string_view name) {
+absl::Status MalformedError(std::string_view name) {
   return StoreError(ErrorId::kStoreMalformed, "decode", name);
 }
 
 }  // namespace
 
-std::string NonceText(const ClaimNonce& nonce) {
-  return Base64(nonce.data(), nonce.size());
+std::string EncodeNonce(const ClaimNonce& nonce) {
+  return EncodeBase64(nonce.data(), nonce.size());
 }
 
 std::string EncodeEntry(const ClaimEntry& entry) {
-  return EntryJson(entry).dump(-1, ' ', false, json::error_handler_t::replace);
+  return EntryToJson(entry).dump(-1, ' ', false,
+                                 json::error_handler_t::replace);
 }
 
 absl::StatusOr<ClaimEntry> DecodeEntry(std::string_view text,
                                        std::string_view name) {
   ClaimEntry entry;
-  if (!EntryOf(json::parse(text, nullptr, false), &entry)) {
-    return Malformed(name);
+  if (!ParseEntry(json::parse(text, nullptr, false), &entry)) {
+    return MalformedError(name);
   }
   return entry;
 }
@@ -127,7 +133,7 @@
                       {"sealed", segment.sealed},
                       {"oldest", segment.oldest},
                       {"dropped_ms", segment.dropped_ms}};
-  // The frame's last brace is where the list of entries goes in.
+  // The list of entries is inserted before the frame's closing brace.
   std::string text = frame.dump();
   text.pop_back();
   text += ",\"entries\":[";
@@ -145,11 +151,11 @@
 absl::StatusOr<ClaimSegment> DecodeSegment(std::string_view text,
                                            std::string_view name) {
   const json value = json::parse(text, nullptr, false);
-  const bool whole = value.is_object() && value.contains("entries") &&
-                     value["entries"].is_array() &&
-                     value.value("sealed", json()).is_boolean();
-  if (!whole) {
-    return Malformed(name);
+  const bool well_formed = value.is_object() && value.contains("entries") &&
+                           value["entries"].is_array() &&
+                           value.value("sealed", json()).is_boolean();
+  if (!well_formed) {
+    return MalformedError(name);
   }
   ClaimSegment segment;
   segment.number = IntOr(value, "segment", -1);
@@ -159,28 +165,28 @@
   segment.dropped_ms = IntOr(value, "dropped_ms", -1);
   for (const json& item : value["entries"]) {
     ClaimEntry entry;
-    if (!EntryOf(item, &entry)) {
-      return Malformed(name);
+    if (!ParseEntry(item, &entry)) {
+      return MalformedError(name);
     }
     entry.encoded = item.dump(-1, ' ', false, json::error_handler_t::replace);
     segment.entries.push_back(std::move(entry));
   }
-  const bool sound = segment.number >= 0 && segment.oldest >= 0 &&
-                     segment.oldest <= segment.number;
-  return sound ? absl::StatusOr<ClaimSegment>(std::move(segment))
-               : Malformed(name);
+  const bool valid_numbers = segment.number >= 0 && segment.oldest >= 0 &&
+                             segment.oldest <= segment.number;
+  return valid_numbers ? absl::StatusOr<ClaimSegment>(std::move(segment))
+                       : MalformedError(name);
 }
 
 std::string EncodeResult(const ClaimResult& result) {
-  return ResultJson(result).dump(-1, ' ', false,
-                                 json::error_handler_t::replace);
+  return ResultToJson(result).dump(-1, ' ', false,
+                                   json::error_handler_t::replace);
 }
 
 absl::StatusOr<ClaimResult> DecodeResult(std::string_view text,
                                          std::string_view name) {
   ClaimResult result;
-  if (!ResultOf(json::parse(text, nullptr, false), &result)) {
-    return Malformed(name);
+  if (!ParseResult(json::parse(text, nullptr, false), &result)) {
+    return MalformedError(name);
   }
   return result;
 }
--- a/src/claims/claim_entry.h
+++ b/src/claims/claim_entry.h
@@ -12,7 +12,7 @@
 
 namespace meadowthread {
 
-/// @brief What an entry of a claim log says.
+/// @brief The kinds of entries in a claim log.
 enum class EntryKind : std::uint8_t { kClaim, kRelease, kResult };
 
 /// @brief One entry of a claim log.
@@ -21,60 +21,65 @@
   Hash256 key_hash{};
   Hash256 body_digest{};
   ClaimNonce nonce{};
-  std::string host;
-  /// Never less than the entry's before it, nor, for a timed key, than the
-  /// key's time less the margin.
+  std::string host;  ///< the host that wrote it
+  /// Never below the previous entry's timestamp and, for a timed key, never
+  /// below the key's time minus the clock skew margin.
   std::int64_t unix_ms = 0;
-  bool result_apart = false;  ///< the result stands in `results/<nonce>`
-  ClaimResult result;         ///< of a kResult that is not apart
-  /// As it stands in the document, where that is known: a head is written often
-  /// and its entries do not change.
+  /// The result is in the object `results/<nonce>`, not in this entry.
+  bool result_stored_separately = false;
+  ClaimResult result;  ///< of a kResult entry that holds its result
+  /// The entry's JSON, or empty. Cached, as a head is rewritten often while its
+  /// entries do not change.
   std::string encoded;
 };
 
-/// @brief One segment of a shard's log: the head object, or an archived one.
+/// @brief One segment of a shard's log: the head, or an archived segment.
 struct ClaimSegment {
   std::int64_t number = 0;
-  /// Stamp of the last entry of the segment before; -1: there is none.
+  /// Timestamp of the last entry of the previous segment; -1 if there is none.
   std::int64_t prior_ms = -1;
-  bool sealed = false;  ///< final: nothing is ever appended to it
-  /// The oldest segment that is still kept.
+  bool sealed = false;  ///< full: nothing is ever appended to it
+  /// Number of the oldest segment that is still retained.
   std::int64_t oldest = 0;
-  /// Stamp of the last entry that was dropped; -1: nothing was.
+  /// Timestamp of the last entry dropped by retention; -1 if none was.
   std::int64_t dropped_ms = -1;
   std::vector<ClaimEntry> entries;
 
-  /// @brief The stamp that the next entry may not go below.
-  std::int64_t LastMs() const {
+  /// @brief The lower bound for the next entry's timestamp.
+  std::int64_t LastTimestampMs() const {
     return this->entries.empty() ? this->prior_ms
                                  : this->entries.back().unix_ms;
   }
 };
 
-/// @brief A nonce as it is written, 22 characters.
-std::string NonceText(const ClaimNonce& nonce);
+/// @brief A nonce as 22 characters of web-safe base64.
+std::string EncodeNonce(const ClaimNonce& nonce);
 
-/// @brief An entry as it stands in a segment's document.
+/// @brief Encodes an entry as the JSON object that segments contain.
 std::string EncodeEntry(const ClaimEntry& entry);
 
-/// @brief Reads an entry; kStoreMalformed where it is none. Its `encoded` is
-/// left empty, as the reader may change it before writing it.
-/// @param[in] name where it came from, named in errors
+/// @brief Parses an entry. Its `encoded` stays empty, as the caller may change
+/// the entry before writing it.
+/// @param[in] name the entry's source, for error messages
+/// @return the entry, or kStoreMalformed
 absl::StatusOr<ClaimEntry> DecodeEntry(std::string_view text,
                                        std::string_view name);
 
-/// @brief A segment as a JSON document.
+/// @brief Encodes a segment as a JSON document.
 std::string EncodeSegment(const ClaimSegment& segment);
 
-/// @brief Reads a segment; kStoreMalformed where it is none.
-/// @param[in] name the object, named in errors
+/// @brief Parses a segment.
+/// @param[in] name the object's name, for error messages
+/// @return the segment, or kStoreMalformed
 absl::StatusOr<ClaimSegment> DecodeSegment(std::string_view text,
                                            std::string_view name);
 
-/// @brief A result as a JSON document.
+/// @brief Encodes a result as a JSON document.
 std::string EncodeResult(const ClaimResult& result);
 
-/// @brief Reads a result; kStoreMalformed where it is none.
+/// @brief Parses a result.
+/// @param[in] name the object's name, for error messages
+/// @return the result, or kStoreMalformed
 absl::StatusOr<ClaimResult> DecodeResult(std::string_view text,
                                          std::string_view name);
 
--- a/src/claims/claim_errors.cc
+++ b/src/claims/claim_errors.cc
@@ -5,16 +5,17 @@
 namespace meadowthread {
 namespace {
 
-struct Wording {
+struct ErrorTemplate {
   absl::StatusCode code;
   Outcome outcome;
   std::string_view message;
 };
 
-// 'Not run' is said of this submission: it was not sent and never will be. Of
-// earlier submissions with the same key only the log can tell, so that where
-// the log cannot be read the message says to keep the key.
-Wording WordingOf(ErrorId id) {
+// Outcome::kNotRun refers to this submission only: it was not sent and never
+// will be. Whether an earlier submission with the same key ran is known from
+// the log alone, so when the log cannot be read the message tells the caller to
+// retry with the same key.
+ErrorTemplate ErrorTemplateFor(ErrorId id) {
   switch (id) {
     case ErrorId::kClaimHeld:
       return {absl::StatusCode::kAborted, Outcome::kUnknown,
@@ -26,29 +27,29 @@
               "not run"};
     case ErrorId::kIdempotencyKeyExpired:
       return {absl::StatusCode::kFailedPrecondition, Outcome::kUnknown,
-              "the key is older than what is kept; this submission was not "
-              "sent, an earlier one may have run"};
+              "the key is older than the retention period; this submission was "
+              "not sent, an earlier one may have run"};
     case ErrorId::kFieldInvalid:
       return {absl::StatusCode::kInvalidArgument, Outcome::kNotRun,
-              "the key's time lies in the future"};
+              "the key's timestamp is in the future"};
     case ErrorId::kDeadlinePassed:
       return {absl::StatusCode::kDeadlineExceeded, Outcome::kNotRun,
-              "the deadline passed before the request could be sent; ask "
-              "again with the same key"};
+              "the deadline passed before the request could be sent; retry "
+              "with the same key"};
     case ErrorId::kClaimUnsettled:
       return {absl::StatusCode::kUnavailable, Outcome::kNotRun,
-              "the claim could not be settled in time; this submission was not "
-              "sent and never will be; ask again with the same key"};
+              "the claim could not be confirmed in time; this submission was "
+              "not sent and never will be; retry with the same key"};
     case ErrorId::kStoreMalformed:
       return {absl::StatusCode::kDataLoss, Outcome::kNotRun,
               "the claim log cannot be read; this submission was not sent"};
     case ErrorId::kOverloaded:
       return {absl::StatusCode::kResourceExhausted, Outcome::kNotRun,
-              "too many claims wait; ask again with the same key"};
+              "too many claims are waiting; retry with the same key"};
     default:
       return {absl::StatusCode::kUnavailable, Outcome::kNotRun,
-              "the object API is unavailable, and without a claim nothing is "
-              "sent; ask again with the same key"};
+              "the object API is unavailable, and a request without a claim is "
+              "not sent; retry with the same key"};
   }
 }
 
@@ -56,10 +57,10 @@
 
 absl::Status ClaimError(ErrorId id, std::string_view peer,
                         std::int64_t retry_after_ms) {
-  const Wording wording = WordingOf(id);
+  const ErrorTemplate error_template = ErrorTemplateFor(id);
   ErrorDetail detail;
   detail.id = id;
-  detail.outcome = wording.outcome;
+  detail.outcome = error_template.outcome;
   detail.step = "claim";
   detail.peer = std::string(peer);
   detail.retry_after_ms = retry_after_ms;
@@ -69,7 +70,7 @@
   if (about_key) {
     detail.field = "Idempotency-Key";
   }
-  return MakeError(wording.code, detail, wording.message);
+  return MakeError(error_template.code, detail, error_template.message);
 }
 
 }  // namespace meadowthread
--- a/src/claims/claim_errors.h
+++ b/src/claims/claim_errors.h
@@ -9,11 +9,12 @@
 
 namespace meadowthread {
 
-/// @brief An error of the claim step, with the code, outcome and message that
-/// docs/design/claims.md gives its id.
-/// @param[in] id of the 6xx, 4xx or key errors
-/// @param[in] peer the shard, or empty
-/// @param[in] retry_after_ms when to come back; -1: says nothing
+/// @brief Builds an error of the claim step, with the status code, outcome and
+/// message that belong to its id (docs/design/claims.md).
+/// @param[in] id a claim error (6xx), a store error (4xx), or an error of the
+/// deadline or of the idempotency key
+/// @param[in] peer the name of the shard's head object, or empty
+/// @param[in] retry_after_ms delay after which the caller may retry; -1: none
 absl::Status ClaimError(ErrorId id, std::string_view peer,
                         std::int64_t retry_after_ms);
 
--- a/src/claims/claim_forwarder.h
+++ b/src/claims/claim_forwarder.h
@@ -14,46 +14,48 @@
 
 namespace meadowthread {
 
-/// @brief A claim, release or result on its way to its shard's preferred host.
-/// The nonce is the sender's, so that a second sending does no harm.
+/// @brief A claim, release or result that is sent to its shard's preferred
+/// host. The sender chooses the nonce, so duplicates are harmless.
 struct ForwardedOp {
   std::uint32_t shard = 0;
   ClaimEntry entry;
-  KeySpan span;
-  std::int64_t deadline_ms = 0;
-  std::int64_t limit_ms = 0;
+  KeySearchRange search_range;
+  std::int64_t deadline_ms = 0;  ///< of the request, for a claim
+  std::int64_t limit_ms = 0;     ///< wall time at which the sender times out
 };
 
-/// @brief What the preferred host said.
+/// @brief The preferred host's answer to a forwarded operation.
 struct ForwardedAnswer {
-  /// Of a claim: as ClaimService::Claim answers it, its ErrorDetail included.
+  /// For a claim: the answer of ClaimService::Claim, with its ErrorDetail.
   absl::StatusOr<ClaimAnswer> claim = ClaimAnswer(ClaimGrant{});
-  /// Of a release or a result: whether it stands.
+  /// For a release or a result: whether it is stored.
   absl::Status recorded;
 };
 
-/// @brief Carries operations to the preferred host of their shard, so that one
-/// host writes a shard's head. A measure for speed only: where it fails, is
-/// late or names the wrong host, the sender writes the log itself.
+/// @brief Sends operations to the preferred host of their shard, so that a
+/// single host writes a shard's head. This only avoids write conflicts: if
+/// forwarding fails, is late or selects the wrong host, the sender writes the
+/// log itself.
 class ClaimForwarder {
  public:
-  /// Told the answer, or an error where none came (whatever became of it).
+  /// Gets the answer, or an error if none arrived; after an error the operation
+  /// may or may not have been executed.
   using ForwardDone =
       std::function<void(const absl::StatusOr<ForwardedAnswer>&)>;
 
   virtual ~ClaimForwarder() = default;
 
-  /// @brief The host to send to; empty: write the log from here.
+  /// @brief The host to send to; empty: this host writes the log itself.
   virtual std::string PreferredHost(std::uint32_t shard) const = 0;
 
-  /// @brief Sends `op` to StoreClaimService::TakeForwarded of `host`; `done` is
-  /// called later, at most once.
+  /// @brief Sends `op` to StoreClaimService::TakeForwarded on `host`; `done` is
+  /// called at most once, and never from within this call.
   virtual void Forward(std::string_view host, const ForwardedOp& op,
                        const ForwardDone& done) = 0;
 };
 
-/// @brief The preferred host by rendezvous hashing: a host that comes or goes
-/// moves only its own shards. Empty where `hosts` is.
+/// @brief A shard's preferred host by rendezvous hashing: adding or removing a
+/// host reassigns only that host's shards. Empty if `hosts` is empty.
 /// @complexity linear in the number of hosts
 std::string_view RendezvousHost(std::uint32_t shard,
                                 std::span<const std::string> hosts);
--- a/src/claims/claim_index.h
+++ b/src/claims/claim_index.h
@@ -11,25 +11,26 @@
 
 namespace meadowthread {
 
-/// @brief How a key stands after all known entries.
-enum class KeyStanding {
-  kFree,  ///< no claim, or every one was released
-  kHeld,  ///< claimed, with no result
+/// @brief The status of a key after all indexed entries.
+enum class KeyStatus {
+  kFree,  ///< no claim, or all claims were released
+  kHeld,  ///< claimed, without a result
   kDone,  ///< a result is recorded
 };
 
-/// @brief What the log says of one key.
+/// @brief The state of one key, derived from the log.
 struct KeyState {
-  KeyStanding standing = KeyStanding::kFree;
+  KeyStatus status = KeyStatus::kFree;
   ClaimNonce nonce{};
   Hash256 body_digest{};
-  std::int64_t segment = -1;  ///< where the claim, or its result, stands
+  std::int64_t segment = -1;  ///< segment of the claim or of its result
 };
 
 namespace detail {
 
-/// @brief A SHA-256 is uniform: its first bytes do as a table's hash.
-struct FirstBytes {
+/// @brief Hash function for tables keyed by a SHA-256. Its first bytes suffice,
+/// as a SHA-256 is uniformly distributed.
+struct Sha256Hasher {
   std::size_t operator()(const Hash256& hash) const {
     std::size_t value = 0;
     std::memcpy(&value, hash.data(), sizeof(value));
@@ -39,38 +40,41 @@
 
 }  // namespace detail
 
-/// @brief The entries of a shard's log, found by key. Results' bodies are left
-/// out, so that the size depends only on the number of entries.
+/// @brief Index of a shard's log entries by key. It leaves out the bodies of
+/// results, so its size depends only on the number of entries.
 class ClaimIndex {
  public:
-  /// @brief Adds a segment's entries, older or newer than those known.
-  /// @param[in] from the first entry to add
-  void Add(const ClaimSegment& segment, std::size_t from);
+  /// @brief Adds a segment's entries, which may be older or newer than those
+  /// already indexed.
+  /// @param[in] first_entry index of the first entry to add
+  void Add(const ClaimSegment& segment, std::size_t first_entry);
 
-  /// @brief Forgets all entries of segments before `segment`.
+  /// @brief Removes all entries of segments before `segment`.
   /// @complexity linear in the number of keys
   void EvictBelow(std::int64_t segment);
 
   void Clear();
 
-  /// @brief How a key stands: who first stands after the last release holds.
+  /// @brief The state of a key. The first claim in log order that was not
+  /// released holds it.
   KeyState Find(const Hash256& key_hash) const;
 
-  /// @brief Whether an entry of this kind and nonce is known.
+  /// @brief Whether an entry of this kind and nonce is indexed.
   bool Has(const Hash256& key_hash, const ClaimNonce& nonce,
            EntryKind kind) const;
 
   std::size_t Size() const { return this->size; }
 
  private:
-  struct Event {
+  struct IndexedEntry {
     ClaimNonce nonce{};
     Hash256 body_digest{};
     std::int64_t segment = 0;
     EntryKind kind = EntryKind::kClaim;
   };
 
-  std::unordered_map<Hash256, std::vector<Event>, detail::FirstBytes> events;
+  std::unordered_map<Hash256, std::vector<IndexedEntry>, detail::Sha256Hasher>
+      entries_by_key;
   std::size_t size = 0;
 };
 
--- a/src/claims/claim_key.h
+++ b/src/claims/claim_key.h
@@ -9,20 +9,20 @@
 
 namespace meadowthread {
 
-/// @brief SHA-256 of workspace and key, each with its length, so that no two
-/// pairs run into each other.
+/// @brief SHA-256 of workspace and key. The workspace's length is hashed as
+/// well, so that ("ab", "c") and ("a", "bc") differ.
 Hash256 KeyHash(std::string_view workspace, std::string_view key);
 
 /// @brief The shard of a key.
-/// @param[in] shards how many there are, at least 1
+/// @param[in] shards the number of shards, at least 1
 std::uint32_t ShardOf(std::string_view workspace, std::string_view key,
                       int shards);
 
-/// @brief The time in front of a timed key, in milliseconds; kFieldInvalid
-/// where there is none.
+/// @brief Parses the timestamp prefix of a timed key.
+/// @return the time in milliseconds, or kFieldInvalid if there is none
 absl::StatusOr<std::int64_t> KeyTimeMs(std::string_view key);
 
-/// @brief A fresh random nonce.
+/// @brief Generates a random nonce.
 ClaimNonce NewNonce();
 
 }  // namespace meadowthread
--- a/src/claims/claim_router.cc
+++ b/src/claims/claim_router.cc
@@ -7,22 +7,24 @@
 
 namespace meadowthread {
 
-/// @brief An operation that was sent to the preferred host.
-struct ClaimRouter::Sent {
+/// @brief An operation that was forwarded to the preferred host.
+struct ClaimRouter::ForwardAttempt {
   std::uint32_t shard = 0;
   ShardOp op;
-  bool over = false;  ///< answered, or written from here
+  bool finished = false;  ///< answered, or handed to the local log
 };
 
-ClaimRouter::ClaimRouter(const ClaimTools& tools, ClaimForwarder* forwarder)
-    : tools(tools), forwarder(forwarder) {
-  for (int shard = 0; shard < std::max(tools.settings.shards, 1); ++shard) {
-    this->logs.push_back(
-        std::make_shared<ShardLog>(tools, static_cast<std::uint32_t>(shard)));
+ClaimRouter::ClaimRouter(const ClaimDependencies& dependencies,
+                         ClaimForwarder* forwarder)
+    : dependencies(dependencies), forwarder(forwarder) {
+  for (int shard = 0; shard < std::max(dependencies.settings.shards, 1);
+       ++shard) {
+    this->logs.push_back(std::make_shared<ShardLog>(
+        dependencies, static_cast<std::uint32_t>(shard)));
   }
 }
 
-void ClaimRouter::Write(std::uint32_t shard, ShardOp op) {
+void ClaimRouter::WriteLocally(std::uint32_t shard, ShardOp op) {
   this->logs[shard]->Enqueue(std::move(op));
 }
 
@@ -30,34 +32,36 @@
   const std::string host =
       this->forwarder == nullptr ? "" : this->forwarder->PreferredHost(shard);
   if (host.empty()) {
-    this->Write(shard, std::move(op));
+    this->WriteLocally(shard, std::move(op));
     return;
   }
-  const auto sent = std::make_shared<Sent>();
-  sent->shard = shard;
-  sent->op = std::move(op);
-  const ForwardedOp forwarded = {shard, sent->op.entry, sent->op.span,
-                                 sent->op.deadline_ms, sent->op.limit_ms};
+  const auto attempt = std::make_shared<ForwardAttempt>();
+  attempt->shard = shard;
+  attempt->op = std::move(op);
+  const ForwardedOp forwarded = {shard, attempt->op.entry,
+                                 attempt->op.search_range,
+                                 attempt->op.deadline_ms, attempt->op.limit_ms};
   const std::weak_ptr<ClaimRouter> weak = this->weak_from_this();
-  this->tools.scheduler->After(this->tools.settings.forward_limit_ms,
-                               [weak, sent] {
-                                 const auto self = weak.lock();
-                                 if (self && !sent->over) {
-                                   self->FallBack(sent);
-                                 }
-                               });
+  this->dependencies.scheduler->After(
+      this->dependencies.settings.forward_limit_ms, [weak, attempt] {
+        const auto self = weak.lock();
+        if (self && !attempt->finished) {
+          self->FallBackToLocalWrite(attempt);
+        }
+      });
   this->forwarder->Forward(
       host, forwarded,
-      [weak, sent](const absl::StatusOr<ForwardedAnswer>& answer) {
+      [weak, attempt](const absl::StatusOr<ForwardedAnswer>& answer) {
         const auto self = weak.lock();
-        if (self && !sent->over) {
-          self->OnAnswer(sent, answer);
+        if (self && !attempt->finished) {
+          self->OnAnswer(attempt, answer);
         }
       });
 }
 
-// What is final wherever it was found: all but troubles with the log.
-bool ClaimRouter::IsVerdict(const absl::StatusOr<ForwardedAnswer>& answer) {
+// Whether the answer is independent of the host that gave it. Failures to read
+// or write the log are not: this host may succeed.
+bool ClaimRouter::IsFinal(const absl::StatusOr<ForwardedAnswer>& answer) {
   if (!answer.ok() || !answer->recorded.ok()) {
     return false;
   }
@@ -69,44 +73,46 @@
          id == ErrorId::kIdempotencyKeyExpired;
 }
 
-void ClaimRouter::OnAnswer(const std::shared_ptr<Sent>& sent,
+void ClaimRouter::OnAnswer(const std::shared_ptr<ForwardAttempt>& attempt,
                            const absl::StatusOr<ForwardedAnswer>& answer) {
-  if (!IsVerdict(answer)) {
-    this->FallBack(sent);
+  if (!IsFinal(answer)) {
+    this->FallBackToLocalWrite(attempt);
     return;
   }
-  sent->over = true;
-  if (sent->op.entry.kind == EntryKind::kClaim) {
-    this->TakeClaim(sent, answer->claim);
-  } else if (sent->op.done) {
-    sent->op.done(answer->recorded);
+  attempt->finished = true;
+  if (attempt->op.entry.kind == EntryKind::kClaim) {
+    this->CompleteClaim(attempt, answer->claim);
+  } else if (attempt->op.done) {
+    attempt->op.done(answer->recorded);
   }
 }
 
-// A grant that comes too late is given back, as nothing was sent.
-void ClaimRouter::TakeClaim(const std::shared_ptr<Sent>& sent,
-                            const absl::StatusOr<ClaimAnswer>& answer) {
-  const std::int64_t now_ms = this->tools.clock->WallMs();
+// A grant that arrives after the deadline is released, as nothing was sent.
+void ClaimRouter::CompleteClaim(const std::shared_ptr<ForwardAttempt>& attempt,
+                                const absl::StatusOr<ClaimAnswer>& answer) {
+  const std::int64_t now_ms = this->dependencies.clock->WallMs();
   const bool granted =
       answer.ok() && std::holds_alternative<ClaimGrant>(*answer);
-  if (!granted || now_ms < sent->op.deadline_ms) {
-    sent->op.claim_done(answer);
+  if (!granted || now_ms < attempt->op.deadline_ms) {
+    attempt->op.claim_done(answer);
     return;
   }
-  ShardOp given_back = sent->op;
-  given_back.claim_done = nullptr;
-  given_back.forwarded = true;
-  given_back.withdrawn = true;
-  this->Write(sent->shard, std::move(given_back));
-  sent->op.claim_done(ClaimError(ErrorId::kDeadlinePassed, "", -1));
+  ShardOp release = attempt->op;
+  release.claim_done = nullptr;
+  release.forwarded = true;
+  release.withdrawn = true;
+  this->WriteLocally(attempt->shard, std::move(release));
+  attempt->op.claim_done(ClaimError(ErrorId::kDeadlinePassed, "", -1));
 }
 
-// The preferred host may have written it, or may yet: the nonce is the same, so
-// that reading the log tells, and giving up takes a release.
-void ClaimRouter::FallBack(const std::shared_ptr<Sent>& sent) {
-  sent->over = true;
-  sent->op.forwarded = true;
-  this->Write(sent->shard, std::move(sent->op));
+// The preferred host may have written the operation or may still write it. Both
+// hosts use the same nonce, so reading the log shows whether it was written. To
+// give up a claim, a release has to be written.
+void ClaimRouter::FallBackToLocalWrite(
+    const std::shared_ptr<ForwardAttempt>& attempt) {
+  attempt->finished = true;
+  attempt->op.forwarded = true;
+  this->WriteLocally(attempt->shard, std::move(attempt->op));
 }
 
 }  // namespace meadowthread
--- a/src/claims/claim_router.h
+++ b/src/claims/claim_router.h
@@ -10,33 +10,36 @@
 
 namespace meadowthread {
 
-/// @brief Brings each operation to its shard's log: by way of the preferred
-/// host where there is another one, else, and where that fails, from here.
+/// @brief Routes each operation to its shard's log. It forwards the operation
+/// if another host is preferred for the shard; otherwise, or if forwarding
+/// fails, this host writes the log itself.
 class ClaimRouter final : public std::enable_shared_from_this<ClaimRouter> {
  public:
-  /// @param[in] forwarder null: every operation is written from here
-  ClaimRouter(const ClaimTools& tools, ClaimForwarder* forwarder);
+  /// @param[in] forwarder null: this host writes every operation itself
+  ClaimRouter(const ClaimDependencies& dependencies, ClaimForwarder* forwarder);
 
+  /// @brief Forwards an operation or writes it locally.
   void Route(std::uint32_t shard, ShardOp op);
 
-  /// @brief Writes an operation from here, whoever is preferred.
-  void Write(std::uint32_t shard, ShardOp op);
+  /// @brief Writes an operation on this host even if another is preferred.
+  void WriteLocally(std::uint32_t shard, ShardOp op);
 
+  /// @brief The number of shards.
   std::uint32_t Shards() const {
     return static_cast<std::uint32_t>(this->logs.size());
   }
 
  private:
-  struct Sent;
+  struct ForwardAttempt;
 
-  static bool IsVerdict(const absl::StatusOr<ForwardedAnswer>& answer);
-  void OnAnswer(const std::shared_ptr<Sent>& sent,
+  static bool IsFinal(const absl::StatusOr<ForwardedAnswer>& answer);
+  void OnAnswer(const std::shared_ptr<ForwardAttempt>& attempt,
                 const absl::StatusOr<ForwardedAnswer>& answer);
-  void TakeClaim(const std::shared_ptr<Sent>& sent,
-                 const absl::StatusOr<ClaimAnswer>& answer);
-  void FallBack(const std::shared_ptr<Sent>& sent);
+  void CompleteClaim(const std::shared_ptr<ForwardAttempt>& attempt,
+                     const absl::StatusOr<ClaimAnswer>& answer);
+  void FallBackToLocalWrite(const std::shared_ptr<ForwardAttempt>& attempt);
 
-  ClaimTools tools;
+  ClaimDependencies dependencies;
   ClaimForwarder* forwarder;
   std::vector<std::shared_ptr<ShardLog>> logs;
 };
--- a/src/claims/claim_service.h
+++ b/src/claims/claim_service.h
@@ -9,11 +9,14 @@
 
 namespace meadowthread {
 
-/// @brief Sees to it that a request marked not repeatable is sent at most once.
+/// @brief Ensures that a request marked as not repeatable is sent at most once.
 ///
-/// Errors of Claim, with what they say of the request (docs/design/claims.md):
-/// kClaimHeld (unknown), kIdempotencyKeyReused (not run),
-/// kIdempotencyKeyExpired (unknown), kFieldInvalid (not run),
+/// A request is sent only after a claim on its idempotency key was granted. A
+/// key has at most one grant at a time, over all hosts.
+///
+/// Errors of Claim, with the outcome that they report for the request
+/// (docs/design/claims.md): kClaimHeld (unknown), kIdempotencyKeyReused (not
+/// run), kIdempotencyKeyExpired (unknown), kFieldInvalid (not run),
 /// kStoreUnavailable (not run), kClaimUnsettled (not run), kDeadlinePassed
 /// (not run), kStoreMalformed (not run).
 class ClaimService {
@@ -23,19 +26,21 @@
 
   virtual ~ClaimService() = default;
 
-  /// @brief Asks for the right to send; `done` is called later, once.
+  /// @brief Requests permission to send; `done` is called once, and never from
+  /// within this call.
   virtual void Claim(const ClaimRequest& request, const ClaimDone& done) = 0;
 
-  /// @brief Records the answer for retries. `done` tells whether it stands; the
-  /// caller's own answer need not wait for it.
+  /// @brief Records the response for retries. `done` reports whether it is
+  /// stored; the response to the caller need not wait for it.
   virtual void RecordResult(const ClaimGrant& grant, const ClaimResult& result,
                             const Done& done) = 0;
 
-  /// @brief Gives the right back. Only for a request of which no byte was sent,
-  /// or which the other side definitely rejected, and which is never sent.
+  /// @brief Releases the claim, so that the key can be claimed again. Only for
+  /// a request that will not be sent any more, and of which either no byte was
+  /// sent or which the backend server definitely rejected.
   virtual void Release(const ClaimGrant& grant, const Done& done) = 0;
 
-  /// @brief What an operator is to be told about keys of this form.
+  /// @brief The guarantee for keys of this form, as text for operators.
   virtual std::string_view Guarantee(KeyForm form) const = 0;
 };
 
--- a/src/claims/claim_types.h
+++ b/src/claims/claim_types.h
@@ -11,25 +11,25 @@
 
 namespace meadowthread {
 
-/// @brief A random number that names one submission for good.
+/// @brief A random 128-bit number that identifies one submission of a request.
 using ClaimNonce = std::array<std::uint8_t, 16>;
 
-/// @brief What the template says about callers' keys.
+/// @brief The format of the callers' idempotency keys, set by the template.
 enum class KeyForm {
   kTimed,   ///< `<unix seconds>-<any text>`: at most once without a time limit
-  kOpaque,  ///< any text: at most once within the retention only
+  kOpaque,  ///< any text: at most once within the retention period only
 };
 
-/// @brief One submission of a request that may run at most once.
+/// @brief One submission of a request that must run at most once.
 struct ClaimRequest {
   std::string workspace;
-  std::string key;
+  std::string key;  ///< the idempotency key, as the caller gave it
   KeyForm key_form = KeyForm::kTimed;
-  Hash256 body_digest{};
+  Hash256 body_digest{};  ///< SHA-256 of the request's body
   std::int64_t deadline_unix_ms = 0;
 };
 
-/// @brief The right to send one request once.
+/// @brief Permission to send one request once.
 struct ClaimGrant {
   ClaimNonce nonce{};
   Hash256 key_hash{};
@@ -37,14 +37,15 @@
   std::uint32_t shard = 0;
   std::int64_t deadline_unix_ms = 0;
 
-  /// @brief To be asked right before the first byte is sent.
-  /// @param[in] now_unix_ms the time now
+  /// @brief Whether the request may still be sent; check it right before the
+  /// first byte is sent.
+  /// @param[in] now_unix_ms the current wall time
   bool MaySend(std::int64_t now_unix_ms) const {
     return now_unix_ms < this->deadline_unix_ms;
   }
 };
 
-/// @brief The answer of a request that ran, as a retry gets it.
+/// @brief The recorded response of a request that ran, returned to retries.
 struct ClaimResult {
   int status = 0;
   std::string content_type;
@@ -53,30 +54,35 @@
   friend bool operator==(const ClaimResult&, const ClaimResult&) = default;
 };
 
-/// @brief Either the right to send, or the recorded answer.
+/// @brief Either the permission to send, or the recorded response.
 using ClaimAnswer = std::variant<ClaimGrant, ClaimResult>;
 
 /// @brief Sizes and times of the claim service.
 struct ClaimSettings {
   int shards = 8;
-  std::string host;  ///< written into entries, for a person who reads the log
+  std::string host;  ///< this host's name; stored in entries for debugging
   std::size_t segment_bytes = std::size_t{64} * 1024;
+  /// Larger results are stored in an object of their own.
   std::size_t inline_result_bytes = 1024;
   std::size_t max_result_bytes = std::size_t{700} * 1024;
-  std::size_t max_index_entries = 200'000;  ///< a shard
-  std::size_t max_waiting = 10'000;         ///< a shard
+  std::size_t max_index_entries = 200'000;  ///< per shard
+  std::size_t max_waiting = 10'000;         ///< queued operations per shard
+  /// How long the first queued operation waits for others to share its write.
   std::int64_t batch_window_ms = 5;
-  /// Between two updates of a shard by one host: with one writer a shard, no
-  /// more than shards / interval updates a second go out, whatever the load.
+  /// Least time between two updates of a shard by one host. With one writer per
+  /// shard, it bounds the update rate to shards / interval at any load.
   std::int64_t write_interval_ms = 20;
-  std::int64_t retry_ms = 50;
-  std::int64_t max_retry_ms = 500;  ///< in an outage
-  std::int64_t settle_limit_ms = 2'000;
-  std::int64_t record_limit_ms = 30'000;
+  std::int64_t retry_ms = 50;       ///< delay before the first retry
+  std::int64_t max_retry_ms = 500;  ///< upper bound of the exponential backoff
+  std::int64_t claim_timeout_ms = 2'000;
+  std::int64_t record_timeout_ms = 30'000;  ///< for results and releases
+  /// Without an answer after this time, the sender writes the log itself.
   std::int64_t forward_limit_ms = 300;
+  /// Retry-after time that callers get with an error they may retry.
   std::int64_t outage_retry_after_ms = 1'000;
   std::int64_t retention_ms = 24LL * 60 * 60 * 1000;
-  std::int64_t key_margin_ms = 60LL * 1000;
+  /// Tolerated difference between the time in a key and the hosts' clocks.
+  std::int64_t clock_skew_margin_ms = 60LL * 1000;
 };
 
 }  // namespace meadowthread
--- a/src/claims/counted_claims.cc
+++ b/src/claims/counted_claims.cc
@@ -13,14 +13,14 @@
 
 void CountedClaims::RecordResult(const ClaimGrant& grant,
                                  const ClaimResult& result, const Done& done) {
-  this->claims.RecordResult(grant, result, this->Counted(done));
+  this->claims.RecordResult(grant, result, this->CountUntilDone(done));
 }
 
 void CountedClaims::Release(const ClaimGrant& grant, const Done& done) {
-  this->claims.Release(grant, this->Counted(done));
+  this->claims.Release(grant, this->CountUntilDone(done));
 }
 
-ClaimService::Done CountedClaims::Counted(const Done& done) {
+ClaimService::Done CountedClaims::CountUntilDone(const Done& done) {
   ++*this->pending;
   return [count = this->pending, done](const absl::Status& status) {
     --*count;
--- a/src/claims/counted_claims.h
+++ b/src/claims/counted_claims.h
@@ -9,14 +9,14 @@
 
 namespace meadowthread {
 
-/// @brief Passes claims on and counts those whose end is not known yet, so that
-/// a host does not end before its results are recorded.
+/// @brief A ClaimService decorator that counts calls in progress, so that a
+/// host does not exit before its results are recorded.
 class CountedClaims final : public ClaimService {
  public:
-  /// @param[in] claims outlives this
+  /// @param[in] claims must outlive this object
   explicit CountedClaims(ClaimService& claims) : claims(claims) {}
 
-  /// @brief Calls that have not been answered.
+  /// @brief The number of calls that have not been answered.
   std::size_t Pending() const { return *this->pending; }
 
   void Claim(const ClaimRequest& request, const ClaimDone& done) override;
@@ -28,10 +28,11 @@
   }
 
  private:
-  Done Counted(const Done& done);
+  Done CountUntilDone(const Done& done);
 
   ClaimService& claims;
-  /// Shared with calls under way, which may outlive this.
+  /// Shared with the callbacks of calls in progress, which may outlive this
+  /// object.
   std::shared_ptr<std::size_t> pending = std::make_shared<std::size_t>(0);
 };
 
--- a/src/claims/forward_messages.cc
+++ b/src/claims/forward_messages.cc
@@ -21,30 +21,30 @@
 constexpr std::int64_t kMaxShard = std::numeric_limits<std::uint32_t>::max();
 constexpr std::int64_t kMaxTime = std::numeric_limits<std::int64_t>::max();
 
-std::string Text(const json& value) {
+std::string Dump(const json& value) {
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-absl::Status Malformed(std::string_view field) {
+absl::Status MalformedError(std::string_view field) {
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
   detail.step = kStep;
   detail.field = std::string(field);
   return MakeError(absl::StatusCode::kInvalidArgument, detail,
-                   "a forwarded claim or its answer cannot be read");
+                   "a forwarded claim or its answer is malformed");
 }
 
-/// @brief Reads an object's fields; the first one at fault is kept.
+/// @brief Reads an object's fields and keeps the error of the first invalid
+/// one.
 class FieldReader {
  public:
   explicit FieldReader(const json& object) : object(object) {}
 
-  std::int64_t Int(std::string_view field, std::int64_t least,
-                   std::int64_t most) {
+  std::int64_t Int(std::string_view field, std::int64_t min, std::int64_t max) {
     const absl::StatusOr<std::int64_t> value = IntField(this->object, field);
-    if (!value.ok() || *value < least || *value > most) {
+    if (!value.ok() || *value < min || *value > max) {
       this->Fail(field);
-      return least;
+      return min;
     }
     return *value;
   }
@@ -67,12 +67,12 @@
     return value.get<bool>();
   }
 
-  const absl::Status& End() const { return this->status; }
+  const absl::Status& FirstError() const { return this->status; }
 
  private:
   void Fail(std::string_view field) {
     if (this->status.ok()) {
-      this->status = Malformed(field);
+      this->status = MalformedError(field);
     }
   }
 
@@ -80,17 +80,17 @@
   absl::Status status;
 };
 
-json ErrorJson(const absl::Status& status) {
+json ErrorToJson(const absl::Status& status) {
   json value = ErrorDetailJson(DetailOf(status));
   value["status"] = static_cast<int>(status.code());
   value["message"] = std::string{status.message()};
   return value;
 }
 
-// An error answer is never a success: code 0 is malformed.
+// Status code 0 (OK) is malformed in an error.
 absl::Status ReadError(const json& value, absl::Status* error) {
   if (!value.is_object()) {
-    return Malformed("error");
+    return MalformedError("error");
   }
   FieldReader fields(value);
   ErrorDetail detail;
@@ -103,25 +103,26 @@
   detail.field = fields.String("field");
   detail.retry_after_ms = fields.Int("retry_after_ms", -1, kMaxTime);
   *error = MakeError(static_cast<absl::StatusCode>(code), detail, message);
-  return fields.End();
+  return fields.FirstError();
 }
 
-json ClaimJson(const absl::StatusOr<ClaimAnswer>& claim) {
+json ClaimToJson(const absl::StatusOr<ClaimAnswer>& claim) {
   if (!claim.ok()) {
-    return {{"error", ErrorJson(claim.status())}};
+    return {{"error", ErrorToJson(claim.status())}};
   }
   if (const auto* grant = std::get_if<ClaimGrant>(&*claim)) {
-    return {{"grant", NonceText(grant->nonce)}};
+    return {{"grant", EncodeNonce(grant->nonce)}};
   }
   const std::string result = EncodeResult(std::get<ClaimResult>(*claim));
   return {{"result", json::parse(result)}};
 }
 
-// The grant is made of what was asked, so that no answer can alter it.
+// The grant is built from the operation that was sent, so that an answer cannot
+// change its fields.
 absl::Status ReadGrant(const ForwardedOp& op, const json& value,
                        ForwardedAnswer* answer) {
-  if (value != json(NonceText(op.entry.nonce))) {
-    return Malformed("grant");
+  if (value != json(EncodeNonce(op.entry.nonce))) {
+    return MalformedError("grant");
   }
   ClaimGrant grant;
   grant.nonce = op.entry.nonce;
@@ -136,16 +137,16 @@
 absl::Status ReadClaim(const ForwardedOp& op, const json& value,
                        ForwardedAnswer* answer) {
   if (!value.is_object() || value.size() != 1) {
-    return Malformed("claim");
+    return MalformedError("claim");
   }
   if (value.contains("grant")) {
     return ReadGrant(op, value["grant"], answer);
   }
   if (value.contains("result")) {
     absl::StatusOr<ClaimResult> result =
-        DecodeResult(Text(value["result"]), "result");
+        DecodeResult(Dump(value["result"]), "result");
     if (!result.ok()) {
-      return Malformed("result");
+      return MalformedError("result");
     }
     answer->claim = ClaimAnswer(*std::move(result));
     return absl::OkStatus();
@@ -160,7 +161,7 @@
 
 absl::Status ReadRecorded(const json& value, ForwardedAnswer* answer) {
   if (!value.is_object()) {
-    return Malformed("recorded");
+    return MalformedError("recorded");
   }
   if (value.empty()) {
     return absl::OkStatus();
@@ -173,11 +174,11 @@
 std::string EncodeForwardedOp(const ForwardedOp& op) {
   const json value = {{"shard", op.shard},
                       {"entry", json::parse(EncodeEntry(op.entry))},
-                      {"earliest_ms", op.span.earliest_ms},
-                      {"forgettable", op.span.forgettable},
+                      {"earliest_ms", op.search_range.earliest_ms},
+                      {"forgettable", op.search_range.forgettable},
                       {"deadline_ms", op.deadline_ms},
                       {"limit_ms", op.limit_ms}};
-  return Text(value);
+  return Dump(value);
 }
 
 absl::StatusOr<ForwardedOp> DecodeForwardedOp(std::string_view text) {
@@ -188,17 +189,17 @@
   FieldReader fields(*value);
   ForwardedOp op;
   op.shard = static_cast<std::uint32_t>(fields.Int("shard", 0, kMaxShard));
-  op.span.earliest_ms = fields.Int("earliest_ms", -kMaxTime, kMaxTime);
-  op.span.forgettable = fields.Bool("forgettable");
+  op.search_range.earliest_ms = fields.Int("earliest_ms", -kMaxTime, kMaxTime);
+  op.search_range.forgettable = fields.Bool("forgettable");
   op.deadline_ms = fields.Int("deadline_ms", 0, kMaxTime);
   op.limit_ms = fields.Int("limit_ms", 0, kMaxTime);
-  if (!fields.End().ok()) {
-    return fields.End();
+  if (!fields.FirstError().ok()) {
+    return fields.FirstError();
   }
   absl::StatusOr<ClaimEntry> entry =
-      DecodeEntry(Text(value->value("entry", json())), "entry");
+      DecodeEntry(Dump(value->value("entry", json())), "entry");
   if (!entry.ok()) {
-    return Malformed("entry");
+    return MalformedError("entry");
   }
   op.entry = *std::move(entry);
   return op;
@@ -207,13 +208,13 @@
 std::string EncodeForwardedAnswer(const ForwardedOp& op,
                                   const ForwardedAnswer& answer) {
   if (op.entry.kind == EntryKind::kClaim) {
-    return Text({{"claim", ClaimJson(answer.claim)}});
+    return Dump({{"claim", ClaimToJson(answer.claim)}});
   }
   json recorded = json::object();
   if (!answer.recorded.ok()) {
-    recorded["error"] = ErrorJson(answer.recorded);
+    recorded["error"] = ErrorToJson(answer.recorded);
   }
-  return Text({{"recorded", recorded}});
+  return Dump({{"recorded", recorded}});
 }
 
 absl::StatusOr<ForwardedAnswer> DecodeForwardedAnswer(const ForwardedOp& op,
--- a/src/claims/forward_messages.h
+++ b/src/claims/forward_messages.h
@@ -9,21 +9,22 @@
 
 namespace meadowthread {
 
-/// @brief An operation as a JSON object.
+/// @brief Encodes an operation as a JSON object.
 std::string EncodeForwardedOp(const ForwardedOp& op);
 
-/// @brief Reads an operation; an error names the field at fault.
+/// @brief Parses an operation; an error names the invalid field.
 absl::StatusOr<ForwardedOp> DecodeForwardedOp(std::string_view text);
 
-/// @brief An answer as a JSON object: errors in it are whole, their ErrorDetail
-/// included.
-/// @param[in] op what was asked; its kind says which part is the answer
+/// @brief Encodes an answer as a JSON object; errors in it keep their
+/// ErrorDetail.
+/// @param[in] op the operation that is answered; its kind selects `claim` or
+/// `recorded`
 std::string EncodeForwardedAnswer(const ForwardedOp& op,
                                   const ForwardedAnswer& answer);
 
-/// @brief Reads an answer; an error names the field at fault. A grant is
-/// that of `op`: one of another nonce is an error.
-/// @param[in] op what was asked
+/// @brief Parses an answer; an error names the invalid field. A grant with
+/// another nonce than that of `op` is an error.
+/// @param[in] op the operation that is answered
 absl::StatusOr<ForwardedAnswer> DecodeForwardedAnswer(const ForwardedOp& op,
                                                       std::string_view text);
 
--- a/src/claims/shard_log.cc
+++ b/src/claims/shard_log.cc
@@ -8,8 +8,8 @@
 
 namespace meadowthread {
 
-ShardLog::ShardLog(const ClaimTools& tools, std::uint32_t shard)
-    : tools(tools), shard(shard) {}
+ShardLog::ShardLog(const ClaimDependencies& dependencies, std::uint32_t shard)
+    : dependencies(dependencies), shard(shard) {}
 
 std::string ShardLog::HeadName() const {
   return std::to_string(this->shard) + ".head";
@@ -24,126 +24,133 @@
 /////////////////////
 
 void ShardLog::Enqueue(ShardOp op) {
-  const Op queued = std::make_shared<ShardOp>(std::move(op));
-  queued->arrived = this->calls;
-  if (this->RefusesAtOnce(queued)) {
+  const OpPtr queued = std::make_shared<ShardOp>(std::move(op));
+  queued->arrival_call = this->store_calls;
+  if (this->RejectImmediately(queued)) {
     return;
   }
-  this->ops.push_back(queued);
-  const std::int64_t now_ms = this->tools.clock->WallMs();
+  this->queued_ops.push_back(queued);
+  const std::int64_t now_ms = this->dependencies.clock->WallMs();
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
   const std::weak_ptr<ShardOp> weak_op = queued;
-  this->tools.scheduler->After(
+  this->dependencies.scheduler->After(
       std::max<std::int64_t>(queued->limit_ms - now_ms, 0), [weak, weak_op] {
         const std::shared_ptr<ShardLog> self = weak.lock();
-        const Op late = weak_op.lock();
-        if (self && late) {
-          self->OnLimit(late);
+        const OpPtr timed_out = weak_op.lock();
+        if (self && timed_out) {
+          self->OnTimeout(timed_out);
         }
       });
   if (!this->busy) {
-    this->PumpAfter(this->tools.settings.batch_window_ms);
+    this->ScheduleNextStep(this->dependencies.settings.batch_window_ms);
   }
 }
 
-// In an outage, or beyond the bound, a claim is answered at once; what is
-// already being retried finds out when the object API is back.
-bool ShardLog::RefusesAtOnce(const Op& op) {
+// Rejects a new claim immediately if the queue is full, or if the object API is
+// failing while an earlier operation is being retried; that retry finds out
+// when the object API has recovered.
+bool ShardLog::RejectImmediately(const OpPtr& op) {
   if (op->entry.kind != EntryKind::kClaim || op->withdrawn) {
     return false;
   }
-  const bool full = this->ops.size() >= this->tools.settings.max_waiting;
-  const bool retrying = this->busy || this->pump_due;
-  if (!full && !(this->impaired && retrying)) {
+  const bool full =
+      this->queued_ops.size() >= this->dependencies.settings.max_waiting;
+  const bool retrying = this->busy || this->step_scheduled;
+  if (!full && !(this->store_failing && retrying)) {
     return false;
   }
   const ErrorId id = full ? ErrorId::kOverloaded : ErrorId::kStoreUnavailable;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.scheduler->After(0, [weak, op, id] {
+  this->dependencies.scheduler->After(0, [weak, op, id] {
     if (const std::shared_ptr<ShardLog> self = weak.lock()) {
       if (op->forwarded) {
-        self->ops.push_back(op);
+        self->queued_ops.push_back(op);
       }
-      self->RefuseUnread(op, id);
-      self->Flush();
+      self->RejectWithoutRead(op, id);
+      self->RunCallbacks();
     }
   });
   return true;
 }
 
-void ShardLog::OnLimit(const Op& op) {
-  const bool waits = std::ranges::find(this->ops, op) != this->ops.end();
-  if (waits && !op->withdrawn) {
+void ShardLog::OnTimeout(const OpPtr& op) {
+  const bool is_queued =
+      std::ranges::find(this->queued_ops, op) != this->queued_ops.end();
+  if (is_queued && !op->withdrawn) {
     this->GiveUp(op);
-    this->Flush();
+    this->RunCallbacks();
   }
 }
 
-// The asker is answered now. A claim that may have landed, or may yet land,
-// stays behind to be given back.
-void ShardLog::GiveUp(const Op& op) {
+// Answers the caller now. A claim that was or may still be written stays in the
+// queue until it is released.
+void ShardLog::GiveUp(const OpPtr& op) {
   if (op->entry.kind != EntryKind::kClaim) {
-    this->AnswerDone(
+    this->AnswerWrite(
         op, StoreError(ErrorId::kStoreUnknown, "record", this->HeadName()));
-    this->ops.remove(op);
+    this->queued_ops.remove(op);
     return;
   }
-  if (!op->MayLand()) {
-    this->Refuse(op, this->tools.clock->WallMs() >= op->deadline_ms
+  if (!op->MayBeWritten()) {
+    this->Reject(op, this->dependencies.clock->WallMs() >= op->deadline_ms
                          ? ErrorId::kDeadlinePassed
                          : ErrorId::kStoreUnavailable);
     return;
   }
-  this->Answer(op, ClaimError(ErrorId::kClaimUnsettled, this->HeadName(),
-                              this->tools.settings.outage_retry_after_ms));
+  this->AnswerClaim(
+      op, ClaimError(ErrorId::kClaimUnsettled, this->HeadName(),
+                     this->dependencies.settings.outage_retry_after_ms));
   this->Withdraw(op);
 }
 
-void ShardLog::Withdraw(const Op& op) {
-  if (op->foreign) {
-    this->ops.remove(op);
+void ShardLog::Withdraw(const OpPtr& op) {
+  if (op->from_other_host) {
+    this->queued_ops.remove(op);
     return;
   }
   op->withdrawn = true;
-  this->PumpAfter(this->tools.settings.batch_window_ms);
+  this->ScheduleNextStep(this->dependencies.settings.batch_window_ms);
 }
 
-void ShardLog::Finish(const Op& op, Verdict verdict) {
-  switch (verdict) {
-    case Verdict::kGranted:
+void ShardLog::ApplyDecision(const OpPtr& op, OpDecision decision) {
+  switch (decision) {
+    case OpDecision::kGranted:
       this->Grant(op);
       return;
-    case Verdict::kHeld:
-      this->Refuse(op, ErrorId::kClaimHeld);
+    case OpDecision::kHeld:
+      this->Reject(op, ErrorId::kClaimHeld);
       return;
-    case Verdict::kReused:
-      this->Refuse(op, ErrorId::kIdempotencyKeyReused);
+    case OpDecision::kReused:
+      this->Reject(op, ErrorId::kIdempotencyKeyReused);
       return;
-    case Verdict::kExpired:
-      this->Refuse(op, ErrorId::kIdempotencyKeyExpired);
+    case OpDecision::kExpired:
+      this->Reject(op, ErrorId::kIdempotencyKeyExpired);
       return;
-    case Verdict::kGivenBack:
-      this->Refuse(op, ErrorId::kClaimUnsettled);
+    case OpDecision::kAlreadyReleased:
+      this->Reject(op, ErrorId::kClaimUnsettled);
       return;
-    case Verdict::kReplay:
-      this->Replay(op);
+    case OpDecision::kReplay:
+      this->ReplayResult(op);
       break;
-    case Verdict::kSettled:
-      this->AnswerDone(op, absl::OkStatus());
+    case OpDecision::kResolved:
+      this->AnswerWrite(op, absl::OkStatus());
       break;
-    case Verdict::kAppend:
-    case Verdict::kRelease:
-    case Verdict::kFence:
-    case Verdict::kRefresh:
+    case OpDecision::kAppend:
+    case OpDecision::kRelease:
+    case OpDecision::kFence:
+    case OpDecision::kRefresh:
       return;
   }
-  this->ops.remove(op);
+  this->queued_ops.remove(op);
 }
 
-void ShardLog::Grant(const Op& op) {
-  if (!op->foreign && this->tools.clock->WallMs() >= op->deadline_ms) {
-    // Frozen meanwhile: nobody sent it and nobody will, so it is given back.
-    this->Answer(op, ClaimError(ErrorId::kDeadlinePassed, this->HeadName(), 0));
+void ShardLog::Grant(const OpPtr& op) {
+  if (!op->from_other_host &&
+      this->dependencies.clock->WallMs() >= op->deadline_ms) {
+    // This host was paused until after the deadline. The request was not sent
+    // and never will be, so the claim is released.
+    this->AnswerClaim(
+        op, ClaimError(ErrorId::kDeadlinePassed, this->HeadName(), 0));
     this->Withdraw(op);
     return;
   }
@@ -153,113 +160,123 @@
   grant.body_digest = op->entry.body_digest;
   grant.shard = this->shard;
   grant.deadline_unix_ms = op->deadline_ms;
-  this->Answer(op, ClaimAnswer(grant));
-  this->ops.remove(op);
+  this->AnswerClaim(op, ClaimAnswer(grant));
+  this->queued_ops.remove(op);
 }
 
-void ShardLog::Refuse(const Op& op, ErrorId id) {
-  const bool come_back = id != ErrorId::kIdempotencyKeyReused &&
+void ShardLog::Reject(const OpPtr& op, ErrorId id) {
+  const bool retryable = id != ErrorId::kIdempotencyKeyReused &&
                          id != ErrorId::kIdempotencyKeyExpired;
-  this->Answer(
+  this->AnswerClaim(
       op,
-      ClaimError(id, this->HeadName(),
-                 come_back ? this->tools.settings.outage_retry_after_ms : -1));
+      ClaimError(
+          id, this->HeadName(),
+          retryable ? this->dependencies.settings.outage_retry_after_ms : -1));
   if (op->forwarded) {
-    // The copy that was sent on may still be written, by the other host.
+    // The preferred host may still write the forwarded copy.
     this->Withdraw(op);
     return;
   }
-  this->ops.remove(op);
+  this->queued_ops.remove(op);
 }
 
-// The object API fails: claims that certainly did not land are refused at once.
-void ShardLog::RefuseWaiting(ErrorId id) {
-  const std::list<Op> waiting = this->ops;
-  for (const Op& op : waiting) {
+// The object API is failing: rejects the claims that were certainly not
+// written.
+void ShardLog::RejectQueuedClaims(ErrorId id) {
+  const std::list<OpPtr> waiting = this->queued_ops;
+  for (const OpPtr& op : waiting) {
     const bool is_claim = op->entry.kind == EntryKind::kClaim;
-    const bool decided = !op->in_flight && !op->undecided_at.has_value();
-    if (is_claim && !op->withdrawn && decided) {
-      this->RefuseUnread(op, id);
+    const bool not_written =
+        !op->in_flight && !op->unresolved_version.has_value();
+    if (is_claim && !op->withdrawn && not_written) {
+      this->RejectWithoutRead(op, id);
     }
   }
 }
 
-// What the log was last known to say of the key comes before the refusal: a
-// result never changes, and a key that was held may have run.
-void ShardLog::RefuseUnread(const Op& op, ErrorId id) {
+// Answers a claim from the last known view, without reading the log. A recorded
+// result is final, so it is replayed. A claim on a held key is rejected with
+// kClaimHeld, as the holder's request may have run. Others get `id`.
+void ShardLog::RejectWithoutRead(const OpPtr& op, ErrorId id) {
   const KeyState state = this->view.Index().Find(op->entry.key_hash);
   const bool same_body = state.body_digest == op->entry.body_digest;
-  if (state.standing == KeyStanding::kDone && same_body) {
-    this->Replay(op);
-    this->ops.remove(op);
+  if (state.status == KeyStatus::kDone && same_body) {
+    this->ReplayResult(op);
+    this->queued_ops.remove(op);
     return;
   }
-  // Its own nonce tells nothing against it: another copy of it is settled.
+  // An entry with this claim's own nonce is a copy of it and not another
+  // holder; that copy is resolved separately (see Withdraw).
   const bool held =
-      state.standing != KeyStanding::kFree && state.nonce != op->entry.nonce;
-  this->Refuse(op, held ? ErrorId::kClaimHeld : id);
+      state.status != KeyStatus::kFree && state.nonce != op->entry.nonce;
+  this->Reject(op, held ? ErrorId::kClaimHeld : id);
 }
 
-void ShardLog::Answer(const Op& op, const absl::StatusOr<ClaimAnswer>& answer) {
+void ShardLog::AnswerClaim(const OpPtr& op,
+                           const absl::StatusOr<ClaimAnswer>& answer) {
   if (op->claim_done) {
-    this->answers.push_back([done = std::exchange(op->claim_done, nullptr),
-                             answer] { done(answer); });
+    this->pending_callbacks.push_back(
+        [done = std::exchange(op->claim_done, nullptr), answer] {
+          done(answer);
+        });
   }
 }
 
-void ShardLog::AnswerDone(const Op& op, const absl::Status& status) {
+void ShardLog::AnswerWrite(const OpPtr& op, const absl::Status& status) {
   if (op->done) {
-    this->answers.push_back(
+    this->pending_callbacks.push_back(
         [done = std::exchange(op->done, nullptr), status] { done(status); });
   }
 }
 
-void ShardLog::Flush() {
-  // An asker may come back with the next request from within its answer.
+void ShardLog::RunCallbacks() {
+  // A callback may submit the next request, which adds to the list.
   const std::vector<std::function<void()>> ready =
-      std::exchange(this->answers, {});
+      std::exchange(this->pending_callbacks, {});
   for (const std::function<void()>& answer : ready) {
     answer();
   }
 }
 
 /////////////////////
-// the next step   //
+// scheduling      //
 /////////////////////
 
-void ShardLog::PumpAfter(std::int64_t delay_ms) {
-  if (this->pump_due) {
+void ShardLog::ScheduleNextStep(std::int64_t delay_ms) {
+  if (this->step_scheduled) {
     return;
   }
-  this->pump_due = true;
+  this->step_scheduled = true;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.scheduler->After(delay_ms, [weak] {
+  this->dependencies.scheduler->After(delay_ms, [weak] {
     if (const std::shared_ptr<ShardLog> self = weak.lock()) {
-      self->pump_due = false;
-      self->Pump();
-      self->Flush();
+      self->step_scheduled = false;
+      self->RunNextStep();
+      self->RunCallbacks();
     }
   });
 }
 
 bool ShardLog::IsFresh(const ShardOp& op) const {
-  return this->view_call > op.arrived;
+  return this->view_confirmed_call > op.arrival_call;
 }
 
-void ShardLog::Pump() {
-  if (this->busy || this->ops.empty()) {
+// Starts the next store call that the queued operations need, unless one is in
+// flight.
+void ShardLog::RunNextStep() {
+  if (this->busy || this->queued_ops.empty()) {
     return;
   }
-  if (this->must_read) {
+  if (this->must_read_head) {
     this->ReadHead();
     return;
   }
-  if (this->ReadMissing()) {
+  if (this->ReadMissingSegment()) {
     return;
   }
-  std::vector<Op> batch;
+  std::vector<OpPtr> batch;
   bool must_fence = false;
-  if (this->JudgeAll(&batch, &must_fence)) {
+  if (this->DecideAll(&batch, &must_fence)) {
     this->ReadHead();
     return;
   }
@@ -267,30 +284,31 @@
     return;
   }
   const ClaimSegment& head = this->view.Head();
-  if (head.sealed && this->archived != head.number) {
+  if (head.sealed && this->archived_segment != head.number) {
     this->WriteArchive();
-  } else if (head.sealed && this->swept != head.number) {
-    this->ReadOldest();
-  } else if (const std::int64_t pause_ms = this->PauseMs(); pause_ms > 0) {
-    // Fewer and fuller updates: the rate of writes is bounded by the number of
-    // shards, whatever the load.
-    this->PumpAfter(pause_ms);
+  } else if (head.sealed && this->expiry_checked_segment != head.number) {
+    this->ReadOldestSegment();
+  } else if (const std::int64_t delay_ms = this->WriteDelayMs(); delay_ms > 0) {
+    // Waiting makes fewer and fuller updates: the number of shards bounds the
+    // write rate at any load.
+    this->ScheduleNextStep(delay_ms);
   } else {
     this->WriteHead(batch);
   }
 }
 
-std::int64_t ShardLog::PauseMs() const {
-  return this->written_ms + this->tools.settings.write_interval_ms -
-         this->tools.clock->MonotonicMs();
+std::int64_t ShardLog::WriteDelayMs() const {
+  return this->last_write_ms + this->dependencies.settings.write_interval_ms -
+         this->dependencies.clock->MonotonicMs();
 }
 
-bool ShardLog::ReadMissing() {
-  for (const Op& op : this->ops) {
+bool ShardLog::ReadMissingSegment() {
+  for (const OpPtr& op : this->queued_ops) {
     if (op->entry.kind != EntryKind::kClaim) {
       continue;
     }
-    const std::optional<std::int64_t> missing = this->view.MissingFor(op->span);
+    const std::optional<std::int64_t> missing =
+        this->view.NextSegmentToRead(op->search_range);
     if (missing.has_value()) {
       this->ReadArchive(*missing);
       return true;
@@ -299,33 +317,33 @@
   return false;
 }
 
-// Answers what can be answered and gathers the rest.
-// Returns whether the head has to be read again first.
-bool ShardLog::JudgeAll(std::vector<Op>* batch, bool* must_fence) {
-  bool must_refresh = false;
-  std::unordered_set<Hash256, detail::FirstBytes> touched;
-  const std::list<Op> waiting = this->ops;
-  for (const Op& op : waiting) {
-    if (op->undecided_at.has_value() &&
-        *op->undecided_at < this->view.Version()) {
-      op->undecided_at.reset();
+// Answers the operations that the view decides and collects in `batch` those
+// that need an entry. Returns whether the head has to be read again first.
+bool ShardLog::DecideAll(std::vector<OpPtr>* batch, bool* must_fence) {
+  bool must_reread_head = false;
+  std::unordered_set<Hash256, detail::Sha256Hasher> batched_keys;
+  const std::list<OpPtr> waiting = this->queued_ops;
+  for (const OpPtr& op : waiting) {
+    if (op->unresolved_version.has_value() &&
+        *op->unresolved_version < this->view.Version()) {
+      op->unresolved_version.reset();
     }
-    // The second of one key waits: it would be judged on a view that the first
-    // is about to change.
-    if (touched.contains(op->entry.key_hash)) {
+    // Only one operation per key and update: the first one's entry changes the
+    // view that a second one has to be decided on.
+    if (batched_keys.contains(op->entry.key_hash)) {
       continue;
     }
-    const Verdict verdict = Judge(*op, this->view, this->IsFresh(*op));
-    must_refresh = must_refresh || verdict == Verdict::kRefresh;
-    *must_fence = *must_fence || verdict == Verdict::kFence;
-    if (verdict == Verdict::kAppend || verdict == Verdict::kRelease) {
+    const OpDecision decision = DecideOp(*op, this->view, this->IsFresh(*op));
+    must_reread_head = must_reread_head || decision == OpDecision::kRefresh;
+    *must_fence = *must_fence || decision == OpDecision::kFence;
+    if (decision == OpDecision::kAppend || decision == OpDecision::kRelease) {
       batch->push_back(op);
-      touched.insert(op->entry.key_hash);
+      batched_keys.insert(op->entry.key_hash);
     } else {
-      this->Finish(op, verdict);
+      this->ApplyDecision(op, decision);
     }
   }
-  return must_refresh;
+  return must_reread_head;
 }
 
 }  // namespace meadowthread
--- a/src/claims/shard_log.h
+++ b/src/claims/shard_log.h
@@ -20,95 +20,106 @@
 
 namespace meadowthread {
 
-/// @brief What a shard's log works with; all of it outlives the log.
-struct ClaimTools {
+/// @brief The services and settings that claims depend on; the services must
+/// outlive their users.
+struct ClaimDependencies {
   ObjectStore* store = nullptr;
   Scheduler* scheduler = nullptr;
   const Clock* clock = nullptr;
   ClaimSettings settings;
 };
 
-/// @brief One shard's log at the object API: everything that waits goes into
-/// one conditional update, of which one is in flight at a time.
+/// @brief Writer of one shard's log of claims, which all hosts share through
+/// the object API. Group commit: all queued operations go into one conditional
+/// update of the head, and only one update is in flight at a time.
 ///
-/// Objects: `claims/<shard>.head`, never deleted, and `claims/<shard>.<n>`, the
-/// sealed segments. docs/design/claims.md tells why no entry is ever lost.
+/// Objects: `claims/<shard>.head`, which is never deleted, and
+/// `claims/<shard>.<n>`, the archived segments. A full head is sealed, then
+/// archived, and only then replaced by the next segment, so that no entry is
+/// lost (docs/design/claims.md).
 class ShardLog final : public std::enable_shared_from_this<ShardLog> {
  public:
-  ShardLog(const ClaimTools& tools, std::uint32_t shard);
+  ShardLog(const ClaimDependencies& dependencies, std::uint32_t shard);
 
-  /// @brief Lets a claim, release or result wait for the next update.
+  /// @brief Queues a claim, release or result for the next update.
   void Enqueue(ShardOp op);
 
  private:
+  /// Long enough ago that the first write is not delayed.
   static constexpr std::int64_t kNever = -1'000'000;
 
-  using Op = std::shared_ptr<ShardOp>;
+  using OpPtr = std::shared_ptr<ShardOp>;
 
   /////////////////////
   // the queue       //
   /////////////////////
-  bool RefusesAtOnce(const Op& op);
-  void OnLimit(const Op& op);
-  void GiveUp(const Op& op);
-  void Withdraw(const Op& op);
-  void Finish(const Op& op, Verdict verdict);
-  void Grant(const Op& op);
-  void Refuse(const Op& op, ErrorId id);
-  void RefuseWaiting(ErrorId id);
-  void RefuseUnread(const Op& op, ErrorId id);
-  void Replay(const Op& op);
-  void Answer(const Op& op, const absl::StatusOr<ClaimAnswer>& answer);
-  void AnswerDone(const Op& op, const absl::Status& status);
+  bool RejectImmediately(const OpPtr& op);
+  void OnTimeout(const OpPtr& op);
+  void GiveUp(const OpPtr& op);
+  void Withdraw(const OpPtr& op);
+  void ApplyDecision(const OpPtr& op, OpDecision decision);
+  void Grant(const OpPtr& op);
+  void Reject(const OpPtr& op, ErrorId id);
+  void RejectQueuedClaims(ErrorId id);
+  void RejectWithoutRead(const OpPtr& op, ErrorId id);
+  void ReplayResult(const OpPtr& op);
+  void AnswerClaim(const OpPtr& op, const absl::StatusOr<ClaimAnswer>& answer);
+  void AnswerWrite(const OpPtr& op, const absl::Status& status);
 
   /////////////////////
-  // the next step   //
+  // scheduling      //
   /////////////////////
-  void PumpAfter(std::int64_t delay_ms);
-  void Pump();
-  std::int64_t PauseMs() const;
-  bool ReadMissing();
-  bool JudgeAll(std::vector<Op>* batch, bool* must_fence);
+  void ScheduleNextStep(std::int64_t delay_ms);
+  void RunNextStep();
+  std::int64_t WriteDelayMs() const;
+  bool ReadMissingSegment();
+  bool DecideAll(std::vector<OpPtr>* batch, bool* must_fence);
   bool IsFresh(const ShardOp& op) const;
-  void Flush();
+  void RunCallbacks();
 
   /////////////////////
   // object API      //
   /////////////////////
   void ReadHead();
-  void OnHead(const absl::StatusOr<StoredObject>& answer, std::uint64_t call);
+  void OnHeadRead(const absl::StatusOr<StoredObject>& answer,
+                  std::uint64_t call);
   void ReadArchive(std::int64_t number);
-  void OnArchive(const absl::StatusOr<StoredObject>& answer,
-                 std::int64_t number);
-  void WriteHead(const std::vector<Op>& batch);
-  void OnWritten(const absl::StatusOr<std::int64_t>& answer,
-                 const std::vector<Op>& batch, const ClaimSegment& segment,
-                 std::uint64_t call);
+  void OnArchiveRead(const absl::StatusOr<StoredObject>& answer,
+                     std::int64_t number);
+  void WriteHead(const std::vector<OpPtr>& batch);
+  void OnHeadWritten(const absl::StatusOr<std::int64_t>& answer,
+                     const std::vector<OpPtr>& batch,
+                     const ClaimSegment& segment, std::uint64_t call);
   void WriteArchive();
-  void ReadOldest();
-  void DropSegments();
-  void OnTrouble(ErrorId id);
-  ClaimSegment NextHead(const std::vector<Op>& batch) const;
-  ClaimEntry NextEntry(const ShardOp& op, std::int64_t last_ms) const;
+  void ReadOldestSegment();
+  void DeleteExpiredSegments();
+  void OnStoreFailure(ErrorId id);
+  ClaimSegment BuildNextHead(const std::vector<OpPtr>& batch) const;
+  ClaimEntry BuildEntry(const ShardOp& op, std::int64_t last_ms) const;
   std::string HeadName() const;
   std::string ArchiveName(std::int64_t number) const;
 
-  ClaimTools tools;
+  ClaimDependencies dependencies;
   std::uint32_t shard;
   ShardView view;
-  std::list<Op> ops;
-  std::vector<std::function<void()>> answers;
-  std::uint64_t calls = 0;           ///< store calls made so far
-  std::uint64_t view_call = 0;       ///< the call that confirmed the view last
-  bool busy = false;                 ///< a store call is in flight
-  bool pump_due = false;             ///< a pump is scheduled
-  bool must_read = true;             ///< the head has to be read before a write
-  std::int64_t trouble_wait_ms = 0;  ///< the last wait after a failure
-  bool impaired = false;             ///< the last call failed
-  std::int64_t written_ms = kNever;
-  std::int64_t archived = -1;  ///< this segment's archive is known to stand
-  std::int64_t swept = -1;     ///< retention was looked at for this segment
-  std::vector<ClaimSegment> dropping;
+  std::list<OpPtr> queued_ops;
+  std::vector<std::function<void()>> pending_callbacks;
+  std::uint64_t store_calls = 0;  ///< number of store calls made so far
+  /// Number of the last call that showed the view to be current.
+  std::uint64_t view_confirmed_call = 0;
+  bool busy = false;            ///< a store call is in flight
+  bool step_scheduled = false;  ///< RunNextStep is scheduled
+  bool must_read_head = true;   ///< read the head before the next write
+  std::int64_t backoff_ms = 0;  ///< the last delay after a failure
+  bool store_failing = false;   ///< the last store call failed
+  std::int64_t last_write_ms = kNever;
+  /// Number of the last sealed head known to be archived.
+  std::int64_t archived_segment = -1;
+  /// Number of the last sealed head for which ReadOldestSegment has finished.
+  std::int64_t expiry_checked_segment = -1;
+  /// The oldest segments, all past the retention period: the next roll drops
+  /// them.
+  std::vector<ClaimSegment> expired_segments;
 };
 
 }  // namespace meadowthread
--- a/src/claims/shard_log_io.cc
+++ b/src/claims/shard_log_io.cc
@@ -1,4 +1,4 @@
-// The part of ShardLog that talks to the object API.
+// The methods of ShardLog that read and write the object API.
 
 #include <algorithm>
 #include <utility>
@@ -12,13 +12,14 @@
 constexpr char kClaims[] = "claims";
 constexpr char kResults[] = "results";
 
+// Size allowed for a segment's JSON without its entries.
 constexpr std::size_t kSegmentFrameBytes = 120;
 
-// A roll drops more than the one segment that it adds, so that a backlog of old
-// segments shrinks.
-constexpr std::size_t kDropsPerRoll = 4;
+// A roll may drop more segments than the one that it adds, so that a backlog of
+// expired segments shrinks.
+constexpr std::size_t kMaxExpiredSegmentsPerRoll = 4;
 
-std::size_t BytesOf(const ClaimSegment& segment) {
+std::size_t EncodedSize(const ClaimSegment& segment) {
   std::size_t bytes = kSegmentFrameBytes;
   for (const ClaimEntry& entry : segment.entries) {
     bytes += entry.encoded.size() + 1;
@@ -30,28 +31,29 @@
 
 void ShardLog::ReadHead() {
   this->busy = true;
-  const std::uint64_t call = ++this->calls;
+  const std::uint64_t call = ++this->store_calls;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.store->Get(
+  this->dependencies.store->Get(
       kClaims, this->HeadName(),
       [weak, call](const absl::StatusOr<StoredObject>& answer) {
         if (const std::shared_ptr<ShardLog> self = weak.lock()) {
           self->busy = false;
-          self->OnHead(answer, call);
-          self->Flush();
+          self->OnHeadRead(answer, call);
+          self->RunCallbacks();
         }
       });
 }
 
-void ShardLog::OnHead(const absl::StatusOr<StoredObject>& answer,
-                      std::uint64_t call) {
+void ShardLog::OnHeadRead(const absl::StatusOr<StoredObject>& answer,
+                          std::uint64_t call) {
   const ErrorId id =
       answer.ok() ? ErrorId::kInternal : DetailOf(answer.status()).id;
   const bool absent = id == ErrorId::kNotFound && this->view.Version() == 0;
   if (!answer.ok() && !absent) {
-    // A head that was there is never deleted: without it nothing can be judged.
-    this->OnTrouble(id == ErrorId::kNotFound ? ErrorId::kStoreMalformed
-                                             : ErrorId::kStoreUnavailable);
+    // A head is never deleted once it exists. If it is missing, the state of
+    // its keys is unknown, and starting a new log would free the held ones.
+    this->OnStoreFailure(id == ErrorId::kNotFound ? ErrorId::kStoreMalformed
+                                                  : ErrorId::kStoreUnavailable);
     return;
   }
   absl::StatusOr<ClaimSegment> head = ClaimSegment{};
@@ -59,165 +61,170 @@
     head = DecodeSegment(answer->value, this->HeadName());
   }
   if (!head.ok()) {
-    this->OnTrouble(ErrorId::kStoreMalformed);
+    this->OnStoreFailure(ErrorId::kStoreMalformed);
     return;
   }
   const std::int64_t version = answer.ok() ? answer->version : 0;
-  const ShardView::Taken taken = this->view.TakeHead(*head, version);
-  if (taken == ShardView::Taken::kStale) {
-    this->PumpAfter(this->tools.settings.retry_ms);
+  const ShardView::HeadUpdate update = this->view.ApplyHead(*head, version);
+  if (update == ShardView::HeadUpdate::kStale) {
+    this->ScheduleNextStep(this->dependencies.settings.retry_ms);
     return;
   }
-  this->impaired = false;
-  this->trouble_wait_ms = 0;
-  this->must_read = false;
-  this->view_call = call;
-  const bool undecided =
-      std::ranges::any_of(this->ops, [version](const Op& op) {
-        return op->undecided_at.has_value() && *op->undecided_at >= version;
+  this->store_failing = false;
+  this->backoff_ms = 0;
+  this->must_read_head = false;
+  this->view_confirmed_call = call;
+  const bool unresolved =
+      std::ranges::any_of(this->queued_ops, [version](const OpPtr& op) {
+        return op->unresolved_version.has_value() &&
+               *op->unresolved_version >= version;
       });
-  if (undecided) {
-    // The write may still land on this version: wait a little, then write
-    // again on the same version, which settles it one way or the other.
-    this->PumpAfter(this->tools.settings.retry_ms);
+  if (unresolved) {
+    // The unresolved write may still be applied to this version. Wait for it,
+    // then write on the same version: only one of the two writes can succeed.
+    this->ScheduleNextStep(this->dependencies.settings.retry_ms);
     return;
   }
-  this->Pump();
+  this->RunNextStep();
 }
 
 void ShardLog::ReadArchive(std::int64_t number) {
   this->busy = true;
-  ++this->calls;
+  ++this->store_calls;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.store->Get(
+  this->dependencies.store->Get(
       kClaims, this->ArchiveName(number),
       [weak, number](const absl::StatusOr<StoredObject>& answer) {
         if (const std::shared_ptr<ShardLog> self = weak.lock()) {
           self->busy = false;
-          self->OnArchive(answer, number);
-          self->Flush();
+          self->OnArchiveRead(answer, number);
+          self->RunCallbacks();
         }
       });
 }
 
-void ShardLog::OnArchive(const absl::StatusOr<StoredObject>& answer,
-                         std::int64_t number) {
+void ShardLog::OnArchiveRead(const absl::StatusOr<StoredObject>& answer,
+                             std::int64_t number) {
   if (!answer.ok()) {
-    // Absent: dropped since the head was read, so that the head tells more.
-    this->must_read = true;
-    this->OnTrouble(ErrorId::kStoreUnavailable);
+    // If it is missing, it was dropped after the head was read, and a newer
+    // head says so.
+    this->must_read_head = true;
+    this->OnStoreFailure(ErrorId::kStoreUnavailable);
     return;
   }
   const absl::StatusOr<ClaimSegment> segment =
       DecodeSegment(answer->value, this->ArchiveName(number));
   if (!segment.ok() || segment->number != number) {
-    this->OnTrouble(ErrorId::kStoreMalformed);
+    this->OnStoreFailure(ErrorId::kStoreMalformed);
     return;
   }
-  this->view.TakeArchive(*segment);
-  this->Pump();
+  this->view.AddArchivedSegment(*segment);
+  this->RunNextStep();
 }
 
-ClaimEntry ShardLog::NextEntry(const ShardOp& op, std::int64_t last_ms) const {
+ClaimEntry ShardLog::BuildEntry(const ShardOp& op, std::int64_t last_ms) const {
   ClaimEntry entry = op.entry;
   if (op.withdrawn) {
     entry.kind = EntryKind::kRelease;
   }
-  // Stamps never go down along the log, whatever the hosts' clocks say, and a
-  // claim's is never below what its key is looked for from.
-  entry.unix_ms = std::max({this->tools.clock->WallMs(), last_ms,
-                            op.span.forgettable ? 0 : op.span.earliest_ms});
-  entry.host = this->tools.settings.host;
+  // Timestamps never decrease along the log, even if the hosts' clocks differ,
+  // and a claim's is never below the start of its key's search range.
+  entry.unix_ms =
+      std::max({this->dependencies.clock->WallMs(), last_ms,
+                op.search_range.forgettable ? 0 : op.search_range.earliest_ms});
+  entry.host = this->dependencies.settings.host;
   entry.encoded = EncodeEntry(entry);
   return entry;
 }
 
-ClaimSegment ShardLog::NextHead(const std::vector<Op>& batch) const {
+ClaimSegment ShardLog::BuildNextHead(const std::vector<OpPtr>& batch) const {
   ClaimSegment next = this->view.Head();
   if (next.sealed) {
-    next.prior_ms = next.LastMs();
+    next.prior_ms = next.LastTimestampMs();
     next.sealed = false;
     next.entries.clear();
     ++next.number;
-    for (const ClaimSegment& dropped : this->dropping) {
+    for (const ClaimSegment& dropped : this->expired_segments) {
       next.oldest = dropped.number + 1;
-      next.dropped_ms = dropped.LastMs();
+      next.dropped_ms = dropped.LastTimestampMs();
     }
   }
-  std::size_t bytes = BytesOf(next);
-  for (const Op& op : batch) {
-    // However small the bound is, an update carries something.
-    const bool full = bytes >= this->tools.settings.segment_bytes;
+  std::size_t bytes = EncodedSize(next);
+  for (const OpPtr& op : batch) {
+    // An update has at least one entry, even if that exceeds the segment size.
+    const bool full = bytes >= this->dependencies.settings.segment_bytes;
     if (full && !next.entries.empty()) {
       break;
     }
-    next.entries.push_back(this->NextEntry(*op, next.LastMs()));
+    next.entries.push_back(this->BuildEntry(*op, next.LastTimestampMs()));
     bytes += next.entries.back().encoded.size() + 1;
     op->in_flight = true;
   }
-  next.sealed = bytes >= this->tools.settings.segment_bytes;
+  next.sealed = bytes >= this->dependencies.settings.segment_bytes;
   return next;
 }
 
-void ShardLog::WriteHead(const std::vector<Op>& batch) {
+void ShardLog::WriteHead(const std::vector<OpPtr>& batch) {
   this->busy = true;
-  const std::uint64_t call = ++this->calls;
-  this->written_ms = this->tools.clock->MonotonicMs();
-  const auto next = std::make_shared<const ClaimSegment>(this->NextHead(batch));
+  const std::uint64_t call = ++this->store_calls;
+  this->last_write_ms = this->dependencies.clock->MonotonicMs();
+  const auto next =
+      std::make_shared<const ClaimSegment>(this->BuildNextHead(batch));
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.store->Put(
+  this->dependencies.store->Put(
       kClaims, this->HeadName(), EncodeSegment(*next), this->view.Version(),
       [weak, batch, next, call](const absl::StatusOr<std::int64_t>& answer) {
         if (const std::shared_ptr<ShardLog> self = weak.lock()) {
           self->busy = false;
-          self->OnWritten(answer, batch, *next, call);
-          self->Flush();
+          self->OnHeadWritten(answer, batch, *next, call);
+          self->RunCallbacks();
         }
       });
 }
 
-void ShardLog::OnWritten(const absl::StatusOr<std::int64_t>& answer,
-                         const std::vector<Op>& batch,
-                         const ClaimSegment& segment, std::uint64_t call) {
+void ShardLog::OnHeadWritten(const absl::StatusOr<std::int64_t>& answer,
+                             const std::vector<OpPtr>& batch,
+                             const ClaimSegment& segment, std::uint64_t call) {
   const ErrorId id =
       answer.ok() ? ErrorId::kInternal : DetailOf(answer.status()).id;
-  // A conflict too is settled only by reading: the write may have met its own
-  // earlier copy, where something on the way sent it twice.
-  const bool undecided =
+  // A conflict does not show that the write failed: if a client or proxy sent
+  // it twice, it conflicts with its own first copy. Only a read resolves it.
+  const bool unresolved =
       id == ErrorId::kStoreUnknown || id == ErrorId::kStoreConflict;
-  for (const Op& op : batch) {
-    if (op->in_flight && undecided) {
-      op->undecided_at = this->view.Version();
+  for (const OpPtr& op : batch) {
+    if (op->in_flight && unresolved) {
+      op->unresolved_version = this->view.Version();
     }
     op->in_flight = false;
   }
   if (answer.ok()) {
-    this->impaired = false;
-    this->view_call = call;
-    this->view.TakeHead(segment, *answer);
-    this->DropSegments();
-    if (this->view.Index().Size() > this->tools.settings.max_index_entries) {
-      this->view.Shrink();
+    this->store_failing = false;
+    this->view_confirmed_call = call;
+    this->view.ApplyHead(segment, *answer);
+    this->DeleteExpiredSegments();
+    if (this->view.Index().Size() >
+        this->dependencies.settings.max_index_entries) {
+      this->view.EvictOlderHalf();
     }
-    this->Pump();
+    this->RunNextStep();
     return;
   }
-  this->must_read = true;
+  this->must_read_head = true;
   if (id == ErrorId::kStoreUnavailable) {
-    this->OnTrouble(id);
+    this->OnStoreFailure(id);
     return;
   }
   this->ReadHead();
 }
 
-// A sealed head has one content for good: whoever archives it writes the same,
-// and a conflict says that it stands.
+// A sealed head never changes, so every host archives the same content, and a
+// conflict means that the archive exists.
 void ShardLog::WriteArchive() {
   this->busy = true;
-  ++this->calls;
+  ++this->store_calls;
   const std::int64_t number = this->view.Head().number;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.store->Put(
+  this->dependencies.store->Put(
       kClaims, this->ArchiveName(number), EncodeSegment(this->view.Head()), 0,
       [weak, number](const absl::StatusOr<std::int64_t>& answer) {
         const std::shared_ptr<ShardLog> self = weak.lock();
@@ -228,39 +235,42 @@
         const ErrorId id =
             answer.ok() ? ErrorId::kInternal : DetailOf(answer.status()).id;
         if (answer.ok() || id == ErrorId::kStoreConflict) {
-          self->archived = number;
-          self->Pump();
+          self->archived_segment = number;
+          self->RunNextStep();
         } else if (id == ErrorId::kStoreUnknown) {
-          // The same write again says whether it stands.
-          self->PumpAfter(self->tools.settings.retry_ms);
+          // Repeating the write shows whether the archive exists.
+          self->ScheduleNextStep(self->dependencies.settings.retry_ms);
         } else {
-          self->OnTrouble(ErrorId::kStoreUnavailable);
+          self->OnStoreFailure(ErrorId::kStoreUnavailable);
         }
-        self->Flush();
+        self->RunCallbacks();
       });
 }
 
-// Before a roll: reads the oldest segments, to drop those of which everything
-// is older than the retention.
-void ShardLog::ReadOldest() {
+// Runs before a roll: reads the oldest segments one by one and collects those
+// whose last entry is older than the retention period.
+void ShardLog::ReadOldestSegment() {
   const ClaimSegment& head = this->view.Head();
-  if (this->dropping.empty() || this->dropping.back().number < head.oldest) {
-    this->dropping.clear();
+  if (this->expired_segments.empty() ||
+      this->expired_segments.back().number < head.oldest) {
+    this->expired_segments.clear();
   }
-  const std::int64_t next =
-      this->dropping.empty() ? head.oldest : this->dropping.back().number + 1;
-  if (next >= head.number || this->dropping.size() >= kDropsPerRoll) {
-    this->swept = head.number;
-    this->Pump();
+  const std::int64_t next = this->expired_segments.empty()
+                                ? head.oldest
+                                : this->expired_segments.back().number + 1;
+  if (next >= head.number ||
+      this->expired_segments.size() >= kMaxExpiredSegmentsPerRoll) {
+    this->expiry_checked_segment = head.number;
+    this->RunNextStep();
     return;
   }
   this->busy = true;
-  ++this->calls;
-  const std::int64_t swept_for = head.number;
+  ++this->store_calls;
+  const std::int64_t head_number = head.number;
   const std::weak_ptr<ShardLog> weak = this->weak_from_this();
-  this->tools.store->Get(
+  this->dependencies.store->Get(
       kClaims, this->ArchiveName(next),
-      [weak, swept_for](const absl::StatusOr<StoredObject>& answer) {
+      [weak, head_number](const absl::StatusOr<StoredObject>& answer) {
         const std::shared_ptr<ShardLog> self = weak.lock();
         if (!self) {
           return;
@@ -269,22 +279,24 @@
         const absl::StatusOr<ClaimSegment> segment =
             answer.ok() ? DecodeSegment(answer->value, answer->name)
                         : absl::StatusOr<ClaimSegment>(answer.status());
-        const std::int64_t kept_from_ms =
-            self->tools.clock->WallMs() - self->tools.settings.retention_ms;
-        if (segment.ok() && segment->LastMs() < kept_from_ms) {
-          self->dropping.push_back(*segment);
+        const std::int64_t oldest_kept_ms =
+            self->dependencies.clock->WallMs() -
+            self->dependencies.settings.retention_ms;
+        if (segment.ok() && segment->LastTimestampMs() < oldest_kept_ms) {
+          self->expired_segments.push_back(*segment);
         } else {
-          self->swept = swept_for;
+          self->expiry_checked_segment = head_number;
         }
-        self->Pump();
-        self->Flush();
+        self->RunNextStep();
+        self->RunCallbacks();
       });
 }
 
-// The head no longer counts these segments, so that nobody reads them: what is
-// left behind by a lost answer takes room and does no harm.
-void ShardLog::DropSegments() {
-  const std::vector<ClaimSegment> dropped = std::exchange(this->dropping, {});
+// Deletes segments and large results that the head no longer lists. Nobody
+// reads them any more, so one that a lost reply leaves behind only takes space.
+void ShardLog::DeleteExpiredSegments() {
+  const std::vector<ClaimSegment> dropped =
+      std::exchange(this->expired_segments, {});
   for (const ClaimSegment& segment : dropped) {
     if (segment.number >= this->view.Head().oldest) {
       continue;
@@ -293,11 +305,11 @@
     objects[0].kind = kClaims;
     objects[0].name = this->ArchiveName(segment.number);
     for (const ClaimEntry& entry : segment.entries) {
-      if (entry.result_apart) {
-        objects.push_back({kResults, NonceText(entry.nonce), 0, "", false});
+      if (entry.result_stored_separately) {
+        objects.push_back({kResults, EncodeNonce(entry.nonce), 0, "", false});
       }
     }
-    ObjectStore* const store = this->tools.store;
+    ObjectStore* const store = this->dependencies.store;
     for (const StoredObject& object : objects) {
       store->Get(object.kind, object.name,
                  [store](const absl::StatusOr<StoredObject>& found) {
@@ -310,30 +322,31 @@
   }
 }
 
-void ShardLog::OnTrouble(ErrorId id) {
-  this->impaired = true;
-  this->must_read = true;
-  this->RefuseWaiting(id);
-  // Longer each time: an object API that is down is not to be kept busy.
-  const ClaimSettings& settings = this->tools.settings;
-  this->trouble_wait_ms = std::clamp(2 * this->trouble_wait_ms,
-                                     settings.retry_ms, settings.max_retry_ms);
-  if (!this->ops.empty()) {
-    this->PumpAfter(this->trouble_wait_ms);
+void ShardLog::OnStoreFailure(ErrorId id) {
+  this->store_failing = true;
+  this->must_read_head = true;
+  this->RejectQueuedClaims(id);
+  // Exponential backoff, to spare an object API that is down.
+  const ClaimSettings& settings = this->dependencies.settings;
+  this->backoff_ms = std::clamp(2 * this->backoff_ms, settings.retry_ms,
+                                settings.max_retry_ms);
+  if (!this->queued_ops.empty()) {
+    this->ScheduleNextStep(this->backoff_ms);
   }
 }
 
-// A retry after the result: from the head where it still stands there, else
-// from its segment, and the body from its own object where it was large.
-void ShardLog::Replay(const Op& op) {
+// Answers a retry with the recorded result: from the head or an archived
+// segment, and for a large result from its own object.
+void ShardLog::ReplayResult(const OpPtr& op) {
   const KeyState state = this->view.Index().Find(op->entry.key_hash);
   const std::string peer = this->HeadName();
-  const std::int64_t come_back = this->tools.settings.outage_retry_after_ms;
-  ObjectStore* const store = this->tools.store;
+  const std::int64_t retry_after_ms =
+      this->dependencies.settings.outage_retry_after_ms;
+  ObjectStore* const store = this->dependencies.store;
   const ClaimService::ClaimDone done = std::exchange(op->claim_done, nullptr);
   const ClaimNonce nonce = state.nonce;
-  const auto fail = [done, peer, come_back] {
-    done(ClaimError(ErrorId::kClaimHeld, peer, come_back));
+  const auto fail = [done, peer, retry_after_ms] {
+    done(ClaimError(ErrorId::kClaimHeld, peer, retry_after_ms));
   };
   const auto deliver = [store, done, fail, nonce](const ClaimSegment& segment) {
     const auto entry =
@@ -344,11 +357,11 @@
       fail();
       return;
     }
-    if (!entry->result_apart) {
+    if (!entry->result_stored_separately) {
       done(ClaimAnswer(entry->result));
       return;
     }
-    store->Get(kResults, NonceText(nonce),
+    store->Get(kResults, EncodeNonce(nonce),
                [done, fail](const absl::StatusOr<StoredObject>& answer) {
                  if (!answer.ok()) {
                    fail();
@@ -364,7 +377,7 @@
                });
   };
   if (state.segment == this->view.Head().number) {
-    this->answers.push_back(
+    this->pending_callbacks.push_back(
         [deliver, head = this->view.Head()] { deliver(head); });
     return;
   }
--- a/src/claims/shard_op.cc
+++ b/src/claims/shard_op.cc
@@ -4,61 +4,64 @@
 namespace {
 
 bool IsHolder(const ShardOp& op, const KeyState& state) {
-  return state.standing == KeyStanding::kHeld && state.nonce == op.entry.nonce;
+  return state.status == KeyStatus::kHeld && state.nonce == op.entry.nonce;
 }
 
-Verdict JudgeWithdrawn(const ShardOp& op, const ShardView& view) {
+OpDecision DecideWithdrawn(const ShardOp& op, const ShardView& view) {
   if (IsHolder(op, view.Index().Find(op.entry.key_hash))) {
-    return Verdict::kRelease;
+    return OpDecision::kRelease;
   }
-  // Another host may write it at any later time: a release that stands first
-  // makes that claim void.
+  // The preferred host may still write the claim. A release that precedes it in
+  // the log makes it void.
   const bool released =
       view.Index().Has(op.entry.key_hash, op.entry.nonce, EntryKind::kRelease);
   if (op.forwarded && !released) {
-    return Verdict::kRelease;
+    return OpDecision::kRelease;
   }
-  // On the same version the delayed write can still land; any other write on
-  // that version takes its place for good.
-  return op.undecided_at.has_value() ? Verdict::kFence : Verdict::kSettled;
+  // The unresolved write can be applied as long as the head has the version
+  // that it is conditioned on. Any other write on that version rules it out.
+  return op.unresolved_version.has_value() ? OpDecision::kFence
+                                           : OpDecision::kResolved;
 }
 
-Verdict JudgeClaim(const ShardOp& op, const ShardView& view, bool is_fresh) {
-  // A forwarded claim whose sender has given up in the meantime.
+OpDecision DecideClaim(const ShardOp& op, const ShardView& view,
+                       bool is_fresh) {
+  // The host that forwarded this claim has given it up in the meantime.
   if (view.Index().Has(op.entry.key_hash, op.entry.nonce,
                        EntryKind::kRelease)) {
-    return Verdict::kGivenBack;
+    return OpDecision::kAlreadyReleased;
   }
   const KeyState state = view.Index().Find(op.entry.key_hash);
   if (IsHolder(op, state)) {
-    return Verdict::kGranted;
+    return OpDecision::kGranted;
   }
   const bool same_body = state.body_digest == op.entry.body_digest;
-  if (state.standing == KeyStanding::kDone) {
-    return same_body ? Verdict::kReplay : Verdict::kReused;
+  if (state.status == KeyStatus::kDone) {
+    return same_body ? OpDecision::kReplay : OpDecision::kReused;
   }
-  if (state.standing == KeyStanding::kHeld) {
-    // It may have been released or finished since.
+  if (state.status == KeyStatus::kHeld) {
+    // The holder may have released or completed it since the head was read.
     if (!is_fresh) {
-      return Verdict::kRefresh;
+      return OpDecision::kRefresh;
     }
-    return same_body ? Verdict::kHeld : Verdict::kReused;
+    return same_body ? OpDecision::kHeld : OpDecision::kReused;
   }
-  return view.MayBeDropped(op.span) ? Verdict::kExpired : Verdict::kAppend;
+  return view.MayHaveBeenDropped(op.search_range) ? OpDecision::kExpired
+                                                  : OpDecision::kAppend;
 }
 
 }  // namespace
 
-Verdict Judge(const ShardOp& op, const ShardView& view, bool is_fresh) {
+OpDecision DecideOp(const ShardOp& op, const ShardView& view, bool is_fresh) {
   if (op.withdrawn) {
-    return JudgeWithdrawn(op, view);
+    return DecideWithdrawn(op, view);
   }
   if (op.entry.kind == EntryKind::kClaim) {
-    return JudgeClaim(op, view, is_fresh);
+    return DecideClaim(op, view, is_fresh);
   }
-  const bool stands =
+  const bool is_recorded =
       view.Index().Has(op.entry.key_hash, op.entry.nonce, op.entry.kind);
-  return stands ? Verdict::kSettled : Verdict::kAppend;
+  return is_recorded ? OpDecision::kResolved : OpDecision::kAppend;
 }
 
 }  // namespace meadowthread
--- a/src/claims/shard_op.h
+++ b/src/claims/shard_op.h
@@ -10,51 +10,54 @@
 
 namespace meadowthread {
 
-/// @brief One thing that waits to be appended to a shard's log.
+/// @brief A claim, release or result that waits to be appended to a shard's
+/// log.
 struct ShardOp {
   ClaimEntry entry;
-  KeySpan span;
-  std::int64_t limit_ms = 0;     ///< wall time at which its asker gives up
-  std::int64_t deadline_ms = 0;  ///< of the request, for a claim
-  std::uint64_t arrived = 0;     ///< the count of store calls at its arrival
-  /// The version that an undecided write carrying this was conditioned on.
-  std::optional<std::int64_t> undecided_at;
-  bool in_flight = false;
-  bool forwarded = false;  ///< another host may write it too
-  /// Of another host, which alone knows whether it was sent: it is never given
-  /// back from here.
-  bool foreign = false;
-  /// A claim whose asker was answered: it is never sent, and given back where
-  /// it landed or may land.
+  KeySearchRange search_range;
+  std::int64_t limit_ms = 0;       ///< wall time at which it times out
+  std::int64_t deadline_ms = 0;    ///< of the request, for a claim
+  std::uint64_t arrival_call = 0;  ///< store calls made before it was queued
+  /// Head version that a write with this entry was conditioned on, while it is
+  /// unknown whether that write succeeded.
+  std::optional<std::int64_t> unresolved_version;
+  bool in_flight = false;  ///< part of the head update in progress
+  bool forwarded = false;  ///< the preferred host may write it too
+  /// Forwarded by another host. Only that host knows whether the request was
+  /// sent, so this host never releases the claim.
+  bool from_other_host = false;
+  /// A claim that was answered with an error. Its request is never sent, and it
+  /// is released if it was or may still be written.
   bool withdrawn = false;
   ClaimService::ClaimDone claim_done;
   ClaimService::Done done;
 
-  /// @brief Whether it may stand in the log, or come to.
-  bool MayLand() const {
-    return this->in_flight || this->forwarded || this->undecided_at.has_value();
+  /// @brief Whether its entry may be in the log or may still get there.
+  bool MayBeWritten() const {
+    return this->in_flight || this->forwarded ||
+           this->unresolved_version.has_value();
   }
 };
 
-/// @brief What is to be done with an operation on the view as it is.
-enum class Verdict {
-  kAppend,   ///< put its entry into the next update
-  kRelease,  ///< put a release of it into the next update
-  kFence,    ///< write anything, so that the undecided write cannot land
+/// @brief What to do with an operation, given the current view.
+enum class OpDecision {
+  kAppend,   ///< add its entry to the next update
+  kRelease,  ///< add a release of it to the next update
+  kFence,    ///< update the head, so that an unresolved write cannot be applied
   kRefresh,  ///< read the head first: the view is older than the operation
-  kGranted,
-  kHeld,
-  kReused,
-  kReplay,
-  kExpired,
-  kGivenBack,  ///< its own release stands before it
-  kSettled,    ///< it stands, or nothing of it can: forget it
+  kGranted,  ///< the log shows that it holds the key
+  kHeld,     ///< another claim holds the key
+  kReused,   ///< the key belongs to a request with another body
+  kReplay,   ///< answer with the recorded result
+  kExpired,  ///< a claim of the key may be in a dropped segment
+  kAlreadyReleased,  ///< the log has a release with its nonce
+  kResolved,         ///< its entry is in the log, or can no longer get there
 };
 
-/// @brief Judges one operation.
-/// @param[in] view covers the operation's span
+/// @brief Decides what to do with an operation.
+/// @param[in] view covers the operation's search range
 /// @param[in] is_fresh whether the view was read after the operation arrived
-Verdict Judge(const ShardOp& op, const ShardView& view, bool is_fresh);
+OpDecision DecideOp(const ShardOp& op, const ShardView& view, bool is_fresh);
 
 }  // namespace meadowthread
 
--- a/src/claims/shard_view.cc
+++ b/src/claims/shard_view.cc
@@ -3,98 +3,103 @@
 namespace meadowthread {
 namespace {
 
-// After so many segments that others filled, starting anew from the head is
-// cheaper than reading all of them.
-constexpr std::int64_t kLongestGap = 16;
+// If other hosts have filled more segments than this, dropping the index and
+// starting from the new head is cheaper than reading all of them.
+constexpr std::int64_t kMaxGapSegments = 16;
 
 }  // namespace
 
-ShardView::Taken ShardView::TakeHead(const ClaimSegment& new_head,
-                                     std::int64_t new_version) {
-  if (this->known && new_version == this->version) {
-    return Taken::kSame;
+ShardView::HeadUpdate ShardView::ApplyHead(const ClaimSegment& new_head,
+                                           std::int64_t new_version) {
+  if (this->has_head && new_version == this->version) {
+    return HeadUpdate::kSame;
   }
-  // Versions only grow: an older one is a stale read.
-  if (this->known && new_version < this->version) {
-    return Taken::kStale;
+  // Versions only increase, so an older one is a stale read.
+  if (this->has_head && new_version < this->version) {
+    return HeadUpdate::kStale;
   }
-  const std::int64_t moved = new_head.number - this->head.number;
+  const std::int64_t advanced_by = new_head.number - this->head.number;
   const bool gap_open = this->gap_next < this->gap_end;
-  if (!this->known || (moved > 0 && gap_open) || moved > kLongestGap) {
-    this->StartFrom(new_head);
-  } else if (moved == 0) {
+  if (!this->has_head || (advanced_by > 0 && gap_open) ||
+      advanced_by > kMaxGapSegments) {
+    this->ResetTo(new_head);
+  } else if (advanced_by == 0) {
     this->index.Add(new_head, this->head.entries.size());
   } else {
     this->gap_next = this->head.number;
-    this->gap_skip = this->head.entries.size();
+    this->gap_known_entries = this->head.entries.size();
     if (this->head.sealed) {
       ++this->gap_next;
-      this->gap_skip = 0;
+      this->gap_known_entries = 0;
     }
     this->gap_end = new_head.number;
     this->index.Add(new_head, 0);
   }
   this->head = new_head;
   this->version = new_version;
-  this->known = true;
-  return Taken::kNewer;
+  this->has_head = true;
+  return HeadUpdate::kNewer;
 }
 
-void ShardView::TakeArchive(const ClaimSegment& segment) {
+void ShardView::AddArchivedSegment(const ClaimSegment& segment) {
   if (this->gap_next < this->gap_end) {
-    this->index.Add(segment, this->gap_skip);
+    this->index.Add(segment, this->gap_known_entries);
     ++this->gap_next;
-    this->gap_skip = 0;
+    this->gap_known_entries = 0;
     return;
   }
   this->index.Add(segment, 0);
-  this->low = segment.number;
-  this->low_prior_ms = segment.prior_ms;
+  this->first_indexed = segment.number;
+  this->first_indexed_prior_ms = segment.prior_ms;
 }
 
-std::optional<std::int64_t> ShardView::MissingFor(const KeySpan& span) const {
+std::optional<std::int64_t> ShardView::NextSegmentToRead(
+    const KeySearchRange& search_range) const {
   if (this->gap_next < this->gap_end) {
     return this->gap_next;
   }
-  if (this->low <= this->head.oldest) {
+  if (this->first_indexed <= this->head.oldest) {
     return std::nullopt;
   }
-  // Stamps never go down along the log: with the last one before `low` below
-  // the earliest the key can have, nothing before `low` is the key's.
-  if (!span.forgettable && this->low_prior_ms < span.earliest_ms) {
+  // Timestamps never decrease along the log. If the last one before
+  // `first_indexed` is below the key's range, so are all earlier ones.
+  if (!search_range.forgettable &&
+      this->first_indexed_prior_ms < search_range.earliest_ms) {
     return std::nullopt;
   }
-  return this->low - 1;
+  return this->first_indexed - 1;
 }
 
-bool ShardView::MayBeDropped(const KeySpan& span) const {
-  return !span.forgettable && this->head.dropped_ms >= span.earliest_ms;
+bool ShardView::MayHaveBeenDropped(const KeySearchRange& search_range) const {
+  return !search_range.forgettable &&
+         this->head.dropped_ms >= search_range.earliest_ms;
 }
 
-void ShardView::Shrink() {
+void ShardView::EvictOlderHalf() {
   if (this->gap_next < this->gap_end) {
     return;
   }
-  const std::int64_t middle = (this->low + this->head.number + 1) / 2;
+  const std::int64_t middle = (this->first_indexed + this->head.number + 1) / 2;
   if (middle >= this->head.number) {
-    this->StartFrom(this->head);
+    this->ResetTo(this->head);
     return;
   }
   this->index.EvictBelow(middle);
-  // The stamp before `middle` is not kept; the head's own is never below it, so
-  // that at worst one segment too many is read again.
-  this->low = middle;
-  this->low_prior_ms = this->head.prior_ms;
+  // The last timestamp before `middle` is not stored. The one before the head
+  // is used instead: it is never smaller, so at worst one segment too many is
+  // read again.
+  this->first_indexed = middle;
+  this->first_indexed_prior_ms = this->head.prior_ms;
 }
 
-void ShardView::StartFrom(const ClaimSegment& new_head) {
+void ShardView::ResetTo(const ClaimSegment& new_head) {
   this->index.Clear();
   this->index.Add(new_head, 0);
-  this->low = new_head.number;
-  this->low_prior_ms = new_head.prior_ms;
+  this->first_indexed = new_head.number;
+  this->first_indexed_prior_ms = new_head.prior_ms;
   this->gap_next = 0;
   this->gap_end = 0;
-  this->gap_skip = 0;
+  this->gap_known_entries = 0;
 }
 
 }  // namespace meadowthread
--- a/src/claims/shard_view.h
+++ b/src/claims/shard_view.h
@@ -9,58 +9,62 @@
 
 namespace meadowthread {
 
-/// @brief Where a claim's key has to be looked for.
-struct KeySpan {
-  /// No claim of the key has a stamp below this; of no use for opaque keys.
+/// @brief The part of a log that may contain claims of a key.
+struct KeySearchRange {
+  /// No claim of the key has a timestamp below this; unused for opaque keys.
   std::int64_t earliest_ms = 0;
-  /// Claims may be forgotten after the retention (an opaque key).
+  /// An opaque key: its claims may be dropped after the retention period.
   bool forgettable = false;
 };
 
-/// @brief What a host knows of one shard's log: the head as of one version and
-/// the index of the segments read so far. Pure: it reads and writes nothing.
+/// @brief A host's copy of one shard's log: the head at one version, and an
+/// index of the segments read so far. It does no I/O.
 ///
-/// It may be stale. What is decided on it holds only if the conditional update
-/// on exactly `Version()` succeeds.
+/// The copy may be stale. A decision based on it is valid only if the
+/// conditional update on exactly `Version()` succeeds.
 class ShardView {
  public:
-  enum class Taken { kNewer, kSame, kStale };
+  /// @brief How a head relates to the one in the view.
+  enum class HeadUpdate { kNewer, kSame, kStale };
 
-  /// @brief Takes over a head that was read or written.
-  Taken TakeHead(const ClaimSegment& head, std::int64_t version);
+  /// @brief Replaces the head by one that was read or written, unless it is
+  /// older.
+  HeadUpdate ApplyHead(const ClaimSegment& head, std::int64_t version);
 
-  /// @brief Takes over the archived segment that MissingFor named.
-  void TakeArchive(const ClaimSegment& segment);
+  /// @brief Indexes the archived segment that NextSegmentToRead returned.
+  void AddArchivedSegment(const ClaimSegment& segment);
 
-  /// @brief The archived segment to read next before a key can be judged.
-  std::optional<std::int64_t> MissingFor(const KeySpan& span) const;
+  /// @brief The archived segment to read next before a key in this range can be
+  /// decided on; empty if none is missing.
+  std::optional<std::int64_t> NextSegmentToRead(
+      const KeySearchRange& search_range) const;
 
-  /// @brief Whether a claim of the key may stand in a dropped segment.
-  bool MayBeDropped(const KeySpan& span) const;
+  /// @brief Whether a claim of the key may have been in a dropped segment.
+  bool MayHaveBeenDropped(const KeySearchRange& search_range) const;
 
-  /// @brief Forgets the oldest segments read, to about half of the index.
-  void Shrink();
+  /// @brief Evicts the older half of the indexed segments.
+  void EvictOlderHalf();
 
-  /// @brief The version of the head; 0: none exists yet.
+  /// @brief The version of the head; 0 if no head exists yet.
   std::int64_t Version() const { return this->version; }
   const ClaimSegment& Head() const { return this->head; }
   const ClaimIndex& Index() const { return this->index; }
 
  private:
-  void StartFrom(const ClaimSegment& new_head);
+  void ResetTo(const ClaimSegment& new_head);
 
   ClaimSegment head;
   ClaimIndex index;
   std::int64_t version = 0;
-  bool known = false;
-  /// Segments low..head are in the index, but for those in the gap.
-  std::int64_t low = 0;
-  std::int64_t low_prior_ms = -1;
-  /// Segments gap_next..gap_end-1 are still to be read; of the first of them
-  /// gap_skip entries are known.
+  bool has_head = false;
+  /// Segments first_indexed..head are in the index, except those in the gap.
+  std::int64_t first_indexed = 0;
+  std::int64_t first_indexed_prior_ms = -1;
+  /// Segments gap_next..gap_end-1 have still to be read. The first
+  /// gap_known_entries entries of gap_next are already indexed.
   std::int64_t gap_next = 0;
   std::int64_t gap_end = 0;
-  std::size_t gap_skip = 0;
+  std::size_t gap_known_entries = 0;
 };
 
 }  // namespace meadowthread
--- a/src/claims/store_claim_service.h
+++ b/src/claims/store_claim_service.h
@@ -10,17 +10,18 @@
 
 namespace meadowthread {
 
-/// @brief Claims kept in the object API, the same on every host.
+/// @brief ClaimService that stores claims in the object API, where all hosts
+/// share them.
 ///
-/// All calls and answers are on the event loop's thread. Answers that are still
-/// to come when it is destroyed are not given.
+/// Calls and callbacks run on the event loop's thread. After destruction no
+/// more callbacks are called.
 class StoreClaimService final : public ClaimService {
  public:
-  /// @param[in] forwarder null: this host writes every shard's log itself
-  explicit StoreClaimService(const ClaimTools& tools,
+  /// @param[in] forwarder null: this host writes all shards' logs itself
+  explicit StoreClaimService(const ClaimDependencies& dependencies,
                              ClaimForwarder* forwarder = nullptr);
 
-  /// @brief Takes an operation that another host's forwarder sent here.
+  /// @brief Executes an operation that another host forwarded to this one.
   void TakeForwarded(const ForwardedOp& op,
                      const ClaimForwarder::ForwardDone& done);
 
@@ -33,15 +34,17 @@
  private:
   struct PendingResult;
 
-  absl::StatusOr<KeySpan> SpanOf(const ClaimRequest& request) const;
-  void AnswerLater(const ClaimDone& done, const absl::Status& status);
+  absl::StatusOr<KeySearchRange> SearchRangeFor(
+      const ClaimRequest& request) const;
+  void FailLater(const ClaimDone& done, const absl::Status& status);
   void Append(const ClaimGrant& grant, const ClaimEntry& entry,
               const Done& done);
   void PutResult(const std::shared_ptr<PendingResult>& pending);
 
-  ClaimTools tools;
+  ClaimDependencies dependencies;
   std::shared_ptr<ClaimRouter> router;
-  /// Lives as long as the service; pending answers hold it weakly.
+  /// Lives as long as the service. Callbacks hold a weak pointer to it, to
+  /// detect that the service was destroyed.
   std::shared_ptr<int> alive;
 };
 
--- a/src/claims/tests/claim_faults_test.cc
+++ b/src/claims/tests/claim_faults_test.cc
@@ -6,8 +6,8 @@
 namespace meadowthread {
 namespace {
 
-/// @brief A client that sends each write a second time by itself and gives the
-/// second answer.
+/// @brief A store client that sends each write twice and returns the reply to
+/// the second one.
 class ResendingStore final : public PassingStore {
  public:
   explicit ResendingStore(MemoryStore* store)
@@ -24,7 +24,7 @@
   MemoryStore* store;
 };
 
-Test(a_claim_whose_answer_is_lost, is_settled_by_reading_back) {
+Test(a_claim_with_a_lost_store_reply, is_resolved_by_reading_the_head) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites({WriteFault::kAnswerLost});
@@ -33,10 +33,10 @@
   const auto other = fixture.Claim(1, key);
   fixture.Run(100);
   cr_assert(mine->Granted());
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(a_claim_whose_answer_is_lost, is_sent_again_where_the_write_was_lost) {
+Test(a_claim_with_a_lost_store_reply, is_written_again_if_the_write_was_lost) {
   ClaimFixture fixture;
   fixture.store.FailWrites(
       {WriteFault::kRequestLost, WriteFault::kRequestLost});
@@ -46,43 +46,43 @@
   cr_assert(fixture.store.WriteCalls() == 3);
 }
 
-Test(a_claim_whose_answer_is_lost, may_meet_its_own_earlier_copy) {
+Test(a_claim_with_a_lost_store_reply, may_conflict_with_its_own_earlier_copy) {
   ClaimFixture fixture;
   ResendingStore resending(&fixture.store);
   const std::string key = fixture.Key("note");
-  ClaimTools tools;
-  tools.store = &resending;
-  tools.scheduler = &fixture.scheduler;
-  tools.clock = &fixture.clock;
-  tools.settings = fixture.settings;
-  fixture.hosts[0] = std::make_unique<StoreClaimService>(tools);
+  ClaimDependencies dependencies;
+  dependencies.store = &resending;
+  dependencies.scheduler = &fixture.scheduler;
+  dependencies.clock = &fixture.clock;
+  dependencies.settings = fixture.settings;
+  fixture.hosts[0] = std::make_unique<StoreClaimService>(dependencies);
   const auto mine = fixture.Claim(0, key);
-  fixture.RunUnanswered(5);
+  fixture.RunTimersOnly(5);
   fixture.store.Step();  // the head is read; the write is sent twice
   fixture.store.SetDown(true);
   fixture.Run(20);
-  // then: the conflict settles nothing, and neither does the outage
+  // then: neither the conflict nor the outage resolves the claim
   cr_assert(mine->times == 0);
   fixture.store.SetDown(false);
   fixture.Run(500);
   cr_assert(mine->Granted());
 }
 
-Test(a_delayed_write, that_lands_after_the_read_back_still_holds_the_key) {
+Test(a_delayed_write, applied_after_the_head_was_reread_still_holds_the_key) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites({WriteFault::kDelayed});
   const auto mine = fixture.Claim(0, key);
-  fixture.Run(20);  // the write is undecided and was read back
+  fixture.Run(20);  // the write is unresolved, and the head was read again
   cr_assert(mine->times == 0);
   fixture.store.ReleaseDelayed();
   const auto other = fixture.Claim(1, key);
   fixture.Run(200);
   cr_assert(mine->Granted());
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(a_delayed_write, loses_to_another_host_that_was_quicker) {
+Test(a_delayed_write, loses_to_an_earlier_write_of_another_host) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites({WriteFault::kDelayed});
@@ -93,20 +93,20 @@
   fixture.store.ReleaseDelayed();
   fixture.Run(200);
   cr_assert(other->Granted());
-  cr_assert(mine->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(mine->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(an_unsettled_claim, is_never_sent_and_given_back_later) {
+Test(an_unresolved_claim, is_never_sent_and_is_released_later) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites(std::vector<WriteFault>(500, WriteFault::kDelayed));
   const auto mine = fixture.Claim(0, key);
   fixture.Run(2'100);
-  {  // then: told at the limit, and truly
-    cr_assert(mine->Refused(ErrorId::kClaimUnsettled, Outcome::kNotRun));
+  {  // then: at the timeout the caller learns that the request was not run
+    cr_assert(mine->Rejected(ErrorId::kClaimUnsettled, Outcome::kNotRun));
     cr_assert(DetailOf(mine->answer.status()).retry_after_ms > 0);
   }
-  // when: it lands after all, and the object API recovers
+  // when: the writes are applied after all, and the object API recovers
   fixture.store.ReleaseDelayed();
   fixture.store.FailWrites({});
   while (fixture.store.WriteCalls() < 501) {
@@ -119,55 +119,55 @@
   cr_assert(mine->times == 1);
 }
 
-Test(an_unsettled_claim, is_fenced_off_before_it_is_forgotten) {
+Test(an_unresolved_claim, is_fenced_before_it_leaves_the_queue) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites({WriteFault::kDelayed});
-  // given: its request has given up while the write was under way
+  // given: the claim timed out while its write was in progress
   const auto mine = fixture.Claim(0, key, "body", 6);
   fixture.Run(300);
-  cr_assert(mine->Refused(ErrorId::kClaimUnsettled, Outcome::kNotRun));
-  // when: the write lands later than anything else
+  cr_assert(mine->Rejected(ErrorId::kClaimUnsettled, Outcome::kNotRun));
+  // when: the write arrives at the store after all other writes
   fixture.store.ReleaseDelayed();
   const auto retry = fixture.Claim(0, key);
   fixture.Run(200);
   cr_assert(retry->Granted());
 }
 
-Test(a_frozen_claimer, gets_no_grant_after_its_deadline) {
+Test(a_paused_host, gets_no_grant_after_the_deadline) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   const auto mine = fixture.Claim(0, key, "body", 1'000);
-  fixture.RunUnanswered(5);
+  fixture.RunTimersOnly(5);
   fixture.store.Step();          // the head is read; the write goes out
-  fixture.clock.Advance(1'500);  // frozen, with timers behind the answer
+  fixture.clock.Advance(1'500);  // paused; the reply is handled before timers
   fixture.store.Settle();
-  { cr_assert(mine->Refused(ErrorId::kDeadlinePassed, Outcome::kNotRun)); }
+  { cr_assert(mine->Rejected(ErrorId::kDeadlinePassed, Outcome::kNotRun)); }
   fixture.Run(100);
   const auto retry = fixture.Claim(1, key);
   fixture.Run(100);
   cr_assert(retry->Granted());
 }
 
-Test(a_frozen_claimer, that_sends_late_is_still_the_only_one) {
+Test(a_paused_host, still_holds_the_key_but_may_not_send_after_the_deadline) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   const auto mine = fixture.Claim(0, key, "body", 1'000);
   fixture.Run(100);
   cr_assert(mine->Grant().MaySend(fixture.clock.WallMs()));
-  fixture.clock.Advance(5'000);  // frozen between the check and the send
+  fixture.clock.Advance(5'000);  // paused between the check and the send
   const auto other = fixture.Claim(1, key);
   fixture.Run(100);
   cr_assert(!mine->Grant().MaySend(fixture.clock.WallMs()));
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(an_outage, refuses_claims_at_once_as_not_run) {
+Test(an_outage, rejects_claims_immediately_as_not_run) {
   ClaimFixture fixture;
   fixture.store.SetDown(true);
   const auto first = fixture.Claim(0, fixture.Key("note"));
   fixture.Run(5);
-  cr_assert(first->Refused(ErrorId::kStoreUnavailable, Outcome::kNotRun));
+  cr_assert(first->Rejected(ErrorId::kStoreUnavailable, Outcome::kNotRun));
   cr_assert(DetailOf(first->answer.status()).retry_after_ms > 0);
   fixture.store.SetDown(false);
   fixture.Run(100);
@@ -176,7 +176,7 @@
   cr_assert(after->Granted());
 }
 
-Test(an_outage, does_not_hide_what_is_known_of_a_key) {
+Test(an_outage, does_not_hide_the_last_known_state_of_a_key) {
   ClaimFixture fixture;
   const ClaimResult result = {200, "text/plain", "sent"};
   const std::string held = fixture.Key("held");
@@ -189,30 +189,30 @@
   const auto again = fixture.Claim(0, held);
   const auto retry = fixture.Claim(0, done);
   fixture.Run(100);
-  cr_assert(again->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(again->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
   cr_assert(retry->Replayed(result));
 }
 
-Test(an_outage, that_begins_with_a_write_under_way_leaves_it_unsettled) {
+Test(an_outage, that_begins_during_a_write_leaves_the_claim_unresolved) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   fixture.store.FailWrites({WriteFault::kDelayed});
   const auto mine = fixture.Claim(0, key);
-  fixture.RunUnanswered(5);
+  fixture.RunTimersOnly(5);
   fixture.store.Step();
   fixture.store.SetDown(true);
   fixture.Run(100);
   cr_assert(mine->times == 0);
   const auto late = fixture.Claim(0, fixture.Key("other"));
   fixture.Run(1);
-  cr_assert(late->Refused(ErrorId::kStoreUnavailable, Outcome::kNotRun));
+  cr_assert(late->Rejected(ErrorId::kStoreUnavailable, Outcome::kNotRun));
   fixture.store.SetDown(false);
   fixture.store.ReleaseDelayed();
   fixture.Run(200);
   cr_assert(mine->Granted());
 }
 
-Test(a_result, is_recorded_once_though_answers_are_lost) {
+Test(a_result, is_recorded_despite_lost_requests_and_replies) {
   ClaimFixture fixture;
   const ClaimResult result = {200, "text/plain", std::string(4'000, 'x')};
   const std::string key = fixture.Key("note");
@@ -226,7 +226,7 @@
   cr_assert(retry->Replayed(result));
 }
 
-Test(a_result, that_cannot_be_recorded_leaves_retries_unknown) {
+Test(a_result, that_cannot_be_recorded_makes_retries_report_unknown) {
   ClaimFixture fixture;
   const std::string key = fixture.Key("note");
   const auto mine = fixture.Claim(0, key);
@@ -235,11 +235,11 @@
   fixture.hosts[0]->RecordResult(
       mine->Grant(), {200, "", "x"},
       [](const absl::Status& status) { cr_assert(!status.ok()); });
-  fixture.Run(fixture.settings.record_limit_ms + 10);
+  fixture.Run(fixture.settings.record_timeout_ms + 10);
   fixture.store.SetDown(false);
   const auto retry = fixture.Claim(1, key);
   fixture.Run(100);
-  cr_assert(retry->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(retry->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
 }  // namespace
--- a/src/claims/tests/claim_fixture.h
+++ b/src/claims/tests/claim_fixture.h
@@ -15,8 +15,8 @@
 
 inline constexpr std::int64_t kStartMs = 1'700'000'000'000;
 
-/// @brief What a submission was told, once it was.
-struct Told {
+/// @brief The answers that one submitted claim has received.
+struct Submission {
   int times = 0;
   absl::StatusOr<ClaimAnswer> answer = absl::UnknownError("not yet");
 
@@ -29,21 +29,21 @@
            std::holds_alternative<ClaimResult>(*this->answer) &&
            std::get<ClaimResult>(*this->answer) == result;
   }
-  bool Refused(ErrorId id, Outcome outcome) const {
+  bool Rejected(ErrorId id, Outcome outcome) const {
     const ErrorDetail detail = DetailOf(this->answer.status());
     return this->times == 1 && detail.id == id && detail.outcome == outcome;
   }
   ClaimGrant Grant() const { return std::get<ClaimGrant>(*this->answer); }
 };
 
-/// @brief Segments that are full after four claims.
+/// @brief Settings whose segments are full after four claims.
 inline ClaimSettings SmallSegments() {
   ClaimSettings settings;
   settings.segment_bytes = 700;
   return settings;
 }
 
-/// @brief One object store, one virtual clock, and hosts that share them.
+/// @brief An object store, a virtual clock, and the hosts that share them.
 struct ClaimFixture {
   explicit ClaimFixture(int hosts = 2,
                         const ClaimSettings& changed = ClaimSettings{})
@@ -55,43 +55,44 @@
     }
   }
 
-  // The parts point at each other.
+  // Not copyable, as the members point to each other.
   ClaimFixture(const ClaimFixture&) = delete;
   ClaimFixture& operator=(const ClaimFixture&) = delete;
 
   std::unique_ptr<StoreClaimService> NewHost() {
-    ClaimTools tools;
-    tools.store = &this->store;
-    tools.scheduler = &this->scheduler;
-    tools.clock = &this->clock;
-    tools.settings = this->settings;
-    return std::make_unique<StoreClaimService>(tools);
+    ClaimDependencies dependencies;
+    dependencies.store = &this->store;
+    dependencies.scheduler = &this->scheduler;
+    dependencies.clock = &this->clock;
+    dependencies.settings = this->settings;
+    return std::make_unique<StoreClaimService>(dependencies);
   }
 
+  /// @brief A timed key with the current time.
   std::string Key(std::string_view text) const {
     return std::to_string(this->clock.WallMs() / 1000) + "-" +
            std::string(text);
   }
 
-  std::shared_ptr<Told> Claim(int host, std::string_view key,
-                              std::string_view body = "body",
-                              std::int64_t within_ms = 10'000) {
+  std::shared_ptr<Submission> Claim(int host, std::string_view key,
+                                    std::string_view body = "body",
+                                    std::int64_t timeout_ms = 10'000) {
     ClaimRequest request;
     request.workspace = "lukot";
     request.key = std::string(key);
     request.body_digest = Sha256Of(body);
     request.key_form = this->form;
-    request.deadline_unix_ms = this->clock.WallMs() + within_ms;
-    auto told = std::make_shared<Told>();
+    request.deadline_unix_ms = this->clock.WallMs() + timeout_ms;
+    auto submission = std::make_shared<Submission>();
     this->hosts[static_cast<std::size_t>(host)]->Claim(
-        request, [told](const absl::StatusOr<ClaimAnswer>& answer) {
-          ++told->times;
-          told->answer = answer;
+        request, [submission](const absl::StatusOr<ClaimAnswer>& answer) {
+          ++submission->times;
+          submission->answer = answer;
         });
-    return told;
+    return submission;
   }
 
-  /// @brief Runs timers and answers for a while of virtual time.
+  /// @brief Runs timers and store replies for some virtual time.
   void Run(std::int64_t for_ms) {
     for (std::int64_t i = 0; i <= for_ms; ++i) {
       do {
@@ -102,8 +103,8 @@
     }
   }
 
-  /// @brief Runs timers for a while, but gives no answer of the store.
-  void RunUnanswered(std::int64_t for_ms) {
+  /// @brief Advances the clock and runs the due timers, without store replies.
+  void RunTimersOnly(std::int64_t for_ms) {
     this->clock.Advance(for_ms);
     this->scheduler.RunDue();
   }
--- a/src/claims/tests/claim_forward_test.cc
+++ b/src/claims/tests/claim_forward_test.cc
@@ -5,9 +5,10 @@
 namespace meadowthread {
 namespace {
 
-/// @brief What becomes of an operation on its way to host 0.
-enum class Way { kThere, kDead, kLost, kAnswerLost };
+/// @brief The fault injected while an operation is forwarded to host 0.
+enum class ForwardFault { kNone, kHostDown, kRequestLost, kAnswerLost };
 
+/// @brief Forwards every operation to host 0.
 class FakeForwarder final : public ClaimForwarder {
  public:
   explicit FakeForwarder(ClaimFixture* fixture) : fixture(fixture) {}
@@ -18,22 +19,22 @@
                const ForwardDone& done) override {
     ++this->sent;
     this->last = op;
-    if (this->way == Way::kDead) {
+    if (this->fault == ForwardFault::kHostDown) {
       this->fixture->scheduler.After(
           1, [done] { done(absl::UnavailableError("no such host")); });
       return;
     }
-    if (this->way == Way::kLost) {
+    if (this->fault == ForwardFault::kRequestLost) {
       return;
     }
-    const ForwardDone told =
-        this->way == Way::kThere
+    const ForwardDone reply =
+        this->fault == ForwardFault::kNone
             ? done
             : [](const absl::StatusOr<ForwardedAnswer>&) {};
-    this->fixture->hosts[0]->TakeForwarded(op, told);
+    this->fixture->hosts[0]->TakeForwarded(op, reply);
   }
 
-  Way way = Way::kThere;
+  ForwardFault fault = ForwardFault::kNone;
   int sent = 0;
   ForwardedOp last;
 
@@ -41,16 +42,16 @@
   ClaimFixture* fixture;
 };
 
-/// @brief Host 1 forwards to host 0; host 2 writes by itself.
+/// @brief Host 1 forwards to host 0; host 2 writes the log itself.
 struct ForwardFixture : ClaimFixture {
   ForwardFixture() : ClaimFixture(3) {
-    ClaimTools tools;
-    tools.store = &this->store;
-    tools.scheduler = &this->scheduler;
-    tools.clock = &this->clock;
-    tools.settings = this->settings;
+    ClaimDependencies dependencies;
+    dependencies.store = &this->store;
+    dependencies.scheduler = &this->scheduler;
+    dependencies.clock = &this->clock;
+    dependencies.settings = this->settings;
     this->hosts[1] =
-        std::make_unique<StoreClaimService>(tools, &this->forwarder);
+        std::make_unique<StoreClaimService>(dependencies, &this->forwarder);
   }
 
   FakeForwarder forwarder{this};
@@ -73,11 +74,13 @@
   cr_assert(fixture.forwarder.sent == 3);
 }
 
-Test(a_forwarded_claim, is_written_from_here_where_the_way_fails) {
-  for (const Way way : {Way::kDead, Way::kLost, Way::kAnswerLost}) {
+Test(a_forwarded_claim, is_written_by_its_sender_if_forwarding_fails) {
+  for (const ForwardFault fault :
+       {ForwardFault::kHostDown, ForwardFault::kRequestLost,
+        ForwardFault::kAnswerLost}) {
     ForwardFixture fixture;
     const std::string key = fixture.Key("note");
-    fixture.forwarder.way = way;
+    fixture.forwarder.fault = fault;
     const auto mine = fixture.Claim(1, key);
     fixture.Run(400);
     cr_assert(mine->Granted());
@@ -88,23 +91,23 @@
   }
 }
 
-Test(a_forwarded_claim, is_given_back_by_its_sender_alone) {
+Test(a_forwarded_claim, is_released_by_its_sender_only) {
   ForwardFixture fixture;
   const std::string key = fixture.Key("note");
-  // given: host 0's clock runs ahead, so that it gives up long before host 1
+  // given: host 0's clock is ahead, so that it times out long before host 1
   ManualClock ahead(kStartMs + 900);
-  ClaimTools tools;
-  tools.store = &fixture.store;
-  tools.scheduler = &fixture.scheduler;
-  tools.clock = &ahead;
-  tools.settings = fixture.settings;
-  fixture.hosts[0] = std::make_unique<StoreClaimService>(tools);
-  fixture.forwarder.way = Way::kAnswerLost;
+  ClaimDependencies dependencies;
+  dependencies.store = &fixture.store;
+  dependencies.scheduler = &fixture.scheduler;
+  dependencies.clock = &ahead;
+  dependencies.settings = fixture.settings;
+  fixture.hosts[0] = std::make_unique<StoreClaimService>(dependencies);
+  fixture.forwarder.fault = ForwardFault::kAnswerLost;
   const auto mine = fixture.Claim(1, key, "body", 1'000);
-  fixture.RunUnanswered(5);
-  fixture.store.Step();  // the head is read, the write goes out and lands
-  fixture.RunUnanswered(100);
-  // when: host 0 has given up, and host 1 falls back
+  fixture.RunTimersOnly(5);
+  fixture.store.Step();  // the head is read; the write is sent and applied
+  fixture.RunTimersOnly(100);
+  // when: host 0 times out, and host 1 falls back to writing the log
   for (int i = 0; i < 10; ++i) {
     ahead.Advance(50);
     fixture.Run(50);
@@ -112,52 +115,52 @@
   const auto other = fixture.Claim(2, key);
   fixture.Run(50);
   cr_assert(mine->Granted());
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(a_forwarded_claim, that_is_granted_too_late_is_given_back) {
+Test(a_forwarded_claim, that_is_granted_after_its_deadline_is_released) {
   ForwardFixture fixture;
   const std::string key = fixture.Key("note");
   const auto mine = fixture.Claim(1, key, "body", 100);
-  fixture.RunUnanswered(5);
+  fixture.RunTimersOnly(5);
   fixture.store.Step();
   fixture.clock.Advance(150);
   fixture.store.Settle();
-  cr_assert(mine->Refused(ErrorId::kDeadlinePassed, Outcome::kNotRun));
+  cr_assert(mine->Rejected(ErrorId::kDeadlinePassed, Outcome::kNotRun));
   fixture.Run(100);
   const auto retry = fixture.Claim(2, key);
   fixture.Run(50);
   cr_assert(retry->Granted());
 }
 
-Test(a_forwarded_claim, that_arrives_after_it_was_given_up_is_void) {
+Test(a_forwarded_claim, that_arrives_after_its_release_is_void) {
   ForwardFixture fixture;
   const std::string key = fixture.Key("note");
-  fixture.forwarder.way = Way::kDead;
+  fixture.forwarder.fault = ForwardFault::kHostDown;
   fixture.store.SetDown(true);
   const auto mine = fixture.Claim(1, key);
   fixture.Run(50);
-  cr_assert(mine->Refused(ErrorId::kStoreUnavailable, Outcome::kNotRun));
+  cr_assert(mine->Rejected(ErrorId::kStoreUnavailable, Outcome::kNotRun));
   fixture.store.SetDown(false);
   fixture.Run(1'000);
-  // then: its release stands, so that a copy that comes now holds nothing
+  // then: its release is in the log, so a copy that arrives now holds nothing
   const int writes = fixture.store.WriteCalls();
   cr_assert(writes >= 1);
-  ErrorId told = ErrorId::kInternal;
+  ErrorId answer_id = ErrorId::kInternal;
   fixture.hosts[0]->TakeForwarded(
       fixture.forwarder.last,
-      [&told](const absl::StatusOr<ForwardedAnswer>& answer) {
-        told = DetailOf(answer->claim.status()).id;
+      [&answer_id](const absl::StatusOr<ForwardedAnswer>& answer) {
+        answer_id = DetailOf(answer->claim.status()).id;
       });
   fixture.Run(50);
-  cr_assert(told == ErrorId::kClaimUnsettled);
+  cr_assert(answer_id == ErrorId::kClaimUnsettled);
   cr_assert(fixture.store.WriteCalls() == writes);
   const auto retry = fixture.Claim(2, key);
   fixture.Run(50);
   cr_assert(retry->Granted());
 }
 
-Test(a_preferred_host, keeps_its_shards_when_another_goes) {
+Test(a_preferred_host, keeps_its_shards_when_another_host_is_removed) {
   const std::vector<std::string> all = {"a", "b", "c", "d"};
   const std::vector<std::string> fewer = {"a", "b", "d"};
   for (std::uint32_t shard = 0; shard < 64; ++shard) {
--- a/src/claims/tests/claim_log_test.cc
+++ b/src/claims/tests/claim_log_test.cc
@@ -7,20 +7,20 @@
 
 constexpr std::int64_t kHourMs = 3'600'000;
 
-// Claims `count` keys on host 0 and gives the last one's.
+// Claims `count` keys on host 0 and returns the last key.
 std::string Fill(ClaimFixture* fixture, int count, std::string_view name) {
   std::string key;
   for (int i = 0; i < count; ++i) {
     key = fixture->Key(std::string(name) + std::to_string(i));
-    const auto told = fixture->Claim(0, key);
+    const auto submission = fixture->Claim(0, key);
     fixture->Run(50);
-    cr_assert(told->Granted());
+    cr_assert(submission->Granted());
   }
   return key;
 }
 
-std::shared_ptr<StoredObject> Read(ClaimFixture* fixture,
-                                   std::string_view name) {
+std::shared_ptr<StoredObject> ReadClaimObject(ClaimFixture* fixture,
+                                              std::string_view name) {
   auto object = std::make_shared<StoredObject>();
   fixture->store.Get("claims", name,
                      [object](const absl::StatusOr<StoredObject>& answer) {
@@ -30,35 +30,35 @@
   return object;
 }
 
-Test(group_commit, puts_all_that_waits_into_one_write) {
+Test(group_commit, puts_all_queued_claims_into_one_write) {
   ClaimFixture fixture(1);
-  std::vector<std::shared_ptr<Told>> told;
-  told.reserve(100);
+  std::vector<std::shared_ptr<Submission>> submissions;
+  submissions.reserve(100);
   for (int i = 0; i < 100; ++i) {
-    told.push_back(fixture.Claim(0, fixture.Key(std::to_string(i))));
+    submissions.push_back(fixture.Claim(0, fixture.Key(std::to_string(i))));
   }
   fixture.Run(100);
-  for (const std::shared_ptr<Told>& one : told) {
-    cr_assert(one->Granted());
+  for (const std::shared_ptr<Submission>& submission : submissions) {
+    cr_assert(submission->Granted());
   }
   cr_assert(fixture.store.WriteCalls() == 1);
   cr_assert(fixture.store.ReadCalls() == 1);
 }
 
-Test(group_commit, has_one_write_in_flight) {
+Test(group_commit, has_only_one_write_in_flight) {
   ClaimFixture fixture(1);
   const auto first = fixture.Claim(0, fixture.Key("a"));
-  fixture.RunUnanswered(5);
+  fixture.RunTimersOnly(5);
   fixture.store.Step();
-  std::vector<std::shared_ptr<Told>> told;
+  std::vector<std::shared_ptr<Submission>> submissions;
   for (int i = 0; i < 50; ++i) {
-    told.push_back(fixture.Claim(0, fixture.Key(std::to_string(i))));
-    fixture.RunUnanswered(5);
+    submissions.push_back(fixture.Claim(0, fixture.Key(std::to_string(i))));
+    fixture.RunTimersOnly(5);
   }
   cr_assert(fixture.store.WriteCalls() == 1);
   fixture.Run(50);
   cr_assert(fixture.store.WriteCalls() == 2);
-  cr_assert(told.back()->Granted() && first->Granted());
+  cr_assert(submissions.back()->Granted() && first->Granted());
 }
 
 Test(a_stale_view, cannot_append) {
@@ -67,7 +67,7 @@
   Fill(&fixture, 1, "a");
   const auto warm = fixture.Claim(1, fixture.Key("b"));
   fixture.Run(50);
-  // given: host 1's view is as of now; host 0 goes on
+  // given: host 1's view is current; then host 0 claims another key
   const auto mine = fixture.Claim(0, key);
   fixture.Run(50);
   const int reads = fixture.store.ReadCalls();
@@ -75,26 +75,28 @@
   const auto other = fixture.Claim(1, key);
   fixture.Run(50);
   cr_assert(warm->Granted() && mine->Granted());
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
-  {  // then: it wrote on the old version, in vain, and read the new one
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
+  {  // then: its write on the old version failed, and it read the new head
     cr_assert(fixture.store.WriteCalls() == writes + 1);
     cr_assert(fixture.store.ReadCalls() == reads + 1);
   }
 }
 
-Test(a_full_segment, is_sealed_archived_and_followed) {
+Test(a_full_segment, is_sealed_archived_and_followed_by_a_new_one) {
   ClaimFixture fixture(1, SmallSegments());
   Fill(&fixture, 20, "a");
-  const auto head = DecodeSegment(Read(&fixture, "0.head")->value, "head");
+  const auto head =
+      DecodeSegment(ReadClaimObject(&fixture, "0.head")->value, "head");
   cr_assert(head.ok() && head->number >= 4);
   std::size_t entries = head->entries.size();
   std::int64_t last_ms = -1;
   for (std::int64_t i = 0; i < head->number; ++i) {
     const std::string name = "0." + std::to_string(i);
-    const auto segment = DecodeSegment(Read(&fixture, name)->value, name);
+    const auto segment =
+        DecodeSegment(ReadClaimObject(&fixture, name)->value, name);
     cr_assert(segment.ok() && segment->sealed && segment->number == i);
     cr_assert(segment->prior_ms == last_ms);
-    last_ms = segment->LastMs();
+    last_ms = segment->LastTimestampMs();
     entries += segment->entries.size();
   }
   cr_assert(entries == 20);
@@ -111,19 +113,19 @@
   }
 }
 
-Test(a_full_segment, takes_nothing_from_a_delayed_append) {
+Test(a_full_segment, does_not_lose_a_claim_whose_append_was_delayed) {
   ClaimFixture fixture(2, SmallSegments());
   const std::string key = fixture.Key("late");
   fixture.store.FailWrites({WriteFault::kDelayed});
   const auto late = fixture.Claim(1, key);
   fixture.Run(10);
-  Fill(&fixture, 8, "a");  // the head rolls meanwhile
+  Fill(&fixture, 8, "a");  // fills the head, so that a new segment follows
   fixture.store.ReleaseDelayed();
   fixture.Run(200);
   const auto other = fixture.Claim(0, key);
   fixture.Run(50);
   cr_assert(late->Granted());
-  cr_assert(other->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(other->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
 Test(a_restarted_host, finds_a_claim_in_an_archived_segment) {
@@ -135,11 +137,11 @@
     fixture.hosts[1] = fixture.NewHost();
     const auto again = fixture.Claim(1, key);
     fixture.Run(50);
-    cr_assert(again->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+    cr_assert(again->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
   }
 }
 
-Test(a_restarted_host, reads_no_further_back_than_a_timed_key_reaches) {
+Test(a_restarted_host, reads_no_segment_from_before_a_timed_keys_range) {
   ClaimFixture fixture(1, SmallSegments());
   Fill(&fixture, 20, "a");
   fixture.clock.Advance(kHourMs);
@@ -150,7 +152,7 @@
   cr_assert(fixture.store.ReadCalls() - reads <= 3);
 }
 
-Test(an_index_over_its_bound, is_read_again_where_it_is_needed) {
+Test(an_index_over_its_bound, rereads_evicted_segments_when_needed) {
   ClaimSettings settings = SmallSegments();
   settings.max_index_entries = 10;
   ClaimFixture fixture(1, settings);
@@ -158,7 +160,7 @@
   Fill(&fixture, 40, "a");
   const auto again = fixture.Claim(0, key);
   fixture.Run(50);
-  cr_assert(again->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(again->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
 Test(retention, drops_old_segments_and_their_results) {
@@ -169,12 +171,13 @@
   fixture.Run(50);
   cr_assert(fixture.Record(0, first->Grant(), {200, "", "x"}).ok());
   Fill(&fixture, 10, "a");
-  const std::string result = NonceText(first->Grant().nonce);
-  cr_assert(!Read(&fixture, "0.0")->value.empty());
+  const std::string result = EncodeNonce(first->Grant().nonce);
+  cr_assert(!ReadClaimObject(&fixture, "0.0")->value.empty());
   fixture.clock.Advance(25 * kHourMs);
   Fill(&fixture, 10, "b");
-  cr_assert(Read(&fixture, "0.0")->value.empty());
-  const auto head = DecodeSegment(Read(&fixture, "0.head")->value, "head");
+  cr_assert(ReadClaimObject(&fixture, "0.0")->value.empty());
+  const auto head =
+      DecodeSegment(ReadClaimObject(&fixture, "0.head")->value, "head");
   cr_assert(head->oldest > 0 && head->dropped_ms >= kStartMs);
   fixture.store.Get("results", result,
                     [](const absl::StatusOr<StoredObject>& answer) {
@@ -183,18 +186,18 @@
   fixture.store.Settle();
 }
 
-Test(retention, never_runs_a_timed_key_again_whatever_a_clock_says) {
+Test(retention, never_frees_a_timed_key_even_if_a_clock_is_wrong) {
   ClaimFixture fixture(1, SmallSegments());
   const std::string key = Fill(&fixture, 1, "first");
   Fill(&fixture, 10, "a");
-  // given: a host whose clock runs a day ahead drops what is minutes old
+  // given: a host whose clock is 25 h ahead drops entries that are minutes old
   ManualClock fast(kStartMs + 25 * kHourMs);
-  ClaimTools tools;
-  tools.store = &fixture.store;
-  tools.scheduler = &fixture.scheduler;
-  tools.clock = &fast;
-  tools.settings = fixture.settings;
-  StoreClaimService ahead(tools);
+  ClaimDependencies dependencies;
+  dependencies.store = &fixture.store;
+  dependencies.scheduler = &fixture.scheduler;
+  dependencies.clock = &fast;
+  dependencies.settings = fixture.settings;
+  StoreClaimService ahead(dependencies);
   for (int i = 0; i < 10; ++i) {
     ClaimRequest request;
     request.key = std::to_string(fast.WallMs() / 1000) + "-" + char('a' + i);
@@ -206,22 +209,24 @@
     fast.Advance(50);
     fixture.Run(50);
   }
-  cr_assert(Read(&fixture, "0.0")->value.empty());
+  cr_assert(ReadClaimObject(&fixture, "0.0")->value.empty());
   fixture.hosts[0] = fixture.NewHost();
   const auto again = fixture.Claim(0, key);
   fixture.Run(50);
-  cr_assert(again->Refused(ErrorId::kIdempotencyKeyExpired, Outcome::kUnknown));
+  cr_assert(
+      again->Rejected(ErrorId::kIdempotencyKeyExpired, Outcome::kUnknown));
 }
 
-// A claim of `key` by a host with another clock, that steps before the write.
+// Claims `key` on a host with its own clock, which is moved by `step_ms`
+// between the claim and the write.
 bool ClaimOn(ClaimFixture* fixture, ManualClock* clock, std::string_view key,
              std::int64_t step_ms) {
-  ClaimTools tools;
-  tools.store = &fixture->store;
-  tools.scheduler = &fixture->scheduler;
-  tools.clock = clock;
-  tools.settings = fixture->settings;
-  StoreClaimService service(tools);
+  ClaimDependencies dependencies;
+  dependencies.store = &fixture->store;
+  dependencies.scheduler = &fixture->scheduler;
+  dependencies.clock = clock;
+  dependencies.settings = fixture->settings;
+  StoreClaimService service(dependencies);
   ClaimRequest request;
   request.workspace = "lukot";
   request.key = std::string(key);
@@ -242,7 +247,7 @@
   return settings;
 }
 
-Test(a_claim, is_never_stamped_earlier_than_its_key_is_looked_for) {
+Test(a_claim, has_no_timestamp_before_its_keys_search_range) {
   ClaimFixture fixture(1, OneEntrySegments());
   ManualClock stepped(kStartMs);
   const std::string key = fixture.Key("note");
@@ -251,10 +256,10 @@
   fixture.hosts[0] = fixture.NewHost();
   const auto again = fixture.Claim(0, key);
   fixture.Run(50);
-  cr_assert(again->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(again->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(a_claim, is_found_behind_the_entry_of_a_slow_clock) {
+Test(a_claim, is_found_even_if_a_later_entry_came_from_a_slow_clock) {
   ClaimFixture fixture(1, OneEntrySegments());
   const std::string key = Fill(&fixture, 1, "first");
   ManualClock slow(kStartMs - kHourMs);
@@ -264,58 +269,60 @@
   fixture.hosts[0] = fixture.NewHost();
   const auto again = fixture.Claim(0, key);
   fixture.Run(50);
-  cr_assert(again->Refused(ErrorId::kClaimHeld, Outcome::kUnknown));
+  cr_assert(again->Rejected(ErrorId::kClaimHeld, Outcome::kUnknown));
 }
 
-Test(retention, deletes_nothing_that_the_head_still_counts) {
+Test(retention, deletes_no_segment_that_the_head_still_lists) {
   for (int steps = 0; steps < 10; ++steps) {
     ClaimFixture fixture(1, SmallSegments());
     Fill(&fixture, 12, "a");
     ManualClock ahead(kStartMs + 25 * kHourMs);
-    ClaimTools tools;
-    tools.store = &fixture.store;
-    tools.scheduler = &fixture.scheduler;
-    tools.clock = &ahead;
-    tools.settings = fixture.settings;
-    StoreClaimService dropper(tools);
+    ClaimDependencies dependencies;
+    dependencies.store = &fixture.store;
+    dependencies.scheduler = &fixture.scheduler;
+    dependencies.clock = &ahead;
+    dependencies.settings = fixture.settings;
+    StoreClaimService dropper(dependencies);
     ClaimRequest request;
     request.key = std::to_string(ahead.WallMs() / 1000) + "-b";
     request.deadline_unix_ms = ahead.WallMs() + 10'000;
-    // when: a host that would drop is overtaken by one that would not
+    // when: a host that would drop segments loses to one that would not
     dropper.Claim(request, [](const absl::StatusOr<ClaimAnswer>&) {});
-    fixture.RunUnanswered(5);
+    fixture.RunTimersOnly(5);
     for (int i = 0; i < steps; ++i) {
       fixture.store.Step();
     }
     fixture.Claim(0, fixture.Key("c"));
-    fixture.RunUnanswered(5);
+    fixture.RunTimersOnly(5);
     for (int i = 0; i < 10; ++i) {
       fixture.Run(50);
       ahead.Advance(50);
     }
-    const auto head = DecodeSegment(Read(&fixture, "0.head")->value, "head");
+    const auto head =
+        DecodeSegment(ReadClaimObject(&fixture, "0.head")->value, "head");
     for (std::int64_t i = head->oldest; i < head->number; ++i) {
-      cr_assert(!Read(&fixture, "0." + std::to_string(i))->value.empty());
+      cr_assert(
+          !ReadClaimObject(&fixture, "0." + std::to_string(i))->value.empty());
     }
   }
 }
 
-Test(a_lost_head, refuses_claims_of_hosts_that_knew_it) {
+Test(a_lost_head, makes_hosts_that_had_read_it_reject_claims) {
   ClaimFixture fixture(1);
   const std::string key = Fill(&fixture, 1, "a");
-  const std::int64_t version = Read(&fixture, "0.head")->version;
+  const std::int64_t version = ReadClaimObject(&fixture, "0.head")->version;
   fixture.store.Delete("claims", "0.head", version,
                        [](const absl::StatusOr<std::int64_t>&) {});
   fixture.Run(50);
   const auto other = fixture.Claim(0, fixture.Key("b"));
   fixture.Run(2'500);
-  {  // then: no new log is begun, in which the claims of the old one are free
-    cr_assert(other->Refused(ErrorId::kClaimUnsettled, Outcome::kNotRun));
-    cr_assert(Read(&fixture, "0.head")->value.empty());
+  {  // then: no new log is started, as it would free the keys of the old one
+    cr_assert(other->Rejected(ErrorId::kClaimUnsettled, Outcome::kNotRun));
+    cr_assert(ReadClaimObject(&fixture, "0.head")->value.empty());
   }
 }
 
-Test(writes, of_a_shard_keep_their_distance) {
+Test(writes, of_a_shard_are_at_least_the_write_interval_apart) {
   ClaimFixture fixture(1);
   for (int i = 0; i < 200; ++i) {
     fixture.Claim(0, fixture.Key(std::to_string(i)));
@@ -325,7 +332,7 @@
             1 + 200 / fixture.settings.write_interval_ms);
 }
 
-Test(a_malformed_log, refuses_claims_and_harms_nothing) {
+Test(a_malformed_log, rejects_claims_and_is_not_overwritten) {
   for (const std::string_view text :
        {"", "[]", "{\"entries\":[7],\"sealed\":false}",
         "{\"segment\":-1,\"sealed\":false,\"entries\":[]}",
@@ -333,9 +340,9 @@
     ClaimFixture fixture(1);
     fixture.store.Put("claims", "0.head", text, 0,
                       [](const absl::StatusOr<std::int64_t>&) {});
-    const auto told = fixture.Claim(0, fixture.Key("note"));
+    const auto submission = fixture.Claim(0, fixture.Key("note"));
     fixture.Run(50);
-    cr_assert(told->Refused(ErrorId::kStoreMalformed, Outcome::kNotRun));
+    cr_assert(submission->Rejected(ErrorId::kStoreMalformed, Outcome::kNotRun));
     cr_assert(fixture.store.WriteCalls() == 1);
   }
 }
--- a/src/claims/tests/claim_random_test.cc
+++ b/src/claims/tests/claim_random_test.cc
@@ -14,7 +14,7 @@
 constexpr int kSteps = 250;
 constexpr unsigned kDefaultSeeds = 2'000;
 
-/// @brief A host's own clock, some way off the others'.
+/// @brief A host's own wall clock, with a constant offset.
 class SkewedClock final : public Clock {
  public:
   SkewedClock(const Clock* base, std::int64_t skew_ms)
@@ -31,28 +31,32 @@
   std::int64_t skew_ms;
 };
 
-/// @brief Brings operations to host 0, with losses, delays and copies.
+/// @brief Forwards operations to host 0 with random losses, delays and
+/// duplicates.
 class LossyForwarder final : public ClaimForwarder {
  public:
   using Host = std::unique_ptr<StoreClaimService>;
 
   LossyForwarder(Scheduler* scheduler, std::mt19937* random, const Host* host,
-                 bool doubles)
-      : scheduler(scheduler), random(random), host(host), doubles(doubles) {}
+                 bool duplicates)
+      : scheduler(scheduler),
+        random(random),
+        host(host),
+        duplicates(duplicates) {}
 
   std::string PreferredHost(std::uint32_t) const override { return "0"; }
 
   void Forward(std::string_view, const ForwardedOp& op,
                const ForwardDone& done) override {
-    const unsigned copies = (*this->random)() % (this->doubles ? 3 : 2);
+    const unsigned copies = (*this->random)() % (this->duplicates ? 3 : 2);
     for (unsigned i = 0; i < copies; ++i) {
       const bool answer_lost = (*this->random)() % 3 == 0;
-      const ForwardDone told =
+      const ForwardDone reply =
           answer_lost ? [](const absl::StatusOr<ForwardedAnswer>&) {} : done;
       this->scheduler->After(static_cast<std::int64_t>((*this->random)() % 800),
-                             [this, op, told] {
+                             [this, op, reply] {
                                if (*this->host) {
-                                 (*this->host)->TakeForwarded(op, told);
+                                 (*this->host)->TakeForwarded(op, reply);
                                }
                              });
     }
@@ -62,36 +66,38 @@
   Scheduler* scheduler;
   std::mt19937* random;
   const Host* host;
-  bool doubles;
+  bool duplicates;
 };
 
+/// @brief What the test has seen for one key.
 struct KeyRecord {
   std::string text;
-  int holders = 0;  ///< grants that were sent, or may still be
-  bool stuck = false;
+  int holders = 0;  ///< grants whose request was sent or may still be
+  /// A release was requested and is not known to be stored.
+  bool may_stay_held = false;
   std::optional<ClaimResult> result;
 };
 
-/// @brief Hosts, keys and faults drawn from one seed.
+/// @brief A run with random submissions, faults and clocks from one seed.
 class RandomRun {
  public:
   explicit RandomRun(unsigned seed) : random(seed), seed(seed) {
     this->fixture.settings.retention_ms = 20'000;
-    this->fixture.settings.key_margin_ms = 2'000;
-    this->fixture.settings.record_limit_ms = 3'000;
+    this->fixture.settings.clock_skew_margin_ms = 2'000;
+    this->fixture.settings.record_timeout_ms = 3'000;
     this->fixture.settings.inline_result_bytes = 20;
     this->fixture.settings.max_index_entries = 25;
-    this->restarts = this->Below(2) == 0;
-    this->forwards = this->Below(2) == 0;
-    this->doubles = this->forwards && this->Below(2) == 0;
+    this->restarts = this->RandomBelow(2) == 0;
+    this->forwards = this->RandomBelow(2) == 0;
+    this->duplicates = this->forwards && this->RandomBelow(2) == 0;
     for (int i = 0; i < kHosts; ++i) {
       this->clocks.push_back(std::make_unique<SkewedClock>(
-          &this->fixture.clock, this->Below(3'000) - 1'500));
+          &this->fixture.clock, this->RandomBelow(3'000) - 1'500));
       this->fixture.hosts.push_back(nullptr);
     }
     this->forwarder = std::make_unique<LossyForwarder>(
         &this->fixture.scheduler, &this->random, &this->fixture.hosts[0],
-        this->doubles);
+        this->duplicates);
     for (int i = 0; i < kHosts; ++i) {
       this->Restart(i);
     }
@@ -103,10 +109,10 @@
 
   void Run() {
     for (int i = 0; i < kSteps; ++i) {
-      this->Act(this->Below(16));
+      this->DoRandomAction(this->RandomBelow(16));
     }
     this->Recover();
-    this->CheckLogWhole();
+    this->CheckNoSegmentMissing();
     for (std::size_t key = 0; key < this->keys.size(); ++key) {
       this->CheckNotBlocked(key);
     }
@@ -115,7 +121,7 @@
   int grants = 0;
 
  private:
-  int Below(int bound) {
+  int RandomBelow(int bound) {
     return static_cast<int>(this->random() % static_cast<unsigned>(bound));
   }
 
@@ -127,51 +133,52 @@
   }
 
   void Restart(int host) {
-    ClaimTools tools;
-    tools.store = &this->fixture.store;
-    tools.scheduler = &this->fixture.scheduler;
-    tools.clock = this->clocks[static_cast<std::size_t>(host)].get();
-    tools.settings = this->fixture.settings;
+    ClaimDependencies dependencies;
+    dependencies.store = &this->fixture.store;
+    dependencies.scheduler = &this->fixture.scheduler;
+    dependencies.clock = this->clocks[static_cast<std::size_t>(host)].get();
+    dependencies.settings = this->fixture.settings;
     this->fixture.hosts[static_cast<std::size_t>(host)] =
-        std::make_unique<StoreClaimService>(tools, this->forwards && host > 0
-                                                       ? this->forwarder.get()
-                                                       : nullptr);
+        std::make_unique<StoreClaimService>(
+            dependencies,
+            this->forwards && host > 0 ? this->forwarder.get() : nullptr);
   }
 
-  void Act(int action) {
+  void DoRandomAction(int action) {
     if (action < 4) {
-      this->Submit(this->Below(kHosts),
-                   static_cast<std::size_t>(this->Below(kKeys)));
+      this->Submit(this->RandomBelow(kHosts),
+                   static_cast<std::size_t>(this->RandomBelow(kKeys)));
     } else if (action < 9) {
       this->fixture.store.Step();
     } else if (action < 12) {
-      this->fixture.clock.Advance(this->Below(40));
+      this->fixture.clock.Advance(this->RandomBelow(40));
       this->fixture.scheduler.RunDue();
     } else if (action == 12) {
-      this->fixture.store.FailWrites({static_cast<WriteFault>(this->Below(4))});
+      this->fixture.store.FailWrites(
+          {static_cast<WriteFault>(this->RandomBelow(4))});
     } else if (action == 13) {
       this->fixture.store.ReleaseDelayed();
     } else if (action == 14) {
-      this->fixture.store.SetDown(this->Below(4) == 0);
-    } else if (this->Below(8) == 0) {
-      this->fixture.clock.Advance(this->Below(9'000));
-    } else if (this->restarts && this->Below(4) == 0) {
-      this->Restart(this->Below(kHosts));
+      this->fixture.store.SetDown(this->RandomBelow(4) == 0);
+    } else if (this->RandomBelow(8) == 0) {
+      this->fixture.clock.Advance(this->RandomBelow(9'000));
+    } else if (this->restarts && this->RandomBelow(4) == 0) {
+      this->Restart(this->RandomBelow(kHosts));
       this->restarted = true;
     }
   }
 
   void Submit(int host, std::size_t key) {
-    const auto told = std::make_shared<int>(0);
+    const auto answers = std::make_shared<int>(0);
     ClaimRequest request;
     request.key = this->keys[key].text;
     request.deadline_unix_ms =
         this->clocks[static_cast<std::size_t>(host)]->WallMs() + 1 +
-        this->Below(1'000);
+        this->RandomBelow(1'000);
     this->fixture.hosts[static_cast<std::size_t>(host)]->Claim(
         request,
-        [this, host, key, told](const absl::StatusOr<ClaimAnswer>& answer) {
-          this->Check(++*told == 1, "answered once");
+        [this, host, key, answers](const absl::StatusOr<ClaimAnswer>& answer) {
+          this->Check(++*answers == 1, "a submission is answered once");
           this->OnAnswer(host, key, answer);
         });
   }
@@ -184,27 +191,28 @@
     }
     if (std::holds_alternative<ClaimResult>(*answer)) {
       this->Check(record.result == std::get<ClaimResult>(*answer),
-                  "a replay is the result");
+                  "a replay equals the recorded result");
       return;
     }
-    this->Check(record.holders == 0, "one holder at a time");
-    this->Check(!record.result.has_value(), "none after a result");
+    this->Check(record.holders == 0, "a key has one holder at a time");
+    this->Check(!record.result.has_value(), "no grant after a result");
     ++this->grants;
     const ClaimGrant grant = std::get<ClaimGrant>(*answer);
-    const int fate = this->Below(3);
+    const int next_action = this->RandomBelow(3);
     ClaimService* const service =
         this->fixture.hosts[static_cast<std::size_t>(host)].get();
-    if (fate == 0) {
-      // Not sent: given back. The release may be lost and then it stays held.
-      record.stuck = true;
+    if (next_action == 0) {
+      // Not sent, so released. If the release is lost, the key stays held.
+      record.may_stay_held = true;
       service->Release(grant, [&record](const absl::Status& status) {
-        record.stuck = !status.ok() && record.stuck;
+        record.may_stay_held = !status.ok() && record.may_stay_held;
       });
       return;
     }
     ++record.holders;
-    if (fate == 1) {
-      const std::string body(static_cast<std::size_t>(this->Below(40)), 'r');
+    if (next_action == 1) {
+      const std::string body(static_cast<std::size_t>(this->RandomBelow(40)),
+                             'r');
       record.result = ClaimResult{200, "text/plain", body};
       service->RecordResult(grant, *record.result, [](const absl::Status&) {});
     }
@@ -221,8 +229,8 @@
     this->fixture.store.Settle();
   }
 
-  // Every segment that the head counts as kept stands.
-  void CheckLogWhole() {
+  // Every segment that the head lists exists.
+  void CheckNoSegmentMissing() {
     ClaimSegment head;
     this->fixture.store.Get(
         "claims", "0.head", [&](const absl::StatusOr<StoredObject>& answer) {
@@ -234,18 +242,20 @@
     for (std::int64_t i = head.oldest; i < head.number; ++i) {
       this->fixture.store.Get("claims", "0." + std::to_string(i),
                               [&](const absl::StatusOr<StoredObject>& answer) {
-                                this->Check(answer.ok(), "kept segments stand");
+                                this->Check(answer.ok(),
+                                            "retained segments exist");
                               });
     }
     this->fixture.store.Settle();
   }
 
-  // Nobody was ever told that a key is held which no one holds.
+  // A key that nobody holds is not reported as held.
   void CheckNotBlocked(std::size_t key) {
     const KeyRecord& record = this->keys[key];
-    const bool was_held = record.holders > 0 || record.stuck;
-    // A doubled operation is safe, but the copy may hold the key in vain.
-    if (was_held || this->restarted || this->doubles) {
+    const bool was_held = record.holders > 0 || record.may_stay_held;
+    // A duplicated operation is safe, but the copy may hold the key although
+    // its request is never sent.
+    if (was_held || this->restarted || this->duplicates) {
       return;
     }
     absl::Status last;
@@ -259,7 +269,8 @@
           last = answer.status();
         });
     this->fixture.Run(50);
-    this->Check(DetailOf(last).id != ErrorId::kClaimHeld, "not blocked");
+    this->Check(DetailOf(last).id != ErrorId::kClaimHeld,
+                "a key without a holder can be claimed");
   }
 
   ClaimFixture fixture{0, SmallSegments()};
@@ -269,7 +280,7 @@
   unsigned seed;
   std::unique_ptr<LossyForwarder> forwarder;
   bool forwards = false;
-  bool doubles = false;
+  bool duplicates = false;
   bool restarts = false;
   bool restarted = false;
 };
