--- a/src/relay/stream_session.cc
+++ b/src/relay/stream_session.cc
@@ -33,13 +33,11 @@
 
 }  // namespace
 
-StreamSession::StreamSession(const RelayParts& deps,
-                             const StreamDependencies& stream_deps,
-                             EngineControl& control, const CallerWire& callers,
-                             RelayRequest request, RelayTerms terms,
-                             std::int64_t tokens_per_event,
-                             std::unique_ptr<ResponseWriter> writer,
-                             std::function<void()> ended)
+StreamSession::StreamSession(
+    const RelayDependencies& deps, const StreamDependencies& stream_deps,
+    EngineControl& control, const CallerProtocol& callers, RelayRequest request,
+    RelayTerms terms, std::int64_t tokens_per_event,
+    std::unique_ptr<ResponseWriter> writer, std::function<void()> ended)
     : deps(deps),
       stream_deps(stream_deps),
       control(control),
@@ -97,7 +95,7 @@
     }
     return;
   }
-  std::vector<CutEvent> new_events;
+  std::vector<RawSseEvent> new_events;
   if (!this->splitter.Feed(data, &new_events)) {
     this->CancelCall();
     this->Interrupt("an event is longer than its bound");
@@ -110,7 +108,7 @@
 
 // Events are numbered. Duplicates are dropped; a missing event can't be
 // recovered, so the stream is interrupted.
-void StreamSession::ForwardEvents(std::vector<CutEvent>* new_events) {
+void StreamSession::ForwardEvents(std::vector<RawSseEvent>* new_events) {
   const std::int64_t now_ms = this->deps.clock.MonotonicMs();
   const bool was_moved = this->phase == StreamPhase::kResuming;
   if (was_moved) {
@@ -143,7 +141,7 @@
   this->last_event_ms = now_ms;
   this->phase = StreamPhase::kStreaming;
   std::string bytes;
-  for (const CutEvent& event : *new_events) {
+  for (const RawSseEvent& event : *new_events) {
     if (event.id >= 0 && event.id <= this->last_id) {
       continue;
     }
@@ -241,7 +239,7 @@
       .WriteImportant();
   this->RecordAttemptEnd(AttemptResult::kGood);
   ++this->resumes;
-  const RetryAnswer answer =
+  const RetryDecision answer =
       this->deps.budgets.Of(this->terms.service)
           .Ask({this->resumes, this->deadline_ms, this->terms.max_attempts},
                this->deps.clock.MonotonicMs(), this->deps.random());
@@ -373,7 +371,7 @@
                "the engine did not begin in time", -1);
 }
 
-void StreamSession::EndWithHost(std::int64_t return_after_ms) {
+void StreamSession::EndForShutdown(std::int64_t return_after_ms) {
   if (this->phase != StreamPhase::kQueued) {
     this->Interrupt("the host ends");
     return;
@@ -447,7 +445,7 @@
       .Add("longest_gap_ms", this->longest_gap_ms)
       .Add("total_ms", this->deps.clock.MonotonicMs() - this->begun_ms);
   outcome == "complete" ? line.Write() : line.WriteImportant();
-  RelayEnd summary;
+  RelayRequestSummary summary;
   summary.route = this->terms.route;
   summary.service = this->terms.service;
   summary.outcome = std::string(outcome);
--- a/src/relay/stream_session.h
+++ b/src/relay/stream_session.h
@@ -11,12 +11,12 @@
 
 #include "base/lifetime.h"
 #include "net/response_writer.h"
-#include "policy/work.h"
+#include "policy/work_item.h"
 #include "quarantine/guarded_run.h"
-#include "relay/event_cutter.h"
-#include "relay/relay_parts.h"
+#include "relay/relay_dependencies.h"
 #include "relay/relay_request.h"
 #include "relay/run_move.h"
+#include "relay/sse_event_splitter.h"
 
 namespace meadowthread {
 
@@ -35,10 +35,10 @@
  public:
   /// @param[in] ended called once; the session has to be destroyed later, not
   /// within the call
-  StreamSession(const RelayParts& deps, const StreamDependencies& stream_deps,
-                EngineControl& control, const CallerWire& callers,
-                RelayRequest request, RelayTerms terms,
-                std::int64_t tokens_per_event,
+  StreamSession(const RelayDependencies& deps,
+                const StreamDependencies& stream_deps, EngineControl& control,
+                const CallerProtocol& callers, RelayRequest request,
+                RelayTerms terms, std::int64_t tokens_per_event,
                 std::unique_ptr<ResponseWriter> writer,
                 std::function<void()> ended);
   ~StreamSession() override;
@@ -58,7 +58,7 @@
   /// @brief Ends the stream because the host shuts down: reported as not run if
   /// it has not been sent to an engine, otherwise interrupted.
   /// @param[in] return_after_ms retry delay for a request that did not run
-  void EndWithHost(std::int64_t return_after_ms);
+  void EndForShutdown(std::int64_t return_after_ms);
 
   /// @brief Ends the stream if its content is the one that has been put into
   /// quarantine and no engine has begun to answer it.
@@ -111,7 +111,7 @@
 
   void RequestPlacement();
   bool RefuseIfQuarantined();
-  void OnPlacement(const ArrivalPlan& arrival, WorkItem work,
+  void OnPlacement(const StreamAdmissionPlan& arrival, WorkItem work,
                    const Decision& decision);
   void RetryPlacementAfter(std::int64_t after_ms);
   void Enqueue(const WorkItem& work, DecisionReason why, std::int64_t wait_ms);
@@ -120,7 +120,7 @@
   bool RefuseUnservable();
   std::int64_t ElapsedMs() const;
   void Send(const Backend& backend, const std::optional<Continuation>& from);
-  void ForwardEvents(std::vector<CutEvent>* new_events);
+  void ForwardEvents(std::vector<RawSseEvent>* new_events);
   void RecordLinkStall();
   void SendHeadOnce();
   void OnStreamEnd(const HttpEnd& end);
@@ -149,10 +149,10 @@
   std::int64_t RemainingMs() const;
   WorkItem MakeWork() const;
 
-  const RelayParts& deps;
+  const RelayDependencies& deps;
   const StreamDependencies& stream_deps;
   EngineControl& control;
-  const CallerWire& callers;
+  const CallerProtocol& callers;
   RelayRequest request;
   RelayTerms terms;
   GuardedRun guarded;
@@ -170,7 +170,7 @@
   ResponseHead head;  ///< as received from the first engine
   bool head_sent = false;
   std::string whole_body;  ///< of an answer that is not an event stream
-  EventCutter splitter;
+  SseEventSplitter splitter;
   std::int64_t events = 0;         ///< forwarded
   std::int64_t events_before = 0;  ///< forwarded before the last attempt
   std::int64_t last_id = -1;       ///< of the last event forwarded
--- a/src/relay/stream_session_placement.cc
+++ b/src/relay/stream_session_placement.cc
@@ -91,7 +91,7 @@
   if (this->RefuseIfQuarantined()) {
     return;
   }
-  const ArrivalPlan arrival = this->stream_deps.admission.Plan(
+  const StreamAdmissionPlan arrival = this->stream_deps.admission.Plan(
       {this->terms.target_latency_ms, this->ElapsedMs(), this->RemainingMs()});
   WorkItem work = this->MakeWork();
   work.first_event_within_ms = arrival.first_event_within_ms;
@@ -113,8 +113,8 @@
 
 // By now the caller may have disconnected and the engine may have left, as
 // another host may have chosen it by older information.
-void StreamSession::OnPlacement(const ArrivalPlan& arrival, WorkItem work,
-                                const Decision& decision) {
+void StreamSession::OnPlacement(const StreamAdmissionPlan& arrival,
+                                WorkItem work, const Decision& decision) {
   if (this->phase != StreamPhase::kQueued) {
     return;
   }
@@ -169,7 +169,7 @@
 
 void StreamSession::Enqueue(const WorkItem& work, DecisionReason why,
                             std::int64_t wait_ms) {
-  const DispatchAnswer queued = this->stream_deps.dispatcher.Offer(
+  const DispatchResult queued = this->stream_deps.dispatcher.Offer(
       work, this->deps.clock.WallMs(), this->deps.random());
   if (queued.verdict == AdmissionVerdict::kAdmitted) {
     this->SendTo(queued.decision);
@@ -210,7 +210,7 @@
 // has now.
 bool StreamSession::MaySendTo(std::string_view key) const {
   const Backend* const backend = this->deps.backends.Find(key);
-  return backend != nullptr && backend->TakesNew() &&
+  return backend != nullptr && backend->AcceptsNewRequests() &&
          MayRunIn(this->terms.homes, backend->region) &&
          this->deps.arrivals.May(key, this->deps.clock.MonotonicMs());
 }
@@ -247,7 +247,7 @@
   line.Add("request", this->request.id)
       .Add("workspace", this->terms.workspace)
       .Add("route", this->terms.route)
-      .Add("rule", RunRuleName(this->terms.rule))
+      .Add("rule", ExecutionRuleName(this->terms.rule))
       .Add("plan", this->terms.version)
       .Add("attempt", this->resumes + 1)
       .Add("engine", *decision.engine)
--- a/src/relay/tests/plan_in_force_test.cc
+++ b/src/relay/tests/active_routing_config_test.cc
@@ -1,5 +1,5 @@
 // Choosing a request's route and rules, and the requests that are refused.
-#include "relay/plan_in_force.h"
+#include "relay/active_routing_config.h"
 
 #include <criterion/criterion.h>
 
@@ -18,8 +18,8 @@
   return route;
 }
 
-ServicePlan MakeConfig(const std::string& version) {
-  ServicePlan config;
+RoutingConfig MakeConfig(const std::string& version) {
+  RoutingConfig config;
   config.version = version;
   config.routes = {Route("short", "a.example", "/x/"),
                    Route("long", "a.example", "/x/y/"),
@@ -39,7 +39,8 @@
   return request;
 }
 
-ErrorId Refusal(const PlanInForce& config, const RelayRequest& request) {
+ErrorId Refusal(const ActiveRoutingConfig& config,
+                const RelayRequest& request) {
   const auto terms = config.TermsOf(request, 0);
   cr_assert(!terms.ok());
   cr_assert(DetailOf(terms.status()).outcome == Outcome::kNotRun);
@@ -47,14 +48,14 @@
 }
 
 Test(a_host_without_a_configuration, refuses_requests_with_a_retry_delay) {
-  const PlanInForce config;
+  const ActiveRoutingConfig config;
   const auto terms = config.TermsOf(Request("a.example", "/x/", "key-1"), 0);
   cr_assert(DetailOf(terms.status()).id == ErrorId::kHostNotReady);
   cr_assert(DetailOf(terms.status()).retry_after_ms > 0);
 }
 
 Test(a_request, takes_the_route_with_the_longest_prefix) {
-  PlanInForce config;
+  ActiveRoutingConfig config;
   config.Take(MakeConfig("7"), 10);
   const auto route = [&config](const char* host, const char* path) {
     return config.TermsOf(Request(host, path, "key-1"), 0)->route;
@@ -70,17 +71,18 @@
 }
 
 Test(a_request, is_bound_to_the_regions_of_its_route_and_its_workspace) {
-  ServicePlan bound = MakeConfig("7");
+  RoutingConfig bound = MakeConfig("7");
   bound.routes[0].home_regions = {"manila", "cebu"};
   bound.workspaces[0].home_regions = {"cebu", "luzon"};
-  PlanInForce config;
+  ActiveRoutingConfig config;
   config.Take(bound, 10);
   const auto homes = [&config](const char* path, const char* key) {
     return config.TermsOf(Request("a.example", path, key), 0)->homes;
   };
-  cr_assert(homes("/x/", "key-1") == HomeRegions({"cebu"}), "both lists apply");
-  cr_assert(homes("/x/", "key-3") == HomeRegions({"manila", "cebu"}));
-  cr_assert(homes("/x/y/", "key-1") == HomeRegions({"cebu", "luzon"}));
+  cr_assert(homes("/x/", "key-1") == AllowedRegions({"cebu"}),
+            "both lists apply");
+  cr_assert(homes("/x/", "key-3") == AllowedRegions({"manila", "cebu"}));
+  cr_assert(homes("/x/y/", "key-1") == AllowedRegions({"cebu", "luzon"}));
   cr_assert(!homes("/x/y/", "key-3").has_value(), "neither list restricts it");
   bound.workspaces[0].home_regions = {"luzon"};
   config.Take(bound, 11);
@@ -89,7 +91,7 @@
 }
 
 Test(a_request, belongs_to_the_workspace_of_its_key) {
-  PlanInForce config;
+  ActiveRoutingConfig config;
   config.Take(MakeConfig("7"), 10);
   const auto makati = config.TermsOf(Request("a.example", "/x/", "key-2"), 0);
   cr_assert(makati->workspace == "makati" && makati->urgency == 1);
@@ -102,13 +104,13 @@
 }
 
 Test(a_request, needs_no_key_on_a_public_route_or_without_workspaces) {
-  PlanInForce config;
-  ServicePlan open = MakeConfig("7");
+  ActiveRoutingConfig config;
+  RoutingConfig open = MakeConfig("7");
   open.routes[0].is_public = true;
   config.Take(open, 10);
   cr_assert(
       config.TermsOf(Request("a.example", "/x/", ""), 0)->workspace.empty());
-  ServicePlan without = MakeConfig("8");
+  RoutingConfig without = MakeConfig("8");
   without.needs_keys = false;
   without.workspaces.clear();
   config.Take(without, 11);
@@ -116,14 +118,14 @@
 }
 
 Test(a_configuration, is_replaced_only_by_a_later_revision) {
-  PlanInForce config;
+  ActiveRoutingConfig config;
   int notified = 0;
   config.AddListener([&notified] { ++notified; });
   cr_assert(config.Take(MakeConfig("7"), 10));
   cr_assert(!config.Take(MakeConfig("6"), 9));
   cr_assert(!config.Take(MakeConfig("7"), 10));
   cr_assert(config.Plan()->version == "7" && notified == 1);
-  ServicePlan revoked = MakeConfig("8");
+  RoutingConfig revoked = MakeConfig("8");
   revoked.workspaces[0].keys = {"key-2"};
   cr_assert(config.Take(revoked, 11));
   cr_assert(Refusal(config, Request("a.example", "/x/", "key-1")) ==
@@ -131,8 +133,8 @@
 }
 
 Test(a_split_route, gives_each_service_its_weight) {
-  PlanInForce config;
-  ServicePlan split = MakeConfig("7");
+  ActiveRoutingConfig config;
+  RoutingConfig split = MakeConfig("7");
   split.routes[0].services = {{"new", 10}, {"old", 90}, {"none", 0}};
   config.Take(split, 10);
   int to_new = 0;
--- a/src/relay/tests/backend_list_test.cc
+++ b/src/relay/tests/backend_list_test.cc
@@ -57,7 +57,7 @@
   fixture.list.Set(InZone("a", "west"));
   fixture.changes.clear();
   fixture.list.SetZoneEmptied("west", true);
-  cr_assert(fixture.Usable() == 1 && !fixture.list.TakesNew("a"));
+  cr_assert(fixture.Usable() == 1 && !fixture.list.AcceptsNewRequests("a"));
   cr_assert(!fixture.list.Find("a")->leaving,
             "it has not left, so its runs go on");
   fixture.list.SetZoneEmptied("west", true);
@@ -71,11 +71,12 @@
   BackendListFixture fixture;
   fixture.list.SetZoneEmptied("west", true);
   fixture.list.Set(InZone("c", "west"));
-  cr_assert(!fixture.list.TakesNew("c"));
+  cr_assert(!fixture.list.AcceptsNewRequests("c"));
   fixture.list.Set(InZone("c", "east"));
-  cr_assert(fixture.list.TakesNew("c"), "its entry has another zone now");
+  cr_assert(fixture.list.AcceptsNewRequests("c"),
+            "its entry has another zone now");
   fixture.list.Set(InZone("a", "west"));
-  cr_assert(!fixture.list.TakesNew("a"));
+  cr_assert(!fixture.list.AcceptsNewRequests("a"));
 }
 
 Test(an_emptied_zone, lets_moves_in_progress_complete_for_a_second) {
--- a/src/relay/tests/call_session_test.cc
+++ b/src/relay/tests/call_session_test.cc
@@ -23,7 +23,7 @@
     this->terms.max_attempts = 2;
   }
 
-  CallSession& Begin(RunRule rule) {
+  CallSession& Begin(ExecutionRule rule) {
     this->terms.rule = rule;
     this->session = std::make_unique<CallSession>(
         this->deps, this->request, this->terms,
@@ -46,7 +46,7 @@
 
 Test(a_call, gets_its_servers_own_answer_once) {
   CallSessionFixture fixture(2);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Answer(0, 200, "done");
   cr_assert(fixture.results == 1 && fixture.result->body == "done");
   fixture.Advance(5'000);
@@ -57,7 +57,7 @@
 Test(a_call, that_could_not_connect_is_retried_without_using_the_budget) {
   CallSessionFixture fixture(3);
   const double saved = fixture.budgets.Of("svc").Saved();
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Break(0, false);
   cr_assert(fixture.client.sent.size() == 2);
   cr_assert(fixture.ServerOf(0) != fixture.ServerOf(1));
@@ -68,7 +68,7 @@
 
 Test(a_call, that_reached_no_server_at_all_has_not_run) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   for (std::size_t n = 0; n < 3; ++n) {
     fixture.client.Break(n, false);
   }
@@ -80,7 +80,7 @@
 
 Test(a_call, sends_each_server_the_remaining_time) {
   CallSessionFixture fixture(2);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.Header(0, "Left") == "1000");
   fixture.Advance(250);
   fixture.client.Break(0, false);
@@ -90,7 +90,7 @@
 Test(a_call_that_may_run_once,
      is_sent_once_and_has_unknown_outcome_after_reset) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Break(0, true);
   cr_assert(fixture.client.sent.size() == 1);
   cr_assert(fixture.results == 1 &&
@@ -101,7 +101,7 @@
 
 Test(a_call_that_may_run_once, returns_its_servers_own_error) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Answer(0, 500, "broken");
   cr_assert(fixture.client.sent.size() == 1);
   cr_assert(fixture.result->http_status == 500);
@@ -109,14 +109,14 @@
 
 Test(a_call_that_may_run_once, is_not_hedged) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.Advance(900);
   cr_assert(fixture.client.sent.size() == 1);
 }
 
 Test(a_rejected_call, is_retried_within_the_limit_of_its_route) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Reject(0);
   cr_assert(fixture.client.sent.size() == 2);
   fixture.client.Reject(1);
@@ -128,7 +128,7 @@
 
 Test(a_repeatable_call, is_sent_to_a_second_server_after_a_failure) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kRepeatable);
+  fixture.Begin(ExecutionRule::kRepeatable);
   fixture.client.Answer(0, 500, "broken");
   cr_assert(fixture.client.sent.size() == 2 && fixture.results == 0);
   fixture.client.Answer(1, 200, "done");
@@ -137,7 +137,7 @@
 
 Test(a_repeatable_call, is_hedged_after_twice_its_target) {
   CallSessionFixture fixture(3);
-  fixture.Begin(RunRule::kRepeatable);
+  fixture.Begin(ExecutionRule::kRepeatable);
   fixture.Advance(199);
   cr_assert(fixture.client.sent.size() == 1);
   fixture.Advance(1);
@@ -149,7 +149,7 @@
 
 Test(a_repeatable_call, waits_for_the_other_server_when_one_fails) {
   CallSessionFixture fixture(2);
-  fixture.Begin(RunRule::kRepeatable);
+  fixture.Begin(ExecutionRule::kRepeatable);
   fixture.Advance(200);
   fixture.client.Answer(0, 500, "broken");
   cr_assert(fixture.results == 0);
@@ -162,7 +162,7 @@
 Test(a_call_whose_first_attempt_may_have_run, is_not_reported_as_not_run) {
   {
     CallSessionFixture fixture(2);
-    fixture.Begin(RunRule::kRepeatable);
+    fixture.Begin(ExecutionRule::kRepeatable);
     fixture.client.Break(0, true);
     cr_assert(fixture.client.sent.size() == 2);
     fixture.client.Break(1, false);
@@ -172,7 +172,7 @@
   }
   {
     CallSessionFixture fixture(2);
-    fixture.Begin(RunRule::kRepeatable);
+    fixture.Begin(ExecutionRule::kRepeatable);
     fixture.client.Break(0, true);
     fixture.client.Reject(1);
     cr_assert(fixture.results == 1 &&
@@ -182,7 +182,7 @@
 
 Test(a_call_at_its_deadline, is_answered_at_once_with_the_known_outcome) {
   CallSessionFixture fixture(1);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.Advance(1'000);
   cr_assert(fixture.results == 1 &&
             fixture.Failure().outcome == Outcome::kUnknown);
@@ -192,7 +192,7 @@
 Test(a_call_at_its_deadline, follows_the_shorter_of_route_and_caller) {
   CallSessionFixture fixture(1);
   fixture.request.allowed_ms = 300;
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.Header(0, "Left") == "300");
   fixture.Advance(300);
   cr_assert(fixture.results == 1);
@@ -200,7 +200,7 @@
 
 Test(a_call_without_a_server, is_reported_as_not_run_with_a_retry_delay) {
   CallSessionFixture fixture(0);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.results == 1 &&
             fixture.Failure().outcome == Outcome::kNotRun);
   cr_assert(fixture.Failure().retry_after_ms > 0);
@@ -213,15 +213,15 @@
   entry.zone = "west";
   fixture.backends.Set(entry);
   fixture.backends.SetZoneEmptied("west", true);
-  fixture.Begin(RunRule::kRepeatable);
+  fixture.Begin(ExecutionRule::kRepeatable);
   fixture.Advance(5'000);
   cr_assert(fixture.client.sent.size() == 1);
 }
 
 Test(a_call_with_home_regions, is_sent_to_no_other_region) {
   CallSessionFixture fixture(1);
-  fixture.terms.homes = HomeRegions({"cebu"});
-  fixture.Begin(RunRule::kOnce);
+  fixture.terms.homes = AllowedRegions({"cebu"});
+  fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.client.sent.empty());
   cr_assert(fixture.Failure().id == ErrorId::kOutsideHomes);
   cr_assert(fixture.Failure().outcome == Outcome::kNotRun);
@@ -231,10 +231,10 @@
   CallSessionFixture fixture(1);
   fixture.arrivals.SetHosts(std::vector<std::string>{"self"});
   fixture.arrivals.SetServer("s-1", {1.0, 0.0}, 1'000'000'000);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Answer(0, 200, "done");
   cr_assert(fixture.result.ok());
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.client.sent.size() == 1);
   cr_assert(fixture.Failure().outcome == Outcome::kNotRun);
   cr_assert(fixture.Failure().retry_after_ms > 0);
@@ -243,7 +243,7 @@
 Test(a_call_under_a_claim, is_not_sent_after_the_claim_has_expired) {
   CallSessionFixture fixture(2);
   fixture.terms.send_until_unix_ms = fixture.clock.WallMs() + 100;
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.Advance(100);
   fixture.client.Break(0, false);
   cr_assert(fixture.client.sent.size() == 1);
@@ -253,7 +253,7 @@
 
 Test(a_call_whose_caller_left, is_cancelled_without_a_result) {
   CallSessionFixture fixture(2);
-  fixture.Begin(RunRule::kRepeatable).Abandon();
+  fixture.Begin(ExecutionRule::kRepeatable).Abandon();
   cr_assert(!fixture.client.IsOpen(0) && fixture.results == 0);
   fixture.Advance(5'000);
   cr_assert(fixture.client.sent.size() == 1 && fixture.results == 0);
@@ -262,7 +262,7 @@
 
 Test(an_unsigned_success, is_replaced_by_an_error) {
   CallSessionFixture fixture(1);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Head(0, 200, {});
   fixture.client.Data(0, "from an unknown sender");
   fixture.client.End(0, testing::FakeClient::Whole(200));
@@ -275,7 +275,7 @@
 // without an error status.
 Test(an_answer_beyond_the_size_limit, has_an_unknown_outcome) {
   CallSessionFixture fixture(1);
-  fixture.Begin(RunRule::kOnce);
+  fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Head(0, 200, {{std::string(testing::kSignedHeader), "yes"}});
   const std::string megabyte(std::size_t{1024} * 1024, 'x');
   for (int i = 0; i < 9; ++i) {
@@ -288,11 +288,11 @@
 
 Test(a_call_at_shutdown, is_reported_as_not_run_only_if_never_sent) {
   CallSessionFixture sent(1);
-  sent.Begin(RunRule::kOnce).EndWithHost(700);
+  sent.Begin(ExecutionRule::kOnce).EndForShutdown(700);
   cr_assert(sent.Failure().outcome == Outcome::kUnknown);
   cr_assert(sent.Failure().retry_after_ms == -1);
   CallSessionFixture unsent(0);
-  unsent.Begin(RunRule::kOnce).EndWithHost(700);
+  unsent.Begin(ExecutionRule::kOnce).EndForShutdown(700);
   cr_assert(unsent.results == 1);
   cr_assert(unsent.Failure().outcome == Outcome::kNotRun);
 }
--- a/src/relay/tests/engine_drainer_test.cc
+++ b/src/relay/tests/engine_drainer_test.cc
@@ -5,8 +5,8 @@
 
 #include <criterion/criterion.h>
 
-#include "relay/event_cutter.h"
 #include "relay/run_move.h"
+#include "relay/sse_event_splitter.h"
 #include "relay/tests/relay_fixture.h"
 
 namespace meadowthread {
@@ -257,13 +257,13 @@
       "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\n: comment\n\nid:2\ndata: "
       "c\n\n";
   for (std::size_t step = 1; step <= whole.size(); ++step) {
-    EventCutter cutter(1'000);
-    std::vector<CutEvent> events;
+    SseEventSplitter cutter(1'000);
+    std::vector<RawSseEvent> events;
     for (std::size_t at = 0; at < whole.size(); at += step) {
       cr_assert(cutter.Feed(whole.substr(at, step), &events));
     }
     std::string joined;
-    for (const CutEvent& event : events) {
+    for (const RawSseEvent& event : events) {
       joined += event.bytes;
     }
     cr_assert(joined == whole && cutter.Rest().empty());
@@ -274,11 +274,11 @@
 }
 
 Test(an_event_stream, holds_back_an_incomplete_event) {
-  EventCutter cutter(1'000);
-  std::vector<CutEvent> events;
+  SseEventSplitter cutter(1'000);
+  std::vector<RawSseEvent> events;
   cutter.Feed("id: 0\ndata: a\n\nid: 1\ndata: hal", &events);
   cr_assert(events.size() == 1 && cutter.Rest() == "id: 1\ndata: hal");
-  EventCutter small(10);
+  SseEventSplitter small(10);
   cr_assert(!small.Feed("data: more than ten bytes", &events));
 }
 
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -49,7 +49,7 @@
     return request;
   }
 
-  static RelayTerms Terms(RunRule rule, const std::string& workspace) {
+  static RelayTerms Terms(ExecutionRule rule, const std::string& workspace) {
     RelayTerms terms;
     terms.route = "route";
     terms.service = "svc";
@@ -69,12 +69,13 @@
     request.generation = GenerationSize{"m", 100, 100, 0};
     made.session = std::make_unique<StreamSession>(
         this->deps, this->stream_deps, this->control, this->callers, request,
-        Terms(RunRule::kStream, workspace), 4, made.caller.TakeWriter(), [] {});
+        Terms(ExecutionRule::kStream, workspace), 4, made.caller.TakeWriter(),
+        [] {});
     made.session->Begin();
     return made;
   }
 
-  void Call(const std::string& body, RunRule rule) {
+  void Call(const std::string& body, ExecutionRule rule) {
     this->calls.push_back(std::make_unique<CallSession>(
         this->deps, this->Request(body), Terms(rule, "makati"),
         [this](const absl::StatusOr<HttpResponse>& outcome) {
@@ -186,11 +187,11 @@
 
 Test(a_repeatable_call, is_not_retried_once_it_is_in_quarantine) {
   QuarantineFixture fixture(6);
-  fixture.Call(kCrashingPrompt, RunRule::kRepeatable);
+  fixture.Call(kCrashingPrompt, ExecutionRule::kRepeatable);
   fixture.CrashServer();  // by now the call has been sent to a second server
   cr_assert(fixture.Sent() == 2);
   fixture.CrashServer();
-  fixture.Call(kCrashingPrompt, RunRule::kRepeatable);
+  fixture.Call(kCrashingPrompt, ExecutionRule::kRepeatable);
   cr_assert(fixture.Sent() == 3);
   // Another host reports a crash of a third server before this call's
   // connection breaks.
--- a/src/relay/tests/relay_fixture.h
+++ b/src/relay/tests/relay_fixture.h
@@ -24,7 +24,7 @@
 #include "policy/pressure_chooser.h"
 #include "quarantine/tests/fake_listen_check.h"
 #include "relay/engine_control.h"
-#include "relay/relay_parts.h"
+#include "relay/relay_dependencies.h"
 
 namespace meadowthread::testing {
 
@@ -102,7 +102,7 @@
 };
 
 /// @brief A protocol that exposes the sessions' decisions as headers.
-class FakeBackendWire final : public BackendWire {
+class FakeBackendWire final : public BackendProtocol {
  public:
   HttpRequest RequestFor(const RelayRequest& request,
                          const SendTerms& terms) const override {
@@ -131,7 +131,7 @@
 };
 
 /// @brief Answers with the real problem documents.
-class FakeCallerWire final : public CallerWire {
+class FakeCallerWire final : public CallerProtocol {
  public:
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
     return RelayRequest{};
@@ -170,10 +170,10 @@
 
 /// @brief Collects the summaries of ended requests.
 struct FakeObserver final : public RelayObserver {
-  void OnRequestEnded(const RelayEnd& end) override {
+  void OnRequestEnded(const RelayRequestSummary& end) override {
     this->ends.push_back(end);
   }
-  std::vector<RelayEnd> ends;
+  std::vector<RelayRequestSummary> ends;
 };
 
 /// @brief The dependencies of a relay's sessions, with the network simulated by
@@ -228,24 +228,24 @@
   ManualScheduler scheduler{&this->clock};
   FakeClient client;
   FakeBackendWire wire;
-  NoEntryLapses no_grace;
+  NoEntryGracePeriod no_grace;
   BackendList backends{this->clock, this->scheduler, this->no_grace};
   BackendHealth health;
   RetryBudgets budgets{{1.0, 100.0}};
   FakeObserver observer;
   FakeListenCheck listen_check;
   Quarantine quarantine{this->listen_check, this->clock, this->scheduler};
-  ArrivalLimits arrivals{"self"};
+  ServerRateLimiter arrivals{"self"};
   std::mt19937_64 random{7};
-  RelayParts deps{this->clock,    this->scheduler, this->client,
-                  this->wire,     this->backends,  this->health,
-                  this->budgets,  this->observer,  this->quarantine,
-                  this->arrivals, this->random};
+  RelayDependencies deps{this->clock,    this->scheduler, this->client,
+                         this->wire,     this->backends,  this->health,
+                         this->budgets,  this->observer,  this->quarantine,
+                         this->arrivals, this->random};
   LearnedLengthModel lengths;
   FleetState fleet{this->lengths, FleetOptions{0, 7'000}};
   PressureChooser chooser{PressureOptions{}};
   Dispatcher dispatcher{this->fleet, this->chooser};
-  FirstTry first_tries;
+  FirstAttemptEstimator first_tries;
   StreamAdmission admission;
   LinkQuality links{"z"};
   LocalAllocation allocation{this->chooser, this->fleet, this->clock,
--- a/src/relay/tests/relay_test.cc
+++ b/src/relay/tests/relay_test.cc
@@ -12,7 +12,7 @@
 using testing::RelayFixture;
 
 /// @brief Reads every request as the same generation.
-class SingleStreamCaller final : public CallerWire {
+class SingleStreamCaller final : public CallerProtocol {
  public:
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
     RelayRequest request;
@@ -32,12 +32,12 @@
 /// @brief A relay with one stream at s-1, whose start time is 1,000.
 struct RestartingEngineFixture : RelayFixture {
   RestartingEngineFixture() : RelayFixture(1) {
-    ServicePlan made;
+    RoutingConfig made;
     RouteRule route;
     route.name = "route";
     route.host = "a.example";
     route.path_prefix = "/x/";
-    route.rule = RunRule::kStream;
+    route.rule = ExecutionRule::kStream;
     route.timeout_ms = 10'000;
     route.target_latency_ms = 1'000;
     route.services = {{"svc", 1}};
@@ -68,28 +68,28 @@
 
   FakeCaller caller;
   SingleStreamCaller caller_wire;
-  PlanInForce config;
+  ActiveRoutingConfig config;
   Relay relay{"host",        this->deps,        this->stream_deps,
               this->control, this->caller_wire, this->config};
 };
 
 Test(a_relay, ignores_reports_from_another_start_of_an_engine) {
   RestartingEngineFixture fixture;
-  fixture.relay.AskEngines();
+  fixture.relay.PollEngineStates();
   cr_assert(fixture.control.asked.size() == 1);
   fixture.control.asked[0](fixture.State(true, 2'000));
   cr_assert(!fixture.backends.Find("s-1")->leaving);
-  fixture.relay.AskEngines();
+  fixture.relay.PollEngineStates();
   fixture.control.asked.at(1)(fixture.State(true, 1'000));
   cr_assert(fixture.backends.Find("s-1")->leaving);
 }
 
 Test(a_relay, asks_an_engine_whose_entry_is_invalid) {
   RestartingEngineFixture fixture;
-  fixture.relay.AskEngines(true);
+  fixture.relay.PollEngineStates(true);
   cr_assert(fixture.control.asked.empty(), "its entry is valid");
   fixture.backends.SetAside("s-1");
-  fixture.relay.AskEngines(true);
+  fixture.relay.PollEngineStates(true);
   cr_assert(fixture.control.asked.size() == 1);
   fixture.control.asked[0](fixture.State(true, 1'000));
   cr_assert(fixture.backends.Find("s-1")->leaving);
@@ -97,7 +97,7 @@
 
 Test(a_relay, ignores_a_report_of_a_replaced_start) {
   RestartingEngineFixture fixture;
-  fixture.relay.AskEngines();
+  fixture.relay.PollEngineStates();
   const std::string next = fixture.StartAgain("s-1");
   fixture.control.asked.at(0)(fixture.State(true, 1'000));
   cr_assert(!fixture.backends.Find(next)->leaving);
--- a/src/relay/tests/retry_budgets_test.cc
+++ b/src/relay/tests/retry_budgets_test.cc
@@ -209,7 +209,7 @@
 Test(an_unreachable_server, is_reported_with_its_backoff) {
   BackendHealth health;
   std::vector<std::int64_t> backoffs;
-  health.SetListener([&backoffs](const HealthNews& update) {
+  health.SetListener([&backoffs](const HealthUpdate& update) {
     backoffs.push_back(update.aside_ms);
   });
   health.RecordAttempt("s", AttemptResult::kUnreachable, 1'000);
@@ -233,7 +233,7 @@
 Test(a_failing_server, has_a_high_failure_rate_that_decays) {
   BackendHealth health;
   double reported_rate = 0.0;
-  health.SetListener([&reported_rate](const HealthNews& update) {
+  health.SetListener([&reported_rate](const HealthUpdate& update) {
     reported_rate = update.failure_share;
   });
   for (int i = 0; i < 10; ++i) {
--- a/src/relay/tests/store_absence_test.cc
+++ b/src/relay/tests/store_outage_tracker_test.cc
@@ -1,5 +1,5 @@
 // Detecting outages of the store from its answers to this host and others.
-#include "relay/store_absence.h"
+#include "relay/store_outage_tracker.h"
 
 #include <criterion/criterion.h>
 
@@ -14,7 +14,7 @@
 struct OutageFixture {
   ManualClock clock{1'000'000};
   ManualScheduler scheduler{&this->clock};
-  StoreAbsence absence;
+  StoreOutageTracker absence;
   BackendList list{this->clock, this->scheduler, this->absence};
 
   OutageFixture() {
@@ -30,13 +30,13 @@
     this->list.Set(entry);
   }
   std::int64_t Now() const { return this->clock.MonotonicMs(); }
-  void Answer() { this->absence.NoteAnswer(this->Now()); }
+  void Answer() { this->absence.RecordAnswer(this->Now()); }
   /// @brief Another host reports answers in an interval that began and ended
   /// this long ago.
   void PeerUptime(std::int64_t from_ago_ms, std::int64_t to_ago_ms = 0) {
-    this->absence.NoteWord(
+    this->absence.RecordPeerUptime(
         {this->Now() - from_ago_ms, this->Now() - to_ago_ms});
-    this->list.ReviewLapsed();
+    this->list.ReviewGracePeriods();
   }
   void Advance(std::int64_t ms) {
     this->clock.Advance(ms);
@@ -133,9 +133,9 @@
   fixture.Advance(60'000);
   fixture.Answer();
   cr_assert(fixture.list.Remove("a"));
-  fixture.PeerUptime(60'000, StoreAbsence::kOutageMs);
+  fixture.PeerUptime(60'000, StoreOutageTracker::kOutageMs);
   cr_assert(fixture.Usable() == 2);
-  fixture.Advance(StoreAbsence::kRelistMs);
+  fixture.Advance(StoreOutageTracker::kReregistrationMs);
   cr_assert(fixture.Usable() == 1);
 }
 
@@ -145,7 +145,7 @@
   OutageFixture fixture;
   fixture.Advance(60'000);
   cr_assert(fixture.list.Remove("a"));
-  fixture.Advance(StoreAbsence::kUnknownMs);
+  fixture.Advance(StoreOutageTracker::kUnconfirmedGraceMs);
   cr_assert(fixture.Usable() == 1);
 }
 
@@ -155,9 +155,10 @@
   fixture.Advance(6'000);
   fixture.Answer();
   fixture.list.Remove("a");
-  fixture.Advance(StoreAbsence::kOutageMs);
+  fixture.Advance(StoreOutageTracker::kOutageMs);
   fixture.Answer();
-  fixture.Advance(StoreAbsence::kRelistMs - StoreAbsence::kOutageMs);
+  fixture.Advance(StoreOutageTracker::kReregistrationMs -
+                  StoreOutageTracker::kOutageMs);
   cr_assert(fixture.Usable() == 1);
 }
 
--- a/src/relay/tests/stream_session_test.cc
+++ b/src/relay/tests/stream_session_test.cc
@@ -26,7 +26,7 @@
     this->request.generation = GenerationSize{"m", 100, 100, 0};
     this->terms.route = "route";
     this->terms.service = "svc";
-    this->terms.rule = RunRule::kStream;
+    this->terms.rule = ExecutionRule::kStream;
     this->terms.timeout_ms = 10'000;
     this->terms.target_latency_ms = 1'000;
   }
@@ -362,7 +362,7 @@
   const std::string target = fixture.OtherEngine();
   cr_assert(fixture.session->MoveTo(target));
   fixture.EmptyZoneOf(target);
-  fixture.Advance(Backend::kGoesOnMs);
+  fixture.Advance(Backend::kEmptiedZoneGraceMs);
   fixture.control.Answer(MoveResult::kCopied, "h1");
   fixture.control.Answer(MoveResult::kCopied, "h2");
   fixture.CloseStream(0);
@@ -375,7 +375,7 @@
   cr_assert(fixture.session->MoveTo(fixture.OtherEngine()));
   fixture.EmptyZoneOf("s-1");
   fixture.EmptyZoneOf("s-2");
-  fixture.Advance(Backend::kGoesOnMs);
+  fixture.Advance(Backend::kEmptiedZoneGraceMs);
   fixture.control.Answer(MoveResult::kCopied, "h1");
   fixture.control.Answer(MoveResult::kCopied, "h2");
   fixture.CloseStream(0);
@@ -391,7 +391,7 @@
   const std::string source = fixture.session->Engine();
   fixture.Move(fixture.OtherEngine());
   fixture.EmptyZoneOf(source);
-  fixture.Advance(Backend::kGoesOnMs);
+  fixture.Advance(Backend::kEmptiedZoneGraceMs);
   fixture.client.Reject(1);
   cr_assert(fixture.client.sent.size() == 2 &&
             fixture.Outcome() == "interrupted");
@@ -581,17 +581,17 @@
 Test(a_stream_at_shutdown, is_reported_as_not_run_if_never_sent) {
   StreamSessionFixture fixture(0);
   fixture.terms.target_latency_ms = 10'000;
-  fixture.Begin().EndWithHost(700);
+  fixture.Begin().EndForShutdown(700);
   cr_assert(fixture.Got("HTTP/1.1 503") && fixture.Got("Retry-After: 1"));
   cr_assert(fixture.Outcome() == "not_run" && fixture.ended == 1);
 }
 
 Test(a_stream_at_shutdown, is_neither_complete_nor_not_run_after_sending) {
   StreamSessionFixture waiting(1);
-  waiting.Begin().EndWithHost(700);
+  waiting.Begin().EndForShutdown(700);
   cr_assert(!waiting.Got("Retry-After") && waiting.Outcome() == "unknown");
   StreamSessionFixture streaming(1);
-  streaming.BeginWithEvent().EndWithHost(700);
+  streaming.BeginWithEvent().EndForShutdown(700);
   cr_assert(streaming.Count(0) == 1 && !streaming.IsWhole());
   cr_assert(streaming.Outcome() == "interrupted");
   cr_assert(streaming.client.cancelled == 1);
@@ -604,10 +604,10 @@
     this->asked.push_back(chosen);
   }
   bool IsShared() const override { return true; }
-  void AskMove(const MoveAsk&, const Chosen& granted) override {
+  void AskMove(const MigrationRequest&, const Chosen& granted) override {
     granted(Decision{});
   }
-  void MoveOver(const MoveAsk&) override {}
+  void MoveOver(const MigrationRequest&) override {}
 
   /// @brief Answers the n-th request for a placement.
   void Give(std::size_t n, const std::string& engine) {
--- a/src/serve/claim_forwarding.cc
+++ b/src/serve/claim_forwarding.cc
@@ -56,7 +56,7 @@
       reply(op.status());
       return;
     }
-    claims->TakeForwarded(
+    claims->ReceiveForwardedOp(
         *op, [op = *op, reply](const absl::StatusOr<ForwardedAnswer>& answer) {
           if (!answer.ok()) {
             reply(answer.status());
--- a/src/serve/crash_datagrams.h
+++ b/src/serve/crash_datagrams.h
@@ -4,12 +4,12 @@
 #include <string_view>
 
 #include "exchange/datagrams.h"
-#include "quarantine/crash_words.h"
+#include "quarantine/crash_gossip.h"
 
 namespace meadowthread {
 
 /// @brief Words of the quarantine by datagrams.
-class CrashDatagrams final : public CrashChannel {
+class CrashDatagrams final : public CrashGossipChannel {
  public:
   /// @param[in] hub outlives this
   explicit CrashDatagrams(DatagramHub& hub) : hub(hub) {}
@@ -25,14 +25,14 @@
 
   /// @brief Gives what other hosts tell to the words.
   /// @param[in] words outlives the hub
-  void Connect(CrashWords& words) {
+  void Connect(CrashGossip& words) {
     this->hub.Register(
-        CrashWords::kRecordsTopic,
+        CrashGossip::kRecordsTopic,
         [&words](std::string_view host, const nlohmann::json& payload) {
           words.TakeRecords(host, payload);
         });
     this->hub.Register(
-        CrashWords::kDigestTopic,
+        CrashGossip::kDigestTopic,
         [&words](std::string_view host, const nlohmann::json& payload) {
           words.TakeDigest(host, payload);
         });
--- a/src/serve/detail/relay_host_parts.h
+++ b/src/serve/detail/relay_host_parts.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "allocation/allocation_duty.h"
+#include "allocation/allocation_participant.h"
 #include "configuration/replicated_view.h"
 #include "configuration/view_feeder.h"
 #include "exchange/datagrams.h"
@@ -25,7 +25,7 @@
 #include "policy/local_allocation.h"
 #include "policy/pressure_chooser.h"
 #include "policy/stop_plan.h"
-#include "quarantine/crash_words.h"
+#include "quarantine/crash_gossip.h"
 #include "quarantine/quarantine.h"
 #include "relay/relay.h"
 #include "serve/choice_spread.h"
@@ -68,8 +68,8 @@
   void TakeSetAsideAgain();
   bool IsKnown(std::string_view kind) const;
   void TakeWaitingPlan();
-  void CheckHomes(const ServicePlan& in_force) const;
-  ArrivalRule ArrivalRuleOf(const Backend& backend) const;
+  void CheckHomes(const RoutingConfig& in_force) const;
+  ServerRateLimit ArrivalRuleOf(const Backend& backend) const;
   void ShareArrivals();
   void TakeBackendChange(BackendChange change, const Backend& backend);
   void TakeHosts(const std::vector<EntryHost>& hosts);
@@ -101,8 +101,8 @@
   HostDirectory hosts;
   ExchangeDuty exchange;
   HostEntries entries;
-  PlanInForce plan;
-  StoreAbsence absence;
+  ActiveRoutingConfig plan;
+  StoreOutageTracker absence;
   BackendList backends;
   BackendHealth health;
   RetryBudgets budgets;
@@ -119,17 +119,17 @@
   ViewDatagrams view_datagrams;
   QtListenCheck listen_check;
   Quarantine quarantine;
-  ArrivalLimits arrivals;
+  ServerRateLimiter arrivals;
   CrashDatagrams crash_datagrams;
-  CrashWords crash_words;
+  CrashGossip crash_words;
   QuarantineEntries quarantine_entries;
   ChoiceSpread spread;
   PressureChooser chooser;
   LocalAllocation local_allocation;
-  AllocationDuty allocation;
+  AllocationParticipant allocation;
   LoadDatagrams load_datagrams;
   Dispatcher dispatcher;
-  FirstTry first_tries;
+  FirstAttemptEstimator first_tries;
   StreamAdmission admission;
   LinkQuality links;
   std::unique_ptr<EngineControl> control;
--- a/src/serve/engine_listing.cc
+++ b/src/serve/engine_listing.cc
@@ -11,7 +11,7 @@
   listing.engine = backend.key;
   listing.zone = backend.entry.zone;
   listing.region = backend.region;
-  listing.leaving = !backend.TakesNew();
+  listing.leaving = !backend.AcceptsNewRequests();
   const std::int64_t slow_ms = backend.warm_at_ms - clock.MonotonicMs();
   listing.warm_at_ms = slow_ms > 0 ? clock.WallMs() + slow_ms : std::int64_t{0};
   // Streams are sent to whoever has their model: what an entry says of models
--- a/src/serve/engine_listing.h
+++ b/src/serve/engine_listing.h
@@ -4,7 +4,7 @@
 #include "base/clock.h"
 #include "policy/engine_view.h"
 #include "relay/backend_list.h"
-#include "relay/service_plan.h"
+#include "relay/routing_config.h"
 
 namespace meadowthread {
 
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -13,7 +13,7 @@
 #include "absl/strings/str_cat.h"
 #include "base/log_line.h"
 #include "base/log_writer.h"
-#include "claims/counted_claims.h"
+#include "claims/counting_claim_service.h"
 #include "claims/store_claim_service.h"
 #include "configuration/service_catalog.h"
 #include "configuration/view_feeder.h"
@@ -129,7 +129,7 @@
   void TakeZones(const ViewChange& change);
   void FollowMark();
   std::size_t Running() const;
-  LeftWork Left() const;
+  RemainingWork Left() const;
   void EndIfDrained();
   void LogStopWaits() const;
   std::string StatusJson() const;
@@ -161,13 +161,13 @@
   RpcClient claim_channel;
   RpcClaimForwarder claim_forwarder;
   StoreClaimService stored_claims;
-  CountedClaims claims;
+  CountingClaimService claims;
   ResumeTokenCodec tokens;
   HostMetrics metrics;
   HostGate gate;
   PlacementDuty placement;
   ServiceWire service_wire;
-  NoEntryLapses lapses;
+  NoEntryGracePeriod lapses;
   BackendList backends;
   ServiceBackends service_backends;
   BackendHealth health;
@@ -175,7 +175,7 @@
   RelayMetrics service_metrics;
   QtListenCheck listen_check;
   Quarantine quarantine;
-  ArrivalLimits arrivals;
+  ServerRateLimiter arrivals;
   QuarantineEntries quarantine_entries;
   EngineStarts engine_starts;
   ServiceForwarder forwarder;
@@ -219,7 +219,8 @@
                         !this->gate.IsMarked(engine);
                }}),
       claim_channel(MakeClaimChannelSettings(), this->clock),
-      claim_forwarder(with.host.name, MakeClaimSettings(with).forward_limit_ms,
+      claim_forwarder(with.host.name,
+                      MakeClaimSettings(with).forward_timeout_ms,
                       {this->clock, this->hosts, this->claim_channel}),
       stored_claims({&this->store, &this->scheduler, &this->clock,
                      MakeClaimSettings(with)},
@@ -418,7 +419,7 @@
          static_cast<std::size_t>(this->forwarder.Running());
 }
 
-LeftWork HostProcess::Parts::Left() const {
+RemainingWork HostProcess::Parts::Left() const {
   return {this->server->Owed(), this->claims.Pending(),
           this->exchange.Server().Owed()};
 }
@@ -433,13 +434,13 @@
     this->server->CloseConnections();
     this->exchange.Server().CloseConnections();
   }
-  if (!MayEnd(now_ms - this->idle_since_ms, this->Left())) {
+  if (!MayExit(now_ms - this->idle_since_ms, this->Left())) {
     return;
   }
   this->left = true;
   this->placement.Stop();
   this->ownership.Leave([this] {
-    const LeftWork left_over = this->Left();
+    const RemainingWork left_over = this->Left();
     LogLine("stopped")
         .Add("host", this->settings.host.name)
         .Add("callers_owed", left_over.callers_owed)
--- a/src/serve/placement_duty.h
+++ b/src/serve/placement_duty.h
@@ -47,7 +47,7 @@
   std::span<const ListedEngine> Engines() override;
   std::span<const std::string> LiveHosts() override;
 
-  std::vector<HeldDuty> Held() { return this->controller.Held(); }
+  std::vector<HeldLease> Held() { return this->controller.Held(); }
 
  private:
   bool enabled;
--- a/src/serve/reading_options.cc
+++ b/src/serve/reading_options.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "exchange/exchange_settings.h"
-#include "relay/relay_parts.h"
+#include "relay/relay_dependencies.h"
 #include "serve/watcher_choice.h"
 
 namespace meadowthread {
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -11,7 +11,7 @@
 #include "base/error.h"
 #include "base/log_line.h"
 #include "base/log_writer.h"
-#include "policy/stop_return.h"
+#include "policy/stop_retry_after.h"
 #include "serve/detail/relay_host_parts.h"
 #include "serve/reading_options.h"
 #include "serve/relay_limits.h"
@@ -98,7 +98,7 @@
   return settings;
 }
 
-SharedRetryBounds RetryBoundsOf(const RelaySettings& settings) {
+FleetRetryLimits RetryBoundsOf(const RelaySettings& settings) {
   return {settings.retries.per_request, settings.retries.extra};
 }
 
@@ -196,7 +196,7 @@
       [this](BackendChange change, const Backend& backend) {
         this->TakeBackendChange(change, backend);
       });
-  this->health.SetListener([this](const HealthNews& news) {
+  this->health.SetListener([this](const HealthUpdate& news) {
     this->fleet.SetFailureShare(news.id, news.failure_share);
     this->fleet.SetAside(news.id, this->clock.WallMs() + news.aside_ms);
     if (!news.is_told) {
@@ -210,8 +210,9 @@
       this->health.NoteTold(attempt.engine, *result, this->clock.MonotonicMs());
     }
   });
-  this->fleet.OnReading(
-      [this](const ReadingSeen& seen) { this->allocation.TellReading(seen); });
+  this->fleet.OnReading([this](const PrefillObservation& seen) {
+    this->allocation.TellReading(seen);
+  });
   this->allocation.OnTellAll([this] { this->load_datagrams.TellAllSoon(); });
   this->entries.SetListener(
       [this](const std::vector<EntryHost>& known) { this->TakeHosts(known); });
@@ -229,8 +230,8 @@
   });
   this->exchange.KeepOutOfNews(on.Kinds().backends);
   this->feeder.OnAnswered(
-      [this] { this->absence.NoteAnswer(this->clock.MonotonicMs()); });
-  this->contact.OnWord([this] { this->backends.ReviewLapsed(); });
+      [this] { this->absence.RecordAnswer(this->clock.MonotonicMs()); });
+  this->contact.OnWord([this] { this->backends.ReviewGracePeriods(); });
 }
 
 void RelayHost::Parts::CheckWaits() const {
@@ -330,7 +331,7 @@
     set("queued_" + std::string(UrgencyName(urgency)),
         this->dispatcher.Queue().Queued(urgency));
   }
-  if (const ServicePlan* const in_force = this->plan.Plan()) {
+  if (const RoutingConfig* const in_force = this->plan.Plan()) {
     for (const ServiceRule& service : in_force->services) {
       set("retries_saved_" + service.name,
           this->budgets.Of(service.name).Saved());
@@ -353,7 +354,7 @@
       }));
   const bool is_silent =
       this->silence.IsSilent(this->view.Digest(kind).confirmed.unix_ms);
-  this->relay.AskEngines(!is_silent);
+  this->relay.PollEngineStates(!is_silent);
 }
 
 // A host that stops hands out nothing any more.
@@ -380,7 +381,7 @@
 /////////////
 
 void RelayHost::Parts::ApplyBounds() {
-  const ServicePlan* const in_force = this->plan.Plan();
+  const RoutingConfig* const in_force = this->plan.Plan();
   this->server.SetLimits(RelayLimitsOf(this->settings.bounds, in_force));
   if (in_force == nullptr) {
     return;
@@ -432,7 +433,7 @@
   if (step == StopStep::kWait) {
     return;
   }
-  this->left = step != StopStep::kLastWord;
+  this->left = step != StopStep::kAbortRequests;
   LogLine(this->left ? "stopped" : "stop-ends-rest")
       .Add("host", this->settings.host.name)
       .Add("why", StopStepName(step))
@@ -443,13 +444,13 @@
     this->stop_datagrams.TellEnd(kRestartMs);
     QCoreApplication::quit();
   } else {
-    this->relay.EndWithHost();
+    this->relay.EndForShutdown();
   }
 }
 
 std::int64_t RelayHost::Parts::ReturnAfterMs() const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  std::vector<HostAway> known;
+  std::vector<HostAvailability> known;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
     if (host->name != this->settings.host.name) {
       const std::int64_t back_in_ms =
@@ -463,8 +464,8 @@
       this->stop_plan->ForcedMs() + kRestartMs - now_ms;
   known.push_back(
       {this->settings.host.zone, std::max<std::int64_t>(1, back_in_ms)});
-  return ReturnAfterStopMs(this->settings.host.zone, known,
-                           this->stop_plan->NoticedMs() - now_ms);
+  return RetryAfterStopMs(this->settings.host.zone, known,
+                          this->stop_plan->NoticedMs() - now_ms);
 }
 
 RelayHost::RelayHost(const RelaySettings& settings, RelayPlatform& platform)
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -60,9 +60,9 @@
   if (!this->IsKnown(this->platform.Kinds().emptied_zones)) {
     return;
   }
-  absl::StatusOr<ServicePlan> read =
+  absl::StatusOr<RoutingConfig> read =
       object.deleted
-          ? absl::StatusOr<ServicePlan>(absl::NotFoundError("it was removed"))
+          ? absl::StatusOr<RoutingConfig>(absl::NotFoundError("it was removed"))
           : this->platform.ReadPlan(object.value);
   this->NoteRead(object, read.status());
   if (read.ok()) {
@@ -85,7 +85,7 @@
   if (object.deleted) {
     this->refused.Forget(object.kind, object.name);
     if (this->backends.Remove(object.name)) {
-      this->contact.Ask([this] { return this->backends.HasLapsed(); });
+      this->contact.Ask([this] { return this->backends.HasEntryInGrace(); });
     }
     return;
   }
@@ -159,10 +159,10 @@
 
 // Engines begin fewer requests a second than a cold one withstands; plain
 // servers begin more, and are bound only while they are known to be cold.
-ArrivalRule RelayHost::Parts::ArrivalRuleOf(const Backend& backend) const {
+ServerRateLimit RelayHost::Parts::ArrivalRuleOf(const Backend& backend) const {
   const ServiceRule* const service =
       this->plan.FindService(backend.entry.service);
-  ArrivalRule rule;
+  ServerRateLimit rule;
   if (service == nullptr) {
     return rule;
   }
@@ -186,7 +186,7 @@
 }
 
 // Such requests are refused; that nobody meant it shows here.
-void RelayHost::Parts::CheckHomes(const ServicePlan& in_force) const {
+void RelayHost::Parts::CheckHomes(const RoutingConfig& in_force) const {
   const auto check = [this](std::string_view what, const std::string& name,
                             const std::vector<std::string>& homes) {
     for (const std::string& region : homes) {
--- a/src/serve/relay_limits.cc
+++ b/src/serve/relay_limits.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 ServerLimits RelayLimitsOf(const RelayBoundSettings& bounds,
-                           const ServicePlan* plan) {
+                           const RoutingConfig* plan) {
   ServerLimits limits;
   limits.max_connections = static_cast<std::size_t>(
       std::max(kLeastConnections, (bounds.descriptors - kKeptDescriptors) / 2));
--- a/src/serve/relay_limits.h
+++ b/src/serve/relay_limits.h
@@ -2,7 +2,7 @@
 #define MEADOWTHREAD_SERVE_RELAY_LIMITS_H_
 
 #include "net/http_server.h"
-#include "relay/service_plan.h"
+#include "relay/routing_config.h"
 #include "settings/relay_settings.h"
 
 namespace meadowthread {
@@ -12,7 +12,7 @@
 /// @param[in] plan in force, null while there is none; what it does not bound
 /// keeps the server's own limit
 ServerLimits RelayLimitsOf(const RelayBoundSettings& bounds,
-                           const ServicePlan* plan);
+                           const RoutingConfig* plan);
 
 }  // namespace meadowthread
 
--- a/src/serve/relay_metrics.cc
+++ b/src/serve/relay_metrics.cc
@@ -43,7 +43,7 @@
       state(this->registry.AddGauge(
           {"meadowthread_relay_state", "State of this host.", {"what"}})) {}
 
-void RelayMetrics::OnRequestEnded(const RelayEnd& end) {
+void RelayMetrics::OnRequestEnded(const RelayRequestSummary& end) {
   const std::array<std::string, 4> how = {end.route, end.service, end.outcome,
                                           end.reason};
   const std::array<std::string, 1> service = {end.service};
--- a/src/serve/relay_metrics.h
+++ b/src/serve/relay_metrics.h
@@ -14,7 +14,7 @@
  public:
   RelayMetrics();
 
-  void OnRequestEnded(const RelayEnd& end) override;
+  void OnRequestEnded(const RelayRequestSummary& end) override;
 
   /// @brief A document of the store was read that names nothing to use.
   /// @param[in] field at fault, empty where the document's bytes are
--- a/src/serve/relay_platform.h
+++ b/src/serve/relay_platform.h
@@ -8,9 +8,9 @@
 #include "absl/status/statusor.h"
 #include "net/http_client.h"
 #include "relay/backend_list.h"
-#include "relay/backend_wire.h"
+#include "relay/backend_protocol.h"
 #include "relay/engine_control.h"
-#include "relay/service_plan.h"
+#include "relay/routing_config.h"
 #include "store/object_store.h"
 
 namespace meadowthread {
@@ -41,14 +41,15 @@
   /// @brief Calls to engines.
   virtual std::unique_ptr<EngineControl> MakeControl(HttpClient& client) = 0;
 
-  virtual const CallerWire& Callers() const = 0;
-  virtual const BackendWire& Backends() const = 0;
+  virtual const CallerProtocol& Callers() const = 0;
+  virtual const BackendProtocol& Backends() const = 0;
 
   /// @brief The path that asks whether the host takes traffic.
   virtual std::string_view ReadyPath() const = 0;
 
   /// @brief Reads a configuration; an error names the field at fault.
-  virtual absl::StatusOr<ServicePlan> ReadPlan(std::string_view text) const = 0;
+  virtual absl::StatusOr<RoutingConfig> ReadPlan(
+      std::string_view text) const = 0;
 
   /// @brief Reads a backend server's entry.
   /// @param[in] id its name in the store
--- a/src/serve/store_contact.cc
+++ b/src/serve/store_contact.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 StoreContact::StoreContact(DatagramHub& hub, const Clock& clock,
-                           Scheduler& scheduler, StoreAbsence& absence,
+                           Scheduler& scheduler, StoreOutageTracker& absence,
                            std::mt19937_64& random, Watchers watchers)
     : hub(hub),
       clock(clock),
@@ -64,7 +64,7 @@
 
 // Ages, as clocks of hosts differ.
 void StoreContact::TellTo(std::string_view host) {
-  const std::optional<StoreStretch>& own = this->absence.Own();
+  const std::optional<StoreUptime>& own = this->absence.Own();
   if (own.has_value()) {
     const std::int64_t now_ms = this->clock.MonotonicMs();
     this->hub.SendToOne(
@@ -91,7 +91,7 @@
       .Add("to_ago_ms", to_ago_ms)
       .Write();
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  this->absence.NoteWord({now_ms - from_ago_ms, now_ms - to_ago_ms});
+  this->absence.RecordPeerUptime({now_ms - from_ago_ms, now_ms - to_ago_ms});
   if (this->word) {
     this->word();
   }
--- a/src/serve/store_contact.h
+++ b/src/serve/store_contact.h
@@ -12,7 +12,7 @@
 #include "base/lifetime.h"
 #include "base/scheduler.h"
 #include "exchange/datagrams.h"
-#include "relay/store_absence.h"
+#include "relay/store_outage_tracker.h"
 
 namespace meadowthread {
 
@@ -27,7 +27,7 @@
 
   /// @param[in] hub,clock,scheduler,absence,random outlive this
   StoreContact(DatagramHub& hub, const Clock& clock, Scheduler& scheduler,
-               StoreAbsence& absence, std::mt19937_64& random,
+               StoreOutageTracker& absence, std::mt19937_64& random,
                Watchers watchers);
   StoreContact(const StoreContact&) = delete;
   StoreContact& operator=(const StoreContact&) = delete;
@@ -49,7 +49,7 @@
   DatagramHub& hub;
   const Clock& clock;
   Scheduler& scheduler;
-  StoreAbsence& absence;
+  StoreOutageTracker& absence;
   std::mt19937_64& random;
   Watchers watchers;
   std::function<void()> word;
--- a/src/serve/tests/quarantine_entries_test.cc
+++ b/src/serve/tests/quarantine_entries_test.cc
@@ -48,7 +48,7 @@
 
   /// @brief This host sees a server end under the content.
   void End(const std::string& server) {
-    CutRun run;
+    InterruptedRun run;
     run.id = kId;
     run.request = "r";
     run.server = server;
--- a/src/serve/tests/relay_limits_test.cc
+++ b/src/serve/tests/relay_limits_test.cc
@@ -26,7 +26,7 @@
 }
 
 Test(a_hosts_limits, are_the_plans_where_it_sets_any) {
-  ServicePlan plan;
+  RoutingConfig plan;
   plan.bounds.max_body_bytes = 70'000;
   const ServerLimits own = RelayLimitsOf(Bounds(), nullptr);
   const ServerLimits limits = RelayLimitsOf(Bounds(), &plan);
--- a/src/serve/word_waits.cc
+++ b/src/serve/word_waits.cc
@@ -4,7 +4,7 @@
 
 #include "base/log_line.h"
 #include "relay/backend_list.h"
-#include "relay/store_absence.h"
+#include "relay/store_outage_tracker.h"
 
 namespace meadowthread {
 namespace {
@@ -39,17 +39,19 @@
       {"leaving-behind-silence",
        SilentMs(path.feeder) + path.round_ms + path.connect_ms,
        std::max(bounds.leaving_ms, bounds.settle_ms)},
-      {"lapsed", noticed_ms + StoreAbsence::kRelistMs + path.connect_ms,
+      {"lapsed",
+       noticed_ms + StoreOutageTracker::kReregistrationMs + path.connect_ms,
        bounds.settle_ms + bounds.leaving_ms},
       {"lapsed-unvouched",
-       path.feeder.pace_ms + StoreAbsence::kUnknownMs + path.connect_ms,
+       path.feeder.pace_ms + StoreOutageTracker::kUnconfirmedGraceMs +
+           path.connect_ms,
        bounds.leaving_ms}};
 }
 
 std::vector<WordWait> EmptyingWaits(const WordPath& path,
                                     const WordBounds& bounds) {
   const std::int64_t after_word_ms =
-      path.round_ms + Backend::kGoesOnMs + path.connect_ms;
+      path.round_ms + Backend::kEmptiedZoneGraceMs + path.connect_ms;
   return {{"emptying", path.feeder.pace_ms + path.stagger_ms + after_word_ms,
            bounds.emptying_ms},
           {"emptying-behind-silence", SilentMs(path.feeder) + after_word_ms,
