--- a/src/allocation/allocation_participant.cc
+++ b/src/allocation/allocation_participant.cc
@@ -157,11 +157,11 @@
   }
 }
 
-void AllocationParticipant::TellAttempt(const EngineAttempt& attempt) {
+void AllocationParticipant::ReportAttempt(const EngineAttempt& attempt) {
   this->SendToAllocators(attempt);
 }
 
-void AllocationParticipant::TellReading(const PrefillObservation& seen) {
+void AllocationParticipant::ReportPrefill(const PrefillObservation& seen) {
   this->SendToAllocators(seen);
 }
 
@@ -236,7 +236,7 @@
 
 void AllocationParticipant::OnMessage(std::string_view /*host*/,
                                       const PrefillObservation& seen) {
-  this->dependencies.fleet.ObserveReading(seen);
+  this->dependencies.fleet.ObservePrefill(seen);
 }
 
 void AllocationParticipant::OnLoadReportsRequested() {
--- a/src/allocation/allocation_participant.h
+++ b/src/allocation/allocation_participant.h
@@ -65,7 +65,7 @@
 
   /// @brief Sets the function that reports all loads of this host; called when
   /// another host asks for them.
-  void OnTellAll(const std::function<void()>& report) {
+  void SetLoadReporter(const std::function<void()>& report) {
     this->report_all_loads = report;
   }
 
@@ -75,20 +75,20 @@
 
   /// @brief Sends the result of one of this host's attempts to the engine's
   /// allocators.
-  void TellAttempt(const EngineAttempt& attempt);
+  void ReportAttempt(const EngineAttempt& attempt);
 
   /// @brief A message of any kind came from another host.
   void NoteHeard(std::string_view host) { this->client.NoteHeard(host); }
 
   /// @brief Sends the prefill time of one of this host's streams to the
   /// engine's allocators, when the stream's first event has come.
-  void TellReading(const PrefillObservation& seen);
+  void ReportPrefill(const PrefillObservation& seen);
 
   /// @brief Chooses engines for this host's own requests.
   EngineAllocation& Allocation() { return this->client; }
 
   /// @brief Number of groups that this host is an allocator of.
-  std::size_t Duties() const { return this->own_groups.size(); }
+  std::size_t OwnGroupCount() const { return this->own_groups.size(); }
 
   // AllocationReceiver
   void OnMessage(std::string_view host,
--- a/src/allocation/allocator.cc
+++ b/src/allocation/allocator.cc
@@ -45,7 +45,7 @@
     response.status = PlacementStatus::kPlaced;
     response.engine = *decision.engine;
     response.prefill_tokens_ahead =
-        std::max<std::int64_t>(0, decision.reading_ahead);
+        std::max<std::int64_t>(0, decision.prefill_ahead_tokens);
   } else {
     response.status = decision.reason == DecisionReason::kNoneHasRoom
                           ? PlacementStatus::kNoRoom
@@ -89,8 +89,8 @@
 bool Allocator::HasArrivalShare(std::string_view host,
                                 std::string_view engine) const {
   return host.empty() || this->arrivals == nullptr ||
-         this->arrivals->HasPart(host, engine,
-                                 this->arrivals_clock->MonotonicMs());
+         this->arrivals->HasShare(host, engine,
+                                  this->arrivals_clock->MonotonicMs());
 }
 
 Decision Allocator::ChooseEngine(const PlacementRequest& request,
--- a/src/allocation/allocator_client.cc
+++ b/src/allocation/allocator_client.cc
@@ -35,7 +35,7 @@
   if (response.status == PlacementStatus::kPlaced) {
     decision.engine = response.engine;
     decision.reason = DecisionReason::kLeastLoad;
-    decision.reading_ahead = response.prefill_tokens_ahead;
+    decision.prefill_ahead_tokens = response.prefill_tokens_ahead;
     decision.priority = detail::UrgencyPriority(work.urgency);
   } else {
     decision.reason = DecisionReason::kNoneHasRoom;
@@ -76,7 +76,7 @@
 bool AllocatorClient::HasUsedUpArrivalShare(std::string_view engine) const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   return this->arrivals != nullptr && !this->arrivals->May(engine, now_ms) &&
-         this->arrivals->HasPart(this->self.host, engine, now_ms);
+         this->arrivals->HasShare(this->self.host, engine, now_ms);
 }
 
 // Engines that this host has found unusable itself; the allocator may not know
@@ -87,7 +87,7 @@
   for (std::size_t i = 0; i < this->fleet.EngineCount(); ++i) {
     const EngineView& view = this->fleet.View(static_cast<EngineIndex>(i));
     const bool is_set_aside =
-        view.aside_until_ms > now_ms || view.no_room_until_ms > now_ms;
+        view.unreachable_until_ms > now_ms || view.no_room_until_ms > now_ms;
     const bool is_avoided =
         is_set_aside || this->HasUsedUpArrivalShare(view.engine);
     if (view.live && is_avoided && engines.size() < kMaxAvoidedEngines) {
@@ -109,8 +109,8 @@
   this->Begin(std::move(request), chosen);
 }
 
-void AllocatorClient::AskMove(const MigrationRequest& move,
-                              const Chosen& granted) {
+void AllocatorClient::RequestMigration(const MigrationRequest& move,
+                                       const Chosen& granted) {
   const EngineView* const view = this->fleet.Find(move.source);
   if (!this->is_shared || view == nullptr) {
     granted(Decision{});
@@ -126,7 +126,7 @@
   this->Begin(std::move(request), granted);
 }
 
-void AllocatorClient::MoveOver(const MigrationRequest& move) {
+void AllocatorClient::EndMigration(const MigrationRequest& move) {
   const auto found = this->held_links.find(move.run.request);
   if (found == this->held_links.end()) {
     return;
--- a/src/allocation/allocator_client.h
+++ b/src/allocation/allocator_client.h
@@ -56,8 +56,9 @@
   // EngineAllocation
   void Choose(const WorkItem& work, const Chosen& chosen) override;
   bool IsShared() const override { return this->is_shared; }
-  void AskMove(const MigrationRequest& move, const Chosen& granted) override;
-  void MoveOver(const MigrationRequest& move) override;
+  void RequestMigration(const MigrationRequest& move,
+                        const Chosen& granted) override;
+  void EndMigration(const MigrationRequest& move) override;
 
  private:
   struct Pending {
--- a/src/allocation/tests/allocation_participant_test.cc
+++ b/src/allocation/tests/allocation_participant_test.cc
@@ -45,12 +45,12 @@
     request.group = "z/0";
     request.work = testing::Work("r");
     const std::int64_t before =
-        this->fleet.state.ReadingTokens(0, this->Now()) +
-        this->fleet.state.ReadingTokens(1, this->Now());
+        this->fleet.state.PrefillBacklog(0, this->Now()) +
+        this->fleet.state.PrefillBacklog(1, this->Now());
     request.origin = "other";
     this->participant->OnMessage("other", request);
-    return this->fleet.state.ReadingTokens(0, this->Now()) +
-               this->fleet.state.ReadingTokens(1, this->Now()) >
+    return this->fleet.state.PrefillBacklog(0, this->Now()) +
+               this->fleet.state.PrefillBacklog(1, this->Now()) >
            before;
   }
   std::int64_t Now() const { return this->clock.WallMs(); }
@@ -72,7 +72,7 @@
 
 Test(a_host_that_gets_a_group, places_requests_after_collecting_load_reports) {
   Fixture fixture;
-  cr_assert(fixture.participant->Duties() == 1 &&
+  cr_assert(fixture.participant->OwnGroupCount() == 1 &&
             !fixture.participant->IsEverybody());
   cr_assert(!fixture.PlacesRequest());
   fixture.Elapse(200);
@@ -100,7 +100,7 @@
   fixture.hosts.erase(fixture.hosts.begin());
   fixture.hosts.push_back({"third", "z"});
   fixture.Elapse(300);
-  cr_assert(fixture.participant->Duties() == 0);
+  cr_assert(fixture.participant->OwnGroupCount() == 0);
   cr_assert(!fixture.PlacesRequest());
 }
 
@@ -108,7 +108,7 @@
   Fixture fixture(2);
   fixture.Elapse(300);
   cr_assert(fixture.participant->IsEverybody() &&
-            fixture.participant->Duties() == 0);
+            fixture.participant->OwnGroupCount() == 0);
 }
 
 Test(load_notes_of_an_engine, go_to_its_allocators) {
--- a/src/allocation/tests/allocator_client_test.cc
+++ b/src/allocation/tests/allocator_client_test.cc
@@ -40,8 +40,8 @@
     chosen(decision);
   }
   bool IsShared() const override { return false; }
-  void AskMove(const MigrationRequest&, const Chosen&) override {}
-  void MoveOver(const MigrationRequest&) override {}
+  void RequestMigration(const MigrationRequest&, const Chosen&) override {}
+  void EndMigration(const MigrationRequest&) override {}
 };
 
 struct Fixture {
@@ -56,8 +56,8 @@
       this->chosen.push_back(decision.engine.value_or("none"));
     });
   }
-  void AskMove() {
-    this->client.AskMove(this->move, [this](const Decision& decision) {
+  void RequestMigration() {
+    this->client.RequestMigration(this->move, [this](const Decision& decision) {
       this->chosen.push_back(decision.engine.value_or("none"));
     });
   }
@@ -165,7 +165,7 @@
 
 Test(a_migration, waits_for_the_link_and_releases_it) {
   Fixture fixture;
-  fixture.AskMove();
+  fixture.RequestMigration();
   fixture.Respond(PlacementStatus::kQueued);
   fixture.Elapse(250);
   cr_assert(fixture.channel.requests.size() == 2,
@@ -175,15 +175,15 @@
   fixture.Respond(PlacementStatus::kPlaced, "e1");
   cr_assert(fixture.chosen == std::vector<std::string>{"e1"});
   cr_assert(fixture.channel.releases.empty());
-  fixture.client.MoveOver(fixture.move);
-  fixture.client.MoveOver(fixture.move);
+  fixture.client.EndMigration(fixture.move);
+  fixture.client.EndMigration(fixture.move);
   cr_assert(fixture.channel.releases.size() == 1);
   cr_assert(fixture.channel.releases[0].second.engine == "e0");
 }
 
 Test(a_migration, gives_up_when_it_never_gets_the_link) {
   Fixture fixture;
-  fixture.AskMove();
+  fixture.RequestMigration();
   fixture.Respond(PlacementStatus::kQueued);
   for (int i = 0; i < 20 && fixture.chosen.empty(); ++i) {
     fixture.Elapse(250);
--- a/src/allocation/tests/allocator_test.cc
+++ b/src/allocation/tests/allocator_test.cc
@@ -83,12 +83,12 @@
   Fixture fixture(1);
   fixture.ReportLoad("e0", 500, 500, 1);
   fixture.Place(fixture.MakeRequest(), 1);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 1) == 2'500);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 1) == 2'500);
   fixture.ReportLoad("e0", 500, 500, 5);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 5) == 2'500,
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 5) == 2'500,
             "the report was sent before the placement");
   fixture.ReportLoad("e0", 2'500, 2'500, 8, 2);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 8) == 2'500);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 8) == 2'500);
 }
 
 Test(a_reservation, ends_a_little_later_if_another_request_has_ended) {
@@ -96,18 +96,18 @@
   fixture.ReportLoad("e0", 500, 500, 1);
   fixture.Place(fixture.MakeRequest(), 1);
   fixture.ReportLoad("e0", 2'000, 2'000, 20);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 20) == 4'000);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 20) == 4'000);
   fixture.ReportLoad("e0", 2'000, 2'000, 45);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 45) == 2'000);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 45) == 2'000);
 }
 
 Test(a_reservation, expires_when_it_is_not_used) {
   Fixture fixture(1);
   fixture.Place(fixture.MakeRequest(), 1);
   fixture.allocator.DropExpired(250);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 250) == 2'000);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 250) == 2'000);
   fixture.allocator.DropExpired(400);
-  cr_assert(fixture.fleet.state.ReadingTokens(0, 400) == 0);
+  cr_assert(fixture.fleet.state.PrefillBacklog(0, 400) == 0);
 }
 
 Test(an_allocator, rejects_a_request_that_no_engine_can_begin_in_time) {
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -182,7 +182,7 @@
   usage.prompt_tokens = EstimateTokens(this->start.asked.prompt);
   usage.completion_tokens = this->assembler.NextIndex();
   if (!this->resumed) {
-    this->guarded.NoteWhole();
+    this->guarded.NoteCompleted();
   }
   this->RetireStream();
   this->RecordResult(usage);
--- a/src/placement/group_controller.cc
+++ b/src/placement/group_controller.cc
@@ -99,7 +99,7 @@
   input.engines = engines;
   input.load_budget = this->budget.Available();
   input.urgent_load_budget = this->budget.UrgentAvailable();
-  input.may_unload = this->context.source.NeededIsFresh();
+  input.may_unload = this->context.source.NeededModelsAreFresh();
   const Plan plan = MakePlan(this->settings.planner, input);
   for (const EngineChange& change : plan.changes) {
     this->budget.Take(change.load.has_value() ? 1 : 0);
--- a/src/placement/ownership_view.cc
+++ b/src/placement/ownership_view.cc
@@ -123,7 +123,7 @@
   // A refusal needs no fresh view; only permission depends on the registration
   // and the read after it.
   if (answer.verdict != OwnershipVerdict::kOurs ||
-      !this->settings.has_other_half) {
+      !this->settings.has_other_deployment) {
     return answer;
   }
   if (!this->registered_ms.has_value()) {
--- a/src/placement/ownership_view.h
+++ b/src/placement/ownership_view.h
@@ -22,7 +22,7 @@
   std::string default_address;
   /// Whether another deployment shares the object store. If not, a host may
   /// start work without having registered or read the ownership objects.
-  bool has_other_half = true;
+  bool has_other_deployment = true;
 };
 
 /// @brief Whether this host may start work of a workspace, or on an engine.
--- a/src/placement/placement_source.h
+++ b/src/placement/placement_source.h
@@ -32,7 +32,7 @@
 
   /// @brief Whether the list of needed models is recent enough to unload models
   /// that are not in it.
-  virtual bool NeededIsFresh() = 0;
+  virtual bool NeededModelsAreFresh() = 0;
 
   /// @brief All known engines; the span is valid until the next turn of the
   /// event loop.
--- a/src/placement/tests/controller_fixture.h
+++ b/src/placement/tests/controller_fixture.h
@@ -18,7 +18,7 @@
 class FakePlacementSource final : public PlacementSource {
  public:
   std::vector<NeededModel> Needed() override { return this->needed; }
-  bool NeededIsFresh() override { return true; }
+  bool NeededModelsAreFresh() override { return true; }
   std::span<const ListedEngine> Engines() override { return this->listed; }
   std::span<const std::string> LiveHosts() override { return this->hosts; }
 
--- a/src/placement/tests/ownership_test.cc
+++ b/src/placement/tests/ownership_test.cc
@@ -129,7 +129,7 @@
 Test(a_view, needs_no_registration_without_another_deployment) {
   ManualClock clock(50'000);
   OwnershipSettings settings = OwnershipSettingsFor("lukot");
-  settings.has_other_half = false;
+  settings.has_other_deployment = false;
   cr_assert(OwnershipView(settings, clock).MayStart(kWorkspaceA).ok());
 }
 
--- a/src/policy/chooser.h
+++ b/src/policy/chooser.h
@@ -49,7 +49,7 @@
   std::int64_t retry_after_ms = 0;    ///< set if no engine was chosen
   int priority = 0;  ///< sent to the engine; 0 is the most urgent
   /// Prompt tokens that the engine prefills before this work's; -1: not known.
-  std::int64_t reading_ahead = -1;
+  std::int64_t prefill_ahead_tokens = -1;
 };
 
 /// @brief Chooses an engine for one piece of work. Does not change the fleet
--- a/src/policy/engine_allocation.h
+++ b/src/policy/engine_allocation.h
@@ -38,11 +38,12 @@
   /// its engine, and an engine to migrate it to. Call it only if IsShared.
   /// @param[in] granted called exactly once; its decision names no engine if
   /// there is none
-  virtual void AskMove(const MigrationRequest& move, const Chosen& granted) = 0;
+  virtual void RequestMigration(const MigrationRequest& move,
+                                const Chosen& granted) = 0;
 
   /// @brief Ends the migration's turn at the link: the copy is done or was
   /// never started. The next migration may begin.
-  virtual void MoveOver(const MigrationRequest& move) = 0;
+  virtual void EndMigration(const MigrationRequest& move) = 0;
 };
 
 }  // namespace meadowthread
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -70,7 +70,7 @@
   /// Fraction of its recent requests that failed, from 0 to 1.
   double failure_share = 0.0;
   /// Unix ms; avoided until then because it could not be reached.
-  std::int64_t aside_until_ms = 0;
+  std::int64_t unreachable_until_ms = 0;
   /// Unix ms; avoided until then because it refused a KV-cache copy.
   std::int64_t no_room_until_ms = 0;
 
--- a/src/policy/fleet_state.cc
+++ b/src/policy/fleet_state.cc
@@ -178,9 +178,10 @@
   stream->progress = {work.prompt_tokens, 0, work.max_output_tokens};
   Engine& target = *this->engines[found->second];
   if (!work.is_copy) {
-    const std::int64_t ahead = work.reading_ahead >= 0
-                                   ? work.reading_ahead
-                                   : this->ReadingTokens(found->second, now_ms);
+    const std::int64_t ahead =
+        work.prefill_ahead_tokens >= 0
+            ? work.prefill_ahead_tokens
+            : this->PrefillBacklog(found->second, now_ms);
     stream->tokens_before_first_event = ahead + work.prompt_tokens;
   }
   if (target.forecast_cached_ms >= 0) {
@@ -202,7 +203,7 @@
     const PrefillObservation seen{
         engine.view.engine, std::exchange(stream.tokens_before_first_event, 0),
         now_ms - stream.sent_ms};
-    this->ObserveReading(seen);
+    this->ObservePrefill(seen);
     if (this->prefill_observed) {
       this->prefill_observed(seen);
     }
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -102,13 +102,13 @@
 
   /// @brief Sets the callback for prefill measurements from this host's
   /// streams.
-  void OnReading(
+  void OnPrefillObserved(
       const std::function<void(const PrefillObservation& seen)>& callback) {
     this->prefill_observed = callback;
   }
 
   /// @brief Applies a prefill measurement from another host.
-  void ObserveReading(const PrefillObservation& seen) {
+  void ObservePrefill(const PrefillObservation& seen) {
     this->prefill_rate.Observe(seen.tokens, seen.took_ms);
   }
 
@@ -180,7 +180,7 @@
   MemoryForecast Forecast(EngineIndex index, std::int64_t now_ms) const;
 
   /// @brief Known prompt tokens that the engine has yet to prefill.
-  std::int64_t ReadingTokens(EngineIndex index, std::int64_t now_ms) const;
+  std::int64_t PrefillBacklog(EngineIndex index, std::int64_t now_ms) const;
 
   /// @brief The loads that other hosts reported for the engine, without
   /// outdated and empty ones.
--- a/src/policy/fleet_state_queries.cc
+++ b/src/policy/fleet_state_queries.cc
@@ -103,8 +103,8 @@
   forecast.AddScaled(one, static_cast<float>(unattributed));
 }
 
-std::int64_t FleetState::ReadingTokens(EngineIndex index,
-                                       std::int64_t now_ms) const {
+std::int64_t FleetState::PrefillBacklog(EngineIndex index,
+                                        std::int64_t now_ms) const {
   const Engine& engine = *this->engines[index];
   std::int64_t tokens = OwnPrefillTokens(engine);
   for (const PeerLoad& peer : engine.peers) {
--- a/src/policy/local_allocation.h
+++ b/src/policy/local_allocation.h
@@ -21,10 +21,11 @@
                                 this->random()));
   }
   bool IsShared() const override { return false; }
-  void AskMove(const MigrationRequest&, const Chosen& granted) override {
+  void RequestMigration(const MigrationRequest&,
+                        const Chosen& granted) override {
     granted(Decision{});
   }
-  void MoveOver(const MigrationRequest&) override {}
+  void EndMigration(const MigrationRequest&) override {}
 
  private:
   EngineChooser& chooser;
--- a/src/policy/pressure_chooser.cc
+++ b/src/policy/pressure_chooser.cc
@@ -66,7 +66,7 @@
   scored.engine = engine;
   scored.memory_share = forecast.PeakMean() / capacity;
   scored.in_flight = fleet.InFlight(engine, now_ms);
-  const std::int64_t prefill_tokens = fleet.ReadingTokens(engine, now_ms);
+  const std::int64_t prefill_tokens = fleet.PrefillBacklog(engine, now_ms);
   scored.cost = scored.memory_share +
                 this->options.prefill_weight *
                     static_cast<double>(prefill_tokens) /
@@ -76,7 +76,7 @@
   scored.cost +=
       this->options.crowding_weight *
       std::max(0.0, scored.memory_share - this->options.crowding_threshold);
-  if (view.aside_until_ms > now_ms) {
+  if (view.unreachable_until_ms > now_ms) {
     scored.cost += this->options.last_resort_cost;
   }
   // Without this cost, one run asked the same leaving engine 66 times in 0.7 s,
@@ -138,7 +138,7 @@
   decision.engine = fleet.View(scored[0].engine).engine;
   decision.reason = DecisionReason::kLeastLoad;
   decision.priority = detail::UrgencyPriority(work.urgency);
-  decision.reading_ahead = scored[0].prefill_tokens;
+  decision.prefill_ahead_tokens = scored[0].prefill_tokens;
   return decision;
 }
 
--- a/src/policy/server_rate_limiter.cc
+++ b/src/policy/server_rate_limiter.cc
@@ -119,8 +119,8 @@
   return recent + entry.reserved < *share;
 }
 
-bool ServerRateLimiter::HasPart(std::string_view host, std::string_view server,
-                                std::int64_t now_ms) const {
+bool ServerRateLimiter::HasShare(std::string_view host, std::string_view server,
+                                 std::int64_t now_ms) const {
   return this->ShareOf(host, server, now_ms).value_or(1) > 0;
 }
 
--- a/src/policy/server_rate_limiter.h
+++ b/src/policy/server_rate_limiter.h
@@ -68,8 +68,8 @@
   bool May(std::string_view server, std::int64_t now_ms) const;
 
   /// @brief Whether a host's current share of the server's rate is above zero.
-  bool HasPart(std::string_view host, std::string_view server,
-               std::int64_t now_ms) const;
+  bool HasShare(std::string_view host, std::string_view server,
+                std::int64_t now_ms) const;
 
   /// @brief Counts a request that this host sends to the server.
   void NoteSent(std::string_view server, std::int64_t now_ms);
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -62,13 +62,13 @@
   const EngineView& view = *fleet.state.Find("e0/2");
   cr_assert(view.live && !view.leaving && view.running == 0);
   cr_assert(view.own_in_flight == 0 && view.own_kv == 0);
-  cr_assert(view.failure_share == 0.0 && view.aside_until_ms == 0 &&
+  cr_assert(view.failure_share == 0.0 && view.unreachable_until_ms == 0 &&
             view.no_room_until_ms == 0);
   cr_assert(fleet.state.PeersAt("e0/2", 22).empty());
   const EngineIndex place = fleet.state.Serving(work).back();
   cr_assert(fleet.state.View(place).engine == "e0/2" &&
             !fleet.state.IsLinkBusy(place, 22) &&
-            fleet.state.ReadingTokens(place, 22) == 0);
+            fleet.state.PrefillBacklog(place, 22) == 0);
   // The stream on the engine before its restart ends there.
   fleet.state.NoteEnded("a", StreamEnd::kCut, 30);
   cr_assert(view.own_in_flight == 0);
@@ -257,11 +257,11 @@
   second.prompt_tokens = 1'000;
   fleet.state.NoteSent(first, "e0", 0);
   fleet.state.NoteSent(second, "e0", 0);
-  cr_assert(fleet.state.ReadingTokens(0, 0) == 3'000);
+  cr_assert(fleet.state.PrefillBacklog(0, 0) == 3'000);
   // The second stream waited for both prompts: 900 ms for 3,000 tokens.
   const double before = fleet.state.Prefill().MsPerToken();
   fleet.state.NoteTokens("r2", 4, 900);
-  cr_assert(fleet.state.ReadingTokens(0, 900) == 2'000);
+  cr_assert(fleet.state.PrefillBacklog(0, 900) == 2'000);
   cr_assert(fleet.state.Prefill().MsPerToken() > before);
   const double after = fleet.state.Prefill().MsPerToken();
   fleet.state.NoteTokens("r2", 8, 5'000);
@@ -277,7 +277,7 @@
   copy.prompt_tokens = 4'000;
   copy.is_copy = true;
   fleet.state.NoteSent(copy, "e0", 0);
-  cr_assert(fleet.state.ReadingTokens(0, 0) == 0);
+  cr_assert(fleet.state.PrefillBacklog(0, 0) == 0);
   cr_assert(fleet.state.Find("e0")->own_kv == 4'000);
 }
 
@@ -287,12 +287,12 @@
 Test(a_first_event, measures_the_prefill_of_all_tokens_ahead) {
   testing::Fleet fleet(1);
   std::vector<PrefillObservation> reported;
-  fleet.state.OnReading([&reported](const PrefillObservation& seen) {
+  fleet.state.OnPrefillObserved([&reported](const PrefillObservation& seen) {
     reported.push_back(seen);
   });
   WorkItem work = testing::Work("r");
   work.prompt_tokens = 2'000;
-  work.reading_ahead = 6'000;
+  work.prefill_ahead_tokens = 6'000;
   fleet.state.NoteSent(work, "e0", 1'000);
   fleet.state.NoteTokens("r", 4, 1'800);
   fleet.state.NoteTokens("r", 8, 1'900);
@@ -300,7 +300,7 @@
   cr_assert(reported[0].tokens == 8'000 && reported[0].took_ms == 800);
   testing::Fleet other(1);
   const double before = other.state.Prefill().MsPerToken();
-  other.state.ObserveReading(reported[0]);
+  other.state.ObservePrefill(reported[0]);
   cr_assert(other.state.Prefill().MsPerToken() < before,
             "the measured rate is 0.1 ms per token");
 }
--- a/src/policy/tests/server_rate_limiter_test.cc
+++ b/src/policy/tests/server_rate_limiter_test.cc
@@ -142,7 +142,7 @@
   group.Set({27.0, 40.0}, kFarFuture);
   int with_part = 0;
   for (std::size_t n = 0; n < group.hosts.size(); ++n) {
-    const bool has = group.hosts[0]->HasPart(group.names[n], "s", 0);
+    const bool has = group.hosts[0]->HasShare(group.names[n], "s", 0);
     cr_assert(has == group.hosts[n]->May("s", 0));
     with_part += has ? 1 : 0;
   }
--- a/src/policy/work_item.h
+++ b/src/policy/work_item.h
@@ -42,7 +42,7 @@
   bool is_late = false;
   /// Prompt tokens to prefill ahead of it on its engine when it was sent; -1:
   /// use what this host knows.
-  std::int64_t reading_ahead = -1;
+  std::int64_t prefill_ahead_tokens = -1;
   /// Its KV cache is copied from another engine: no prompt to prefill.
   bool is_copy = false;
   AllowedRegions homes;  ///< regions in which it may run
--- a/src/quarantine/crash_gossip.cc
+++ b/src/quarantine/crash_gossip.cc
@@ -47,8 +47,8 @@
     if (this->newest.size() > kNewestRecords) {
       this->newest.pop_back();
     }
-    this->channel.TellSome(kRecordsTopic,
-                           json::array({CrashRecordJson(record)}), kFanout);
+    this->channel.SendToRandom(kRecordsTopic,
+                               json::array({CrashRecordJson(record)}), kFanout);
   });
 }
 
@@ -62,13 +62,13 @@
 // Digests are sent even if this host has no records, as it may have missed
 // those of the others.
 void CrashGossip::SendDigests() {
-  this->channel.TellSome(
+  this->channel.SendToRandom(
       kDigestTopic, json::array({this->table.Digest(), false}), kDigestFanout);
   this->scheduler.After(kDigestPeriodMs,
                         this->life.Guarded([this] { this->SendDigests(); }));
 }
 
-void CrashGossip::TakeRecords(std::string_view host, const json& payload) {
+void CrashGossip::OnRecords(std::string_view host, const json& payload) {
   if (!payload.is_array()) {
     LogLine("crashes-malformed").Add("host", host).WriteImportant();
     return;
@@ -86,7 +86,7 @@
   }
 }
 
-void CrashGossip::TakeDigest(std::string_view host, const json& payload) {
+void CrashGossip::OnDigest(std::string_view host, const json& payload) {
   const bool fits = payload.is_array() && payload.size() == kDigestFields &&
                     payload[0].is_number_unsigned() && payload[1].is_boolean();
   if (!fits) {
@@ -104,8 +104,8 @@
   // The other host may have records that this one lacks. It answers with
   // records, but without another digest.
   if (!payload[1].get<bool>()) {
-    this->channel.TellOne(kDigestTopic,
-                          json::array({this->table.Digest(), true}), host);
+    this->channel.SendToHost(kDigestTopic,
+                             json::array({this->table.Digest(), true}), host);
   }
 }
 
@@ -137,7 +137,7 @@
              from, std::min(kRecordsPerDatagram, selected.size() - from))) {
       records.push_back(CrashRecordJson(*record));
     }
-    this->channel.TellOne(kRecordsTopic, records, host);
+    this->channel.SendToHost(kRecordsTopic, records, host);
   }
 }
 
--- a/src/quarantine/crash_gossip.h
+++ b/src/quarantine/crash_gossip.h
@@ -21,12 +21,13 @@
   virtual ~CrashGossipChannel() = default;
 
   /// @brief Sends a message to `count` other hosts, chosen at random.
-  virtual void TellSome(std::string_view topic, const nlohmann::json& payload,
-                        std::size_t count) = 0;
+  virtual void SendToRandom(std::string_view topic,
+                            const nlohmann::json& payload,
+                            std::size_t count) = 0;
 
   /// @brief Sends a message to one host.
-  virtual void TellOne(std::string_view topic, const nlohmann::json& payload,
-                       std::string_view host) = 0;
+  virtual void SendToHost(std::string_view topic, const nlohmann::json& payload,
+                          std::string_view host) = 0;
 };
 
 /// @brief Spreads crash records between hosts by gossip.
@@ -48,11 +49,11 @@
   void Start();
 
   /// @brief Handles records that another host sent.
-  void TakeRecords(std::string_view host, const nlohmann::json& payload);
+  void OnRecords(std::string_view host, const nlohmann::json& payload);
 
   /// @brief Handles the digest of another host's records; if it differs from
   /// this host's, sends records and, unless it was an answer, a digest.
-  void TakeDigest(std::string_view host, const nlohmann::json& payload);
+  void OnDigest(std::string_view host, const nlohmann::json& payload);
 
   static constexpr char kRecordsTopic[] = "crashes";
   static constexpr char kDigestTopic[] = "crash-digest";
--- a/src/quarantine/guarded_run.cc
+++ b/src/quarantine/guarded_run.cc
@@ -17,7 +17,7 @@
   if (!this->quarantine.HasSuspects(this->identity.workspace)) {
     return std::nullopt;
   }
-  return this->quarantine.LastsMs(this->Id());
+  return this->quarantine.RemainingQuarantineMs(this->Id());
 }
 
 bool GuardedRun::Is(const CrashRecordId& other) {
@@ -53,9 +53,9 @@
   }
 }
 
-void GuardedRun::NoteWhole() {
+void GuardedRun::NoteCompleted() {
   if (this->quarantine.HasSuspects(this->identity.workspace)) {
-    this->quarantine.NoteWhole(this->Id());
+    this->quarantine.NoteCompleted(this->Id());
   }
 }
 
--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -59,7 +59,7 @@
   void NoteSilent(const std::optional<ServerInstance>& server);
 
   /// @brief A server completed the request.
-  void NoteWhole();
+  void NoteCompleted();
 
   /// @brief The content key.
   const std::string& Content();
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -16,7 +16,8 @@
       [this](const CrashRecord& record) { this->OnRecordChanged(record); });
 }
 
-std::optional<std::int64_t> Quarantine::LastsMs(const CrashRecordId& id) const {
+std::optional<std::int64_t> Quarantine::RemainingQuarantineMs(
+    const CrashRecordId& id) const {
   const CrashRecord* const record = this->table.Find(id);
   if (record == nullptr) {
     return std::nullopt;
@@ -29,7 +30,7 @@
   return verdict.until_ms - now_ms;
 }
 
-void Quarantine::NoteWhole(const CrashRecordId& id) {
+void Quarantine::NoteCompleted(const CrashRecordId& id) {
   const CrashRecord* const known = this->table.Find(id);
   if (known == nullptr || known->ends.empty()) {
     return;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -51,7 +51,8 @@
 
   /// @brief For how many milliseconds more a content is in quarantine; nullopt
   /// if it may be sent.
-  std::optional<std::int64_t> LastsMs(const CrashRecordId& id) const;
+  std::optional<std::int64_t> RemainingQuarantineMs(
+      const CrashRecordId& id) const;
 
   /// @brief A run was interrupted at a server that had not announced a stop.
   void NoteCut(const InterruptedRun& run) { this->detector.Add(run); }
@@ -60,7 +61,7 @@
   void NoteGone(std::string_view server) { this->detector.NoteGone(server); }
 
   /// @brief A server completed a run: clears the content.
-  void NoteWhole(const CrashRecordId& id);
+  void NoteCompleted(const CrashRecordId& id);
 
   CrashRecordTable& Book() { return this->table; }
 
--- a/src/quarantine/tests/crash_gossip_test.cc
+++ b/src/quarantine/tests/crash_gossip_test.cc
@@ -80,8 +80,8 @@
           gossip(this->table, *this, fleet.clock, fleet.scheduler,
                  fleet.random()) {}
 
-    void TellSome(std::string_view topic, const json& payload,
-                  std::size_t count) override {
+    void SendToRandom(std::string_view topic, const json& payload,
+                      std::size_t count) override {
       for (std::size_t n = 0; n < count; ++n) {
         const auto others = static_cast<int>(this->fleet.hosts.size()) - 1;
         const int target = static_cast<int>(this->fleet.random() %
@@ -90,8 +90,8 @@
                             topic, payload);
       }
     }
-    void TellOne(std::string_view topic, const json& payload,
-                 std::string_view host) override {
+    void SendToHost(std::string_view topic, const json& payload,
+                    std::string_view host) override {
       int to = 0;
       cr_assert(absl::SimpleAtoi(std::string(host), &to));
       this->fleet.Deliver(*this, to, topic, payload);
@@ -119,9 +119,9 @@
         return;
       }
       if (topic_name == CrashGossip::kRecordsTopic) {
-        host.gossip.TakeRecords(name, payload);
+        host.gossip.OnRecords(name, payload);
       } else {
-        host.gossip.TakeDigest(name, payload);
+        host.gossip.OnDigest(name, payload);
       }
     });
   }
@@ -204,15 +204,15 @@
   ManualScheduler scheduler{&clock};
   CrashRecordTable table;
   struct Silent final : public CrashGossipChannel {
-    void TellSome(std::string_view, const json&, std::size_t) override {}
-    void TellOne(std::string_view, const json&, std::string_view) override {}
+    void SendToRandom(std::string_view, const json&, std::size_t) override {}
+    void SendToHost(std::string_view, const json&, std::string_view) override {}
   } silent;
   CrashGossip gossip(table, silent, clock, scheduler, 1);
   for (const json& wrong :
        {json("x"), json::array({1}), json::array({"x", true}),
         json::array({json::object()}), json::object()}) {
-    gossip.TakeRecords("b", wrong);
-    gossip.TakeDigest("b", wrong);
+    gossip.OnRecords("b", wrong);
+    gossip.OnDigest("b", wrong);
   }
   cr_assert(table.Size() == 0);
 }
--- a/src/quarantine/tests/crash_record_test.cc
+++ b/src/quarantine/tests/crash_record_test.cc
@@ -24,7 +24,7 @@
   bool IsQuarantined(std::int64_t at_ms) const {
     return Judge(this->record, kStart + at_ms).in_quarantine;
   }
-  std::int64_t LastsMs(std::int64_t at_ms) const {
+  std::int64_t RemainingQuarantineMs(std::int64_t at_ms) const {
     return Judge(this->record, kStart + at_ms).until_ms - kStart - at_ms;
   }
 
@@ -92,14 +92,14 @@
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
     fixture.Crash(at_ms);
   }
-  const std::int64_t first_ms = fixture.LastsMs(1'400);
+  const std::int64_t first_ms = fixture.RemainingQuarantineMs(1'400);
   cr_assert(first_ms == 10 * kMinute);
   const std::int64_t over_ms = 1'400 + first_ms;
   cr_assert(fixture.IsQuarantined(over_ms - 1));
   cr_assert_not(fixture.IsQuarantined(over_ms));
   fixture.Crash(over_ms + 500);
   cr_assert(fixture.IsQuarantined(over_ms + 500));
-  cr_assert(fixture.LastsMs(over_ms + 500) == 2 * first_ms);
+  cr_assert(fixture.RemainingQuarantineMs(over_ms + 500) == 2 * first_ms);
 }
 
 // Otherwise runs that had begun before the quarantine would prolong it.
@@ -109,7 +109,7 @@
     fixture.Crash(at_ms);
   }
   cr_assert(Judge(fixture.record, kStart + 1'600).strikes == 1);
-  cr_assert(fixture.LastsMs(1'400) == 10 * kMinute);
+  cr_assert(fixture.RemainingQuarantineMs(1'400) == 10 * kMinute);
 }
 
 Test(a_quarantine, lasts_for_most_of_a_day_at_most) {
@@ -117,11 +117,12 @@
   std::int64_t at_ms = 0;
   for (int n = 0; n < 40; ++n) {
     fixture.Crash(at_ms);
-    at_ms += fixture.IsQuarantined(at_ms) ? fixture.LastsMs(at_ms) : 700;
+    at_ms += fixture.IsQuarantined(at_ms) ? fixture.RemainingQuarantineMs(at_ms)
+                                          : 700;
   }
   cr_assert(fixture.IsQuarantined(at_ms - 1));
   fixture.Crash(at_ms);
-  cr_assert(fixture.LastsMs(at_ms) <= kDay);
+  cr_assert(fixture.RemainingQuarantineMs(at_ms) <= kDay);
   cr_assert(fixture.record.ends.size() <= 16, "bounded");
 }
 
--- a/src/relay/backend_health.cc
+++ b/src/relay/backend_health.cc
@@ -42,8 +42,8 @@
 
 // Several hosts may find a server unreachable at the same moment. Those reports
 // count as one failure, not as consecutive ones.
-void BackendHealth::NoteTold(std::string_view id, AttemptResult result,
-                             std::int64_t now_ms) {
+void BackendHealth::RecordPeerAttempt(std::string_view id, AttemptResult result,
+                                      std::int64_t now_ms) {
   if (result == AttemptResult::kUnreachable && !this->IsUsable(id, now_ms)) {
     return;
   }
--- a/src/relay/backend_health.h
+++ b/src/relay/backend_health.h
@@ -30,7 +30,7 @@
   /// From now on the server is avoided for this long.
   std::int64_t aside_ms = 0;
   AttemptResult result = AttemptResult::kGood;
-  bool is_told = false;  ///< the attempt was made by another host
+  bool from_peer = false;  ///< the attempt was made by another host
 };
 
 /// @brief Tracks the health of backend servers from the results of requests
@@ -48,7 +48,8 @@
                      std::int64_t now_ms);
 
   /// @brief Records an attempt made by another host.
-  void NoteTold(std::string_view id, AttemptResult result, std::int64_t now_ms);
+  void RecordPeerAttempt(std::string_view id, AttemptResult result,
+                         std::int64_t now_ms);
 
   /// @brief Whether requests may be sent to the server: it is not being avoided
   /// after failed connections.
--- a/src/relay/call_session.cc
+++ b/src/relay/call_session.cc
@@ -256,7 +256,7 @@
   }
   this->may_have_run = true;
   if (meaning == AnswerMeaning::kRan) {
-    this->guarded.NoteWhole();
+    this->guarded.NoteCompleted();
   }
   const bool failed = meaning == AnswerMeaning::kUnsigned ||
                       answer.http_status >= http_code::kFirstServerError;
--- a/src/relay/engine_drainer.cc
+++ b/src/relay/engine_drainer.cc
@@ -166,7 +166,7 @@
         this->FindStream(drain.engine, entry.first);
     const bool is_over = session == nullptr || !session->IsCopying();
     if (is_over) {
-      this->stream_deps.allocation.MoveOver(entry.second);
+      this->stream_deps.allocation.EndMigration(entry.second);
     }
     return is_over;
   });
@@ -177,7 +177,7 @@
                          drain.requested_turns.insert(request).second;
     if (may_ask) {
       const MigrationRequest move{drain.engine, MakeWorkItem(*session)};
-      this->stream_deps.allocation.AskMove(
+      this->stream_deps.allocation.RequestMigration(
           move, this->life.Guarded([this, move](const Decision& granted) {
             this->OnTurnGranted(move, granted);
           }));
@@ -191,7 +191,7 @@
                                   const Decision& granted) {
   const auto found = this->drains.find(move.source);
   if (found == this->drains.end()) {
-    this->stream_deps.allocation.MoveOver(move);
+    this->stream_deps.allocation.EndMigration(move);
     return;
   }
   Drain& drain = found->second;
@@ -205,13 +205,13 @@
   if (begins) {
     drain.held_turns.emplace(move.run.request, move);
   } else {
-    this->stream_deps.allocation.MoveOver(move);
+    this->stream_deps.allocation.EndMigration(move);
   }
 }
 
 void EngineDrainer::ReleaseTurns(Drain& drain) {
   for (const auto& [request, move] : drain.held_turns) {
-    this->stream_deps.allocation.MoveOver(move);
+    this->stream_deps.allocation.EndMigration(move);
   }
   drain.held_turns.clear();
 }
--- a/src/relay/stream_session.cc
+++ b/src/relay/stream_session.cc
@@ -293,7 +293,7 @@
 /////////
 
 void StreamSession::Complete() {
-  this->guarded.NoteWhole();
+  this->guarded.NoteCompleted();
   this->RecordAttemptEnd(AttemptResult::kGood);
   this->SendHeadOnce();
   this->writer->FinishStream();
@@ -312,7 +312,7 @@
                  "the answer is not the engine's", -1);
     return;
   }
-  this->guarded.NoteWhole();
+  this->guarded.NoteCompleted();
   this->head.content_length = this->whole_body.size();
   this->SendHeadOnce();
   this->writer->Write(this->whole_body);
--- a/src/relay/stream_session_placement.cc
+++ b/src/relay/stream_session_placement.cc
@@ -119,7 +119,7 @@
     return;
   }
   if (decision.engine.has_value() && this->MaySendTo(*decision.engine)) {
-    work.reading_ahead = decision.reading_ahead;
+    work.prefill_ahead_tokens = decision.prefill_ahead_tokens;
     this->stream_deps.fleet.NoteSent(work, *decision.engine,
                                      this->deps.clock.WallMs());
     this->SendTo(decision);
--- a/src/relay/tests/stream_session_test.cc
+++ b/src/relay/tests/stream_session_test.cc
@@ -604,10 +604,11 @@
     this->asked.push_back(chosen);
   }
   bool IsShared() const override { return true; }
-  void AskMove(const MigrationRequest&, const Chosen& granted) override {
+  void RequestMigration(const MigrationRequest&,
+                        const Chosen& granted) override {
     granted(Decision{});
   }
-  void MoveOver(const MigrationRequest&) override {}
+  void EndMigration(const MigrationRequest&) override {}
 
   /// @brief Answers the n-th request for a placement.
   void Give(std::size_t n, const std::string& engine) {
--- a/src/serve/crash_datagrams.h
+++ b/src/serve/crash_datagrams.h
@@ -14,12 +14,12 @@
   /// @param[in] hub outlives this
   explicit CrashDatagrams(DatagramHub& hub) : hub(hub) {}
 
-  void TellSome(std::string_view topic, const nlohmann::json& payload,
-                std::size_t count) override {
+  void SendToRandom(std::string_view topic, const nlohmann::json& payload,
+                    std::size_t count) override {
     this->hub.SendToSome(topic, payload, count);
   }
-  void TellOne(std::string_view topic, const nlohmann::json& payload,
-               std::string_view host) override {
+  void SendToHost(std::string_view topic, const nlohmann::json& payload,
+                  std::string_view host) override {
     this->hub.SendToOne(topic, payload, host);
   }
 
@@ -29,12 +29,12 @@
     this->hub.Register(
         CrashGossip::kRecordsTopic,
         [&words](std::string_view host, const nlohmann::json& payload) {
-          words.TakeRecords(host, payload);
+          words.OnRecords(host, payload);
         });
     this->hub.Register(
         CrashGossip::kDigestTopic,
         [&words](std::string_view host, const nlohmann::json& payload) {
-          words.TakeDigest(host, payload);
+          words.OnDigest(host, payload);
         });
   }
 
--- a/src/serve/ownership_duty.cc
+++ b/src/serve/ownership_duty.cc
@@ -19,7 +19,7 @@
   OwnershipSettings settings;
   settings.half = half.name;
   settings.default_owner = half.default_owner;
-  settings.has_other_half = !half.addresses.empty();
+  settings.has_other_deployment = !half.addresses.empty();
   for (const HalfAddress& address : half.addresses) {
     if (address.half == half.default_owner) {
       settings.default_address = address.url;
@@ -34,7 +34,7 @@
                              const Clock& clock, Scheduler& scheduler,
                              ObjectStore& store, ReplicatedView& view)
     : host(settings.host.name),
-      has_other_half(!settings.half.addresses.empty()),
+      has_other_deployment(!settings.half.addresses.empty()),
       incarnation(incarnation),
       clock(clock),
       scheduler(scheduler),
@@ -166,20 +166,20 @@
 }
 
 absl::Status OwnershipDuty::BeginWork(std::string_view workspace) {
-  if (!this->has_other_half) {
+  if (!this->has_other_deployment) {
     return absl::OkStatus();
   }
   return this->tracker.Begin({OwnedKind::kWorkspace, std::string(workspace)});
 }
 
 void OwnershipDuty::EndWork(std::string_view workspace) {
-  if (this->has_other_half) {
+  if (this->has_other_deployment) {
     this->tracker.End({OwnedKind::kWorkspace, std::string(workspace)});
   }
 }
 
 bool OwnershipDuty::MayUseEngine(std::string_view engine) const {
-  if (!this->has_other_half) {
+  if (!this->has_other_deployment) {
     return true;
   }
   return this->ownership.Look({OwnedKind::kEngine, std::string(engine)})
--- a/src/serve/ownership_duty.h
+++ b/src/serve/ownership_duty.h
@@ -55,7 +55,7 @@
   void Unregister();
 
   std::string host;
-  bool has_other_half;
+  bool has_other_deployment;
   std::int64_t incarnation;
   const Clock& clock;
   Scheduler& scheduler;
--- a/src/serve/placement_duty.cc
+++ b/src/serve/placement_duty.cc
@@ -72,7 +72,7 @@
   return list;
 }
 
-bool PlacementDuty::NeededIsFresh() {
+bool PlacementDuty::NeededModelsAreFresh() {
   const std::int64_t age = this->parts.gate.ViewAgeMs();
   return age >= 0 && age <= this->stale_limit_ms;
 }
--- a/src/serve/placement_duty.h
+++ b/src/serve/placement_duty.h
@@ -43,7 +43,7 @@
   void Stop();
 
   std::vector<NeededModel> Needed() override;
-  bool NeededIsFresh() override;
+  bool NeededModelsAreFresh() override;
   std::span<const ListedEngine> Engines() override;
   std::span<const std::string> LiveHosts() override;
 
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -199,21 +199,23 @@
   this->health.SetListener([this](const HealthUpdate& news) {
     this->fleet.SetFailureShare(news.id, news.failure_share);
     this->fleet.SetAside(news.id, this->clock.WallMs() + news.aside_ms);
-    if (!news.is_told) {
-      this->allocation.TellAttempt(
+    if (!news.from_peer) {
+      this->allocation.ReportAttempt(
           {std::string(news.id), static_cast<int>(news.result)});
     }
   });
   this->allocation.OnAttempt([this](const EngineAttempt& attempt) {
     if (const std::optional<AttemptResult> result =
             AttemptResultOf(attempt.result)) {
-      this->health.NoteTold(attempt.engine, *result, this->clock.MonotonicMs());
+      this->health.RecordPeerAttempt(attempt.engine, *result,
+                                     this->clock.MonotonicMs());
     }
   });
-  this->fleet.OnReading([this](const PrefillObservation& seen) {
-    this->allocation.TellReading(seen);
+  this->fleet.OnPrefillObserved([this](const PrefillObservation& seen) {
+    this->allocation.ReportPrefill(seen);
   });
-  this->allocation.OnTellAll([this] { this->load_datagrams.TellAllSoon(); });
+  this->allocation.SetLoadReporter(
+      [this] { this->load_datagrams.TellAllSoon(); });
   this->entries.SetListener(
       [this](const std::vector<EntryHost>& known) { this->TakeHosts(known); });
   this->entries.OnRead(
@@ -325,7 +327,7 @@
   set("peers_alive", this->exchange.PeersAlive());
   set("quarantined", this->quarantine.Count());
   set("crash_records", this->quarantine.Book().Size());
-  set("allocation_groups", this->allocation.Duties());
+  set("allocation_groups", this->allocation.OwnGroupCount());
   for (const Urgency urgency :
        {Urgency::kUrgent, Urgency::kNormal, Urgency::kBatch}) {
     set("queued_" + std::string(UrgencyName(urgency)),
--- a/src/serve/tests/quarantine_entries_test.cc
+++ b/src/serve/tests/quarantine_entries_test.cc
@@ -67,7 +67,7 @@
   }
 
   bool IsQuarantined() const {
-    return this->quarantine.LastsMs(kId).has_value();
+    return this->quarantine.RemainingQuarantineMs(kId).has_value();
   }
 
   World& world;
