--- a/src/allocation/allocation_messages.cc
+++ b/src/allocation/allocation_messages.cc
@@ -68,14 +68,14 @@
 
 json ToJson(const PlacementRequest& request) {
   const WorkItem& work = request.work;
-  return json::array({request.ticket, request.origin, request.group,
-                      request.source, request.avoid, request.may_forward,
-                      work.request, work.workspace, work.template_name,
-                      work.model, work.prompt_tokens, work.max_output_tokens,
-                      static_cast<int>(work.urgency),
-                      work.first_event_within_ms, work.is_late,
-                      request.is_forwarded, work.homes.has_value(),
-                      work.homes.value_or(std::vector<std::string>{})});
+  return json::array(
+      {request.ticket, request.origin, request.group, request.source,
+       request.avoid, request.may_forward, work.request, work.workspace,
+       work.template_name, work.model, work.prompt_tokens,
+       work.max_output_tokens, static_cast<int>(work.urgency),
+       work.first_event_within_ms, work.is_late, request.is_forwarded,
+       work.allowed_regions.has_value(),
+       work.allowed_regions.value_or(std::vector<std::string>{})});
 }
 
 absl::StatusOr<PlacementRequest> PlacementRequestFrom(const json& payload) {
@@ -108,7 +108,7 @@
   request.is_forwarded = (at++)->get<bool>();
   const bool has_homes = (at++)->get<bool>();
   if (has_homes) {
-    request.work.homes = at->get<std::vector<std::string>>();
+    request.work.allowed_regions = at->get<std::vector<std::string>>();
   }
   request.work.is_copy = !request.source.empty();
   request.work.forced = request.work.is_copy;
--- a/src/allocation/tests/allocation_messages_test.cc
+++ b/src/allocation/tests/allocation_messages_test.cc
@@ -25,7 +25,7 @@
   request.work.urgency = Urgency::kBatch;
   request.work.first_event_within_ms = 900;
   request.work.is_late = true;
-  request.work.homes = AllowedRegions({"cebu"});
+  request.work.allowed_regions = AllowedRegions({"cebu"});
   return request;
 }
 
--- a/src/allocation/tests/allocator_test.cc
+++ b/src/allocation/tests/allocator_test.cc
@@ -142,7 +142,7 @@
 Test(work_with_home_regions, gets_no_engine_outside_them) {
   Fixture fixture(1);
   PlacementRequest request = fixture.MakeRequest();
-  request.work.homes = AllowedRegions({"cebu"});
+  request.work.allowed_regions = AllowedRegions({"cebu"});
   cr_assert(fixture.Place(request, 1).status == PlacementStatus::kNoEngine);
   EngineListing listing{"e0", "z", true, false};
   listing.region = "cebu";
--- a/src/answer/stream_assembler.cc
+++ b/src/answer/stream_assembler.cc
@@ -13,19 +13,19 @@
 
 AssemblerAction StreamAssembler::OnStarted(std::string_view new_generation) {
   if (new_generation.empty()) {
-    return AssemblerAction::kForeign;
+    return AssemblerAction::kOtherGeneration;
   }
   if (!this->IsPinned()) {
     this->generation = std::string(new_generation);
     return AssemblerAction::kContinue;
   }
   return this->generation == new_generation ? AssemblerAction::kContinue
-                                            : AssemblerAction::kForeign;
+                                            : AssemblerAction::kOtherGeneration;
 }
 
 AssemblerAction StreamAssembler::OnToken(const TokenEvent& token) {
   if (!this->IsPinned() || token.generation != this->generation) {
-    return AssemblerAction::kForeign;
+    return AssemblerAction::kOtherGeneration;
   }
   if (token.index < this->next_index) {
     return AssemblerAction::kContinue;
@@ -57,7 +57,7 @@
 
 AssemblerAction StreamAssembler::OnFinished(const GenerationFinish& finish) {
   if (!this->IsPinned() || finish.generation != this->generation) {
-    return AssemblerAction::kForeign;
+    return AssemblerAction::kOtherGeneration;
   }
   // A finish event with fewer tokens than were delivered, or with another count
   // than an earlier finish event, cannot belong to this generation.
@@ -65,7 +65,7 @@
       finish.count < this->next_index ||
       (this->total_tokens >= 0 && this->total_tokens != finish.count);
   if (contradicts) {
-    return AssemblerAction::kForeign;
+    return AssemblerAction::kOtherGeneration;
   }
   this->total_tokens = finish.count;
   this->finish_reason = finish.reason;
--- a/src/answer/stream_assembler.h
+++ b/src/answer/stream_assembler.h
@@ -12,11 +12,12 @@
 
 /// @brief What the caller of StreamAssembler has to do after an event.
 enum class AssemblerAction {
-  kContinue,  ///< nothing
-  kDeliver,   ///< deliver the tokens of TakeReady
-  kResume,    ///< a token is missing: resume the stream from NextIndex
-  kForeign,   ///< event of another generation: it must not reach the caller
-  kComplete,  ///< every token up to the end is ready or delivered
+  kContinue,         ///< nothing
+  kDeliver,          ///< deliver the tokens of TakeReady
+  kResume,           ///< a token is missing: resume the stream from NextIndex
+  kOtherGeneration,  ///< event of another generation: it must not reach the
+                     ///< caller
+  kComplete,         ///< every token up to the end is ready or delivered
 };
 
 /// @brief Puts the events of one generation in order, each token exactly once.
--- a/src/answer/tests/stream_assembler_test.cc
+++ b/src/answer/tests/stream_assembler_test.cc
@@ -32,18 +32,19 @@
 
 Test(a_stream_assembler, rejects_tokens_before_its_generation_is_known) {
   StreamAssembler assembler;
-  cr_assert(assembler.OnToken(Token(0)) == AssemblerAction::kForeign);
-  cr_assert(assembler.OnStarted("") == AssemblerAction::kForeign);
+  cr_assert(assembler.OnToken(Token(0)) == AssemblerAction::kOtherGeneration);
+  cr_assert(assembler.OnStarted("") == AssemblerAction::kOtherGeneration);
 }
 
 Test(a_stream_assembler, rejects_events_of_another_generation) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
   assembler.OnToken(Token(0));
-  cr_assert(assembler.OnStarted("g2") == AssemblerAction::kForeign);
-  cr_assert(assembler.OnToken(Token(1, "g2")) == AssemblerAction::kForeign);
+  cr_assert(assembler.OnStarted("g2") == AssemblerAction::kOtherGeneration);
+  cr_assert(assembler.OnToken(Token(1, "g2")) ==
+            AssemblerAction::kOtherGeneration);
   cr_assert(assembler.OnFinished({"g2", 1, "stop"}) ==
-            AssemblerAction::kForeign);
+            AssemblerAction::kOtherGeneration);
   cr_assert(assembler.NextIndex() == 1);
 }
 
@@ -98,7 +99,7 @@
   StreamAssembler assembler(5);
   assembler.OnStarted("g1");
   cr_assert(assembler.OnFinished({"g1", 3, "stop"}) ==
-            AssemblerAction::kForeign);
+            AssemblerAction::kOtherGeneration);
 }
 
 Test(a_stream_assembler, restores_a_stream_with_late_and_duplicate_tokens) {
--- a/src/cli/quarantine_list_command.cc
+++ b/src/cli/quarantine_list_command.cc
@@ -15,7 +15,7 @@
   if (verdict.in_quarantine) {
     return "quarantined";
   }
-  return record.ends.empty() ? "cleared" : "suspected";
+  return record.crashes.empty() ? "cleared" : "suspected";
 }
 
 CommandResult Tell(const ObjectList& list, std::int64_t now_unix_ms) {
@@ -37,7 +37,7 @@
     const bool has_end = state == "quarantined";
     table.Add({object.name, record->id.workspace, record->route, state,
                UtcTime(has_end ? verdict.until_ms : 0),
-               std::to_string(record->ends.size()), record->request,
+               std::to_string(record->crashes.size()), record->request,
                ServersText(*record)});
     nlohmann::ordered_json told = CrashRecordJson(*record);
     told["state"] = state;
--- a/src/cli/tests/quarantine_test.cc
+++ b/src/cli/tests/quarantine_test.cc
@@ -18,9 +18,9 @@
     this->record.id = {"makati", kContent};
     this->record.route = "report";
     this->record.request = "r-7";
-    this->record.ends = {{"s-1", true, kNow - 3'000},
-                         {"s-2", true, kNow - 2'000},
-                         {"s-3", true, kNow - 1'000}};
+    this->record.crashes = {{"s-1", true, kNow - 3'000},
+                            {"s-2", true, kNow - 2'000},
+                            {"s-3", true, kNow - 1'000}};
     this->world.Put(kQuarantineKind, kContent, EncodeCrashRecord(this->record));
   }
 
@@ -78,7 +78,7 @@
   bool wrote = false;
   story.world.at_pause = [&story, &wrote] {
     CrashRecord more = story.record;
-    more.ends.push_back({"s-4", true, kNow - 500});
+    more.crashes.push_back({"s-4", true, kNow - 500});
     story.world.store.Put(kQuarantineKind, kContent, EncodeCrashRecord(more), 1,
                           [&wrote](const auto& put) { wrote = put.ok(); });
     story.world.store.Settle();
--- a/src/gateway/generation_session.cc
+++ b/src/gateway/generation_session.cc
@@ -268,7 +268,7 @@
 void GenerationSession::EndIfQuarantined(const CrashRecordId& quarantined) {
   const bool is_waiting = this->phase == SessionPhase::kQueued ||
                           this->phase == SessionPhase::kSending;
-  if (!is_waiting || this->resumed || !this->guarded.Is(quarantined)) {
+  if (!is_waiting || this->resumed || !this->guarded.HasContent(quarantined)) {
     return;
   }
   if (this->phase == SessionPhase::kQueued) {
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -123,7 +123,7 @@
                                      Outcome::kInterrupted, "stream",
                                      "tokens are missing"));
       return;
-    case AssemblerAction::kForeign:
+    case AssemblerAction::kOtherGeneration:
       this->AfterGenerationLost(
           this->ErrorOf(ErrorId::kGenerationLost, Outcome::kInterrupted,
                         "stream", "the engine streams another generation"));
--- a/src/hosts/host_list.cc
+++ b/src/hosts/host_list.cc
@@ -121,11 +121,11 @@
       list.hosts.push_back(*std::move(entry));
       continue;
     }
-    if (++list.passed_over == 1) {
+    if (++list.skipped_entries == 1) {
       list.first_error = std::string{entry.status().message()};
     }
   }
-  if (list.hosts.empty() && list.passed_over > 0) {
+  if (list.hosts.empty() && list.skipped_entries > 0) {
     return MalformedError(list.first_error);
   }
   return list;
--- a/src/hosts/host_list.h
+++ b/src/hosts/host_list.h
@@ -42,7 +42,7 @@
 struct HostList {
   std::int64_t as_of_unix_ms = 0;
   std::vector<HostEntry> hosts;
-  int passed_over = 0;           ///< number of invalid entries, left out
+  int skipped_entries = 0;       ///< number of invalid entries, left out
   std::string first_error = {};  ///< for the first of them; names the field
 };
 
--- a/src/hosts/host_list_poller.cc
+++ b/src/hosts/host_list_poller.cc
@@ -63,10 +63,10 @@
 
 // Logs only when the number changes, because the list is read repeatedly.
 void HostListPoller::LogSkippedEntries(const HostList& list) {
-  if (std::exchange(this->skipped_entries, list.passed_over) !=
-      list.passed_over) {
+  if (std::exchange(this->skipped_entries, list.skipped_entries) !=
+      list.skipped_entries) {
     LogLine("host-list-passed-over")
-        .Add("entries", list.passed_over)
+        .Add("entries", list.skipped_entries)
         .Add("first", list.first_error)
         .WriteImportant();
   }
--- a/src/hosts/tests/host_directory_test.cc
+++ b/src/hosts/tests/host_directory_test.cc
@@ -70,7 +70,7 @@
     cr_assert(list.ok(), "%.60s", entry.c_str());
     cr_assert(list->hosts.size() == 2 && list->hosts[1].name == "z", "%.60s",
               entry.c_str());
-    cr_assert(list->passed_over == 1 && !list->first_error.empty());
+    cr_assert(list->skipped_entries == 1 && !list->first_error.empty());
   }
 }
 
--- a/src/placement/drain_tracker.cc
+++ b/src/placement/drain_tracker.cc
@@ -86,7 +86,7 @@
 
 DrainReport DrainTracker::Report() const {
   DrainReport report;
-  report.deployment = this->view.Settings().half;
+  report.deployment = this->view.Settings().deployment;
   for (const DrainingObject& one : this->view.Draining()) {
     if (!this->in_flight.contains(one.id)) {
       report.drained.push_back({OwnershipObjectName(one.id), one.version});
--- a/src/placement/engine_table.cc
+++ b/src/placement/engine_table.cc
@@ -130,7 +130,7 @@
     engine.name = name;
     engine.zone = record.listed.zone;
     engine.state = this->LivenessOf(name, record);
-    const OwnershipLookup owned = ownership.Look({OwnedKind::kEngine, name});
+    const OwnershipLookup owned = ownership.Lookup({OwnedKind::kEngine, name});
     engine.owned =
         owned.verdict == OwnershipVerdict::kOurs && !this->IsRefusing(record);
     engine.cooled_down =
--- a/src/placement/order_sender.cc
+++ b/src/placement/order_sender.cc
@@ -51,7 +51,7 @@
                         "the lease is not held");
   }
   const OwnershipLookup owned =
-      this->ownership.Look({OwnedKind::kEngine, order.engine});
+      this->ownership.Lookup({OwnedKind::kEngine, order.engine});
   if (owned.verdict != OwnershipVerdict::kOurs) {
     return NotSentError(ErrorId::kOwnedElsewhere, order.engine,
                         OwnershipVerdictName(owned.verdict));
--- a/src/placement/ownership_view.cc
+++ b/src/placement/ownership_view.cc
@@ -72,7 +72,7 @@
   }
 }
 
-void OwnershipView::Confirm(std::int64_t since_ms) {
+void OwnershipView::ConfirmReadSince(std::int64_t since_ms) {
   this->confirmed_ms =
       std::max(this->confirmed_ms.value_or(since_ms), since_ms);
 }
@@ -93,7 +93,7 @@
 
 OwnershipVerdict OwnershipView::VerdictFor(
     const OwnershipDocument& document) const {
-  if (document.owner != this->settings.half) {
+  if (document.owner != this->settings.deployment) {
     return OwnershipVerdict::kElsewhere;
   }
   return document.state == OwnershipState::kDraining
@@ -101,7 +101,7 @@
              : OwnershipVerdict::kOurs;
 }
 
-OwnershipLookup OwnershipView::Look(const OwnedId& id) const {
+OwnershipLookup OwnershipView::Lookup(const OwnedId& id) const {
   OwnershipLookup answer;
   OwnershipDocument document;
   document.owner = this->settings.default_owner;
@@ -135,7 +135,7 @@
 }
 
 absl::Status OwnershipView::MayStart(const OwnedId& id) const {
-  const OwnershipLookup answer = this->Look(id);
+  const OwnershipLookup answer = this->Lookup(id);
   const std::string name = OwnershipObjectName(id);
   switch (answer.verdict) {
     case OwnershipVerdict::kOurs:
--- a/src/placement/ownership_view.h
+++ b/src/placement/ownership_view.h
@@ -17,7 +17,7 @@
 
 /// @brief The deployment of this host, and the default owner.
 struct OwnershipSettings {
-  std::string half;           ///< the name of this deployment
+  std::string deployment;     ///< the name of this deployment
   std::string default_owner;  ///< owns anything without an object
   std::string default_address;
   /// Whether another deployment shares the object store. If not, a host may
@@ -69,7 +69,7 @@
   /// at some time not before `since_ms`.
   /// @param[in] since_ms monotonic time at which the read was *sent*; if a peer
   /// did the read: when the peer was asked, minus the age that it answered
-  void Confirm(std::int64_t since_ms);
+  void ConfirmReadSince(std::int64_t since_ms);
 
   /// @brief Called when the write of this host's status object has succeeded:
   /// from then on movers wait for this host to drain.
@@ -81,7 +81,7 @@
 
   /// @brief The owner of a workspace or engine, and whether work may start.
   /// @complexity logarithmic in the objects
-  OwnershipLookup Look(const OwnedId& id) const;
+  OwnershipLookup Lookup(const OwnedId& id) const;
 
   /// @brief Whether new work may start.
   /// @return OK; kOwnedElsewhere with the address to use instead as `peer`; or
--- a/src/placement/tests/controller_fixture.h
+++ b/src/placement/tests/controller_fixture.h
@@ -17,7 +17,7 @@
 /// @brief A placement source whose answers a test sets.
 class FakePlacementSource final : public PlacementSource {
  public:
-  std::vector<NeededModel> Needed() override { return this->needed; }
+  std::vector<NeededModel> NeededModels() override { return this->needed; }
   bool NeededModelsAreFresh() override { return true; }
   std::span<const ListedEngine> Engines() override { return this->listed; }
   std::span<const std::string> LiveHosts() override { return this->hosts; }
@@ -29,7 +29,7 @@
 
 inline OwnershipSettings OwnershipSettingsFor(std::string_view deployment) {
   OwnershipSettings settings;
-  settings.half = std::string(deployment);
+  settings.deployment = std::string(deployment);
   settings.default_owner = "lukot";
   return settings;
 }
@@ -59,7 +59,7 @@
             {store, this->client, clock, this->nonces, this->view, source},
             this->scheduler) {
     this->view.SetRegistered();
-    this->view.Confirm(clock.MonotonicMs() + 1);
+    this->view.ConfirmReadSince(clock.MonotonicMs() + 1);
   }
 
   bool Holds() { return !this->controller.Held().empty(); }
--- a/src/placement/tests/engine_table_test.cc
+++ b/src/placement/tests/engine_table_test.cc
@@ -20,7 +20,7 @@
 
 OwnershipSettings Settings() {
   OwnershipSettings settings;
-  settings.half = "lukot";
+  settings.deployment = "lukot";
   settings.default_owner = "lukot";
   return settings;
 }
@@ -29,7 +29,7 @@
 struct Fixture {
   Fixture() {
     this->view.SetRegistered();
-    this->view.Confirm(this->clock.MonotonicMs() + 1);
+    this->view.ConfirmReadSince(this->clock.MonotonicMs() + 1);
     this->ListWithReport(DesiredState{"mixed", {}});
   }
 
--- a/src/placement/tests/order_sender_test.cc
+++ b/src/placement/tests/order_sender_test.cc
@@ -14,7 +14,7 @@
   Fixture() {
     this->host.RunRound();
     this->view.SetRegistered();
-    this->view.Confirm(this->host.clock.MonotonicMs() + 1);
+    this->view.ConfirmReadSince(this->host.clock.MonotonicMs() + 1);
     this->order.engine = "e";
     this->order.base_url = "http://e";
     this->order.desired = {"mixed", {{"m", "", "1"}}};
@@ -23,7 +23,7 @@
 
   static OwnershipSettings Settings() {
     OwnershipSettings settings;
-    settings.half = "lukot";
+    settings.deployment = "lukot";
     settings.default_owner = "lukot";
     return settings;
   }
--- a/src/placement/tests/ownership_mover_test.cc
+++ b/src/placement/tests/ownership_mover_test.cc
@@ -27,7 +27,7 @@
 
   static OwnershipSettings Settings(std::string_view deployment) {
     OwnershipSettings settings;
-    settings.half = std::string(deployment);
+    settings.deployment = std::string(deployment);
     settings.default_owner = "lukot";
     return settings;
   }
@@ -43,7 +43,7 @@
                        for (const StoredObject& object : list->items) {
                          this->view.Apply(object);
                        }
-                       this->view.Confirm(asked_ms);
+                       this->view.ConfirmReadSince(asked_ms);
                      });
   }
 
--- a/src/placement/tests/ownership_test.cc
+++ b/src/placement/tests/ownership_test.cc
@@ -12,7 +12,7 @@
 
 OwnershipSettings OwnershipSettingsFor(std::string_view name) {
   OwnershipSettings settings;
-  settings.half = std::string(name);
+  settings.deployment = std::string(name);
   settings.default_owner = "lukot";
   settings.default_address = "https://lukot";
   return settings;
@@ -43,7 +43,7 @@
   explicit RegisteredHost(std::string_view deployment)
       : clock(50'000), view(OwnershipSettingsFor(deployment), clock) {
     this->view.SetRegistered();
-    this->view.Confirm(50'001);
+    this->view.ConfirmReadSince(50'001);
   }
   ManualClock clock;
   OwnershipView view;
@@ -98,8 +98,9 @@
 Test(a_view, starts_nothing_before_the_host_is_registered) {
   ManualClock clock(50'000);
   OwnershipView view(OwnershipSettingsFor("lukot"), clock);
-  view.Confirm(50'000);
-  cr_assert(view.Look(kWorkspaceA).verdict == OwnershipVerdict::kUnregistered);
+  view.ConfirmReadSince(50'000);
+  cr_assert(view.Lookup(kWorkspaceA).verdict ==
+            OwnershipVerdict::kUnregistered);
   const ErrorDetail refused = DetailOf(view.MayStart(kWorkspaceA));
   cr_assert(refused.id == ErrorId::kHostNotReady);
   cr_assert(refused.outcome == Outcome::kNotRun);
@@ -109,14 +110,14 @@
   ManualClock clock(50'000);
   OwnershipView view(OwnershipSettingsFor("lukot"), clock);
   view.SetRegistered();
-  view.Confirm(50'000);  // the read may have been sent before
-  cr_assert(view.Look(kWorkspaceA).verdict == OwnershipVerdict::kUnread);
-  view.Confirm(50'001);
+  view.ConfirmReadSince(50'000);  // the read may have been sent before
+  cr_assert(view.Lookup(kWorkspaceA).verdict == OwnershipVerdict::kUnread);
+  view.ConfirmReadSince(50'001);
   cr_assert(view.MayStart(kWorkspaceA).ok());
   view.SetUnregistered();
   cr_assert(!view.MayStart(kWorkspaceA).ok());
   view.SetRegistered();
-  view.Confirm(50'002);
+  view.ConfirmReadSince(50'002);
   cr_assert(view.MayStart(kWorkspaceA).ok());
 }
 
@@ -138,7 +139,7 @@
     RegisteredHost host(name);
     host.view.Apply(Stored(Owned("lukot"), 3));
     host.view.Apply({"ownership", "workspace.a", 4, "{}", false});
-    cr_assert(host.view.Look(kWorkspaceA).verdict ==
+    cr_assert(host.view.Lookup(kWorkspaceA).verdict ==
               OwnershipVerdict::kUnreadable);
     cr_assert(!host.view.MayStart(kWorkspaceA).ok());
   }
--- a/src/policy/allowed_regions.cc
+++ b/src/policy/allowed_regions.cc
@@ -5,9 +5,10 @@
 
 namespace meadowthread {
 
-bool MayRunIn(const AllowedRegions& homes, std::string_view region) {
-  return !homes.has_value() ||
-         std::find(homes->begin(), homes->end(), region) != homes->end();
+bool MayRunIn(const AllowedRegions& allowed_regions, std::string_view region) {
+  return !allowed_regions.has_value() ||
+         std::find(allowed_regions->begin(), allowed_regions->end(), region) !=
+             allowed_regions->end();
 }
 
 AllowedRegions AllowedRegionsOf(std::span<const std::string> route,
--- a/src/policy/allowed_regions.h
+++ b/src/policy/allowed_regions.h
@@ -14,7 +14,7 @@
 using AllowedRegions = std::optional<std::vector<std::string>>;
 
 /// @brief Whether a request with these allowed regions may run in `region`.
-bool MayRunIn(const AllowedRegions& homes, std::string_view region);
+bool MayRunIn(const AllowedRegions& allowed_regions, std::string_view region);
 
 /// @brief The regions allowed by both the route and the workspace. An empty
 /// list imposes no restriction.
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -80,7 +80,7 @@
   /// @brief Marks an engine that could not be reached; it is used only as a
   /// last resort until then.
   /// @param[in] until_ms Unix time
-  void SetAside(std::string_view engine, std::int64_t until_ms);
+  void MarkUnreachable(std::string_view engine, std::int64_t until_ms);
 
   /// @brief Records that an engine refused a KV-cache copy, because it has no
   /// memory for it or because it is leaving and has not yet announced it. The
--- a/src/policy/fleet_state_peers.cc
+++ b/src/policy/fleet_state_peers.cc
@@ -28,7 +28,8 @@
   }
 }
 
-void FleetState::SetAside(std::string_view engine, std::int64_t until_ms) {
+void FleetState::MarkUnreachable(std::string_view engine,
+                                 std::int64_t until_ms) {
   if (Engine* const found = this->FindEngine(engine)) {
     found->view.unreachable_until_ms = until_ms;
   }
--- a/src/policy/pressure_chooser.cc
+++ b/src/policy/pressure_chooser.cc
@@ -22,7 +22,7 @@
   std::vector<ScoredEngine> scored;
   for (const EngineIndex engine : fleet.Serving(work)) {
     const EngineView& view = fleet.View(engine);
-    if (view.Usable() && MayRunIn(work.homes, view.region) &&
+    if (view.Usable() && MayRunIn(work.allowed_regions, view.region) &&
         (!this->filter || this->filter(view))) {
       scored.push_back(this->Score(work, fleet, engine, added, now_ms));
       const auto cost = link_costs.find(view.zone);
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -43,7 +43,7 @@
   work.prefix_hash = 77;
   fleet.state.NoteSent(work, "e0", 10);
   fleet.state.SetFailureShare("e0", 0.9);
-  fleet.state.SetAside("e0", 99'000);
+  fleet.state.MarkUnreachable("e0", 99'000);
   fleet.state.NoteNoRoom("e0", 10);
   fleet.state.SetCopies("e0", 1);
   PeerLoad peer{"h", "e0", 10, 3, 500, 100, 1, {}};
--- a/src/policy/tests/pressure_chooser_test.cc
+++ b/src/policy/tests/pressure_chooser_test.cc
@@ -81,13 +81,13 @@
 Test(an_engine_that_could_not_be_reached, is_a_last_resort_for_a_while) {
   PressureChooserFixture fixture;
   fixture.ReportPeerLoad("e1", kCapacity / 2, 9'000);
-  fixture.fleet.state.SetAside("e0", 500);
+  fixture.fleet.state.MarkUnreachable("e0", 500);
   cr_assert(fixture.Choose() == "e1");
   cr_assert(
       *fixture.chooser.Choose(fixture.Item("r"), fixture.fleet.state, 500, 0)
               .engine == "e0",
       "no longer avoided");
-  fixture.fleet.state.SetAside("e0", 900);
+  fixture.fleet.state.MarkUnreachable("e0", 900);
   fixture.fleet.state.SetEngine({"e1", "z", true, true}, 0);
   cr_assert(fixture.Choose() == "e0", "no other engine is usable");
 }
--- a/src/policy/work_item.h
+++ b/src/policy/work_item.h
@@ -45,7 +45,7 @@
   std::int64_t prefill_ahead_tokens = -1;
   /// Its KV cache is copied from another engine: no prompt to prefill.
   bool is_copy = false;
-  AllowedRegions homes;  ///< regions in which it may run
+  AllowedRegions allowed_regions;  ///< regions in which it may run
 };
 
 }  // namespace meadowthread
--- a/src/quarantine/crash_gossip.cc
+++ b/src/quarantine/crash_gossip.cc
@@ -82,7 +82,7 @@
           .WriteImportant();
       return;
     }
-    this->table.Take(*record, this->clock.WallMs());
+    this->table.Apply(*record, this->clock.WallMs());
   }
 }
 
--- a/src/quarantine/crash_messages.cc
+++ b/src/quarantine/crash_messages.cc
@@ -85,7 +85,7 @@
 
 json CrashRecordJson(const CrashRecord& record) {
   json crashes = json::array();
-  for (const ServerCrash& crash : record.ends) {
+  for (const ServerCrash& crash : record.crashes) {
     crashes.push_back({{kServer, crash.server},
                        {kBeforeAnyAnswer, crash.before_any_answer},
                        {kAt, crash.unix_ms}});
@@ -117,7 +117,7 @@
   if (!ReadText(value, kRequest, &record.request)) {
     return MalformedField(kRequest);
   }
-  if (!ReadCrashes(value, &record.ends)) {
+  if (!ReadCrashes(value, &record.crashes)) {
     return MalformedField(kCrashes);
   }
   if (!ReadTime(value, kCleared, &record.cleared_ms)) {
--- a/src/quarantine/crash_record.cc
+++ b/src/quarantine/crash_record.cc
@@ -59,25 +59,26 @@
 };
 
 void Prune(CrashRecord* record) {
-  std::erase_if(record->ends, [record](const ServerCrash& crash) {
+  std::erase_if(record->crashes, [record](const ServerCrash& crash) {
     return crash.unix_ms <= record->cleared_ms;
   });
-  if (record->ends.size() > kMaxCrashes) {
-    record->ends.erase(
-        record->ends.begin(),
-        record->ends.end() - static_cast<std::ptrdiff_t>(kMaxCrashes));
+  if (record->crashes.size() > kMaxCrashes) {
+    record->crashes.erase(
+        record->crashes.begin(),
+        record->crashes.end() - static_cast<std::ptrdiff_t>(kMaxCrashes));
   }
 }
 
 // Several runs of the content may have been on the server: keeps the earliest
 // time, and whether any of the runs had no output.
 void MergeCrash(const ServerCrash& crash, CrashRecord* record) {
-  const auto known = std::find_if(record->ends.begin(), record->ends.end(),
-                                  [&crash](const ServerCrash& existing) {
-                                    return existing.server == crash.server;
-                                  });
-  if (known == record->ends.end()) {
-    record->ends.push_back(crash);
+  const auto known =
+      std::find_if(record->crashes.begin(), record->crashes.end(),
+                   [&crash](const ServerCrash& existing) {
+                     return existing.server == crash.server;
+                   });
+  if (known == record->crashes.end()) {
+    record->crashes.push_back(crash);
     return;
   }
   known->before_any_answer |= crash.before_any_answer;
@@ -88,7 +89,7 @@
 
 CrashVerdict Judge(const CrashRecord& record, std::int64_t now_unix_ms) {
   Tally tally;
-  for (const ServerCrash& crash : record.ends) {
+  for (const ServerCrash& crash : record.crashes) {
     if (crash.unix_ms > record.cleared_ms) {
       tally.Add(crash);
     }
@@ -114,7 +115,7 @@
 
 std::string ServersText(const CrashRecord& record) {
   std::string servers;
-  for (const ServerCrash& crash : record.ends) {
+  for (const ServerCrash& crash : record.crashes) {
     servers += servers.empty() ? "" : ",";
     servers += crash.server;
   }
@@ -129,16 +130,16 @@
   }
   record->cleared_ms = std::max(record->cleared_ms, other.cleared_ms);
   record->kept_ms = std::max(record->kept_ms, other.kept_ms);
-  for (const ServerCrash& crash : other.ends) {
+  for (const ServerCrash& crash : other.crashes) {
     MergeCrash(crash, record);
   }
-  std::sort(record->ends.begin(), record->ends.end(),
+  std::sort(record->crashes.begin(), record->crashes.end(),
             [](const ServerCrash& a, const ServerCrash& b) {
               return a.unix_ms != b.unix_ms ? a.unix_ms < b.unix_ms
                                             : a.server < b.server;
             });
   Prune(record);
-  return before.ends != record->ends ||
+  return before.crashes != record->crashes ||
          before.cleared_ms != record->cleared_ms ||
          before.kept_ms != record->kept_ms;
 }
--- a/src/quarantine/crash_record.h
+++ b/src/quarantine/crash_record.h
@@ -39,7 +39,7 @@
   CrashRecordId id;
   std::string route;    ///< route or template of one try, for operators
   std::string request;  ///< id of one try, for operators
-  std::vector<ServerCrash> ends;  ///< crashes by time, one per server
+  std::vector<ServerCrash> crashes;  ///< crashes by time, one per server
   /// When a run last completed, or an operator lifted the quarantine; crashes
   /// up to then no longer count. Unix ms; 0: never.
   std::int64_t cleared_ms = 0;
@@ -52,7 +52,7 @@
 /// @brief Whether crashes count against the content, or an operator keeps it in
 /// quarantine.
 inline bool IsSuspect(const CrashRecord& record) {
-  return !record.ends.empty() || record.kept_ms > record.cleared_ms;
+  return !record.crashes.empty() || record.kept_ms > record.cleared_ms;
 }
 
 /// @brief Whether a content is in quarantine at some time, and until when.
--- a/src/quarantine/crash_record_table.cc
+++ b/src/quarantine/crash_record_table.cc
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-bool CrashRecordTable::Take(const CrashRecord& record,
-                            std::int64_t now_unix_ms) {
+bool CrashRecordTable::Apply(const CrashRecord& record,
+                             std::int64_t now_unix_ms) {
   if (Judge(record, now_unix_ms).forget_ms <= now_unix_ms) {
     return false;
   }
@@ -82,7 +82,7 @@
   for (const CrashRecord* const record : this->All()) {
     absl::StrAppend(&text, record->id.workspace, "\n", record->id.content, "\n",
                     record->cleared_ms, " ", record->kept_ms, "\n");
-    for (const ServerCrash& crash : record->ends) {
+    for (const ServerCrash& crash : record->crashes) {
       absl::StrAppend(&text, crash.server, " ", crash.before_any_answer ? 1 : 0,
                       " ", crash.unix_ms, "\n");
     }
--- a/src/quarantine/crash_record_table.h
+++ b/src/quarantine/crash_record_table.h
@@ -34,7 +34,7 @@
 
   /// @brief Adds a record, or merges it into the one of the same content.
   /// @return whether anything was new; false for an expired record
-  bool Take(const CrashRecord& record, std::int64_t now_unix_ms);
+  bool Apply(const CrashRecord& record, std::int64_t now_unix_ms);
 
   /// @brief Whether any request content of a workspace is suspected. If not,
   /// callers need not compute content keys.
--- a/src/quarantine/guarded_run.cc
+++ b/src/quarantine/guarded_run.cc
@@ -20,7 +20,7 @@
   return this->quarantine.RemainingQuarantineMs(this->Id());
 }
 
-bool GuardedRun::Is(const CrashRecordId& other) {
+bool GuardedRun::HasContent(const CrashRecordId& other) {
   return this->identity.workspace == other.workspace &&
          this->Content() == other.content;
 }
--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -46,7 +46,7 @@
   std::optional<std::int64_t> QuarantinedForMs();
 
   /// @brief Whether the request has this workspace and content.
-  bool Is(const CrashRecordId& other);
+  bool HasContent(const CrashRecordId& other);
 
   /// @brief The connection to the server broke after the request was sent.
   /// @param[in] server nullopt if the server had announced that it would stop,
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -32,7 +32,7 @@
 
 void Quarantine::NoteCompleted(const CrashRecordId& id) {
   const CrashRecord* const known = this->table.Find(id);
-  if (known == nullptr || known->ends.empty()) {
+  if (known == nullptr || known->crashes.empty()) {
     return;
   }
   CrashRecord cleared = *known;
@@ -40,14 +40,14 @@
   LogLine("suspect-cleared")
       .Add("workspace", id.workspace)
       .Add("content", id.content)
-      .Add("ends", known->ends.size())
+      .Add("ends", known->crashes.size())
       .WriteImportant();
   this->AddOwnRecord(cleared);
 }
 
 void Quarantine::AddOwnRecord(const CrashRecord& record) {
   this->adding_own = true;
-  this->table.Take(record, this->clock.WallMs());
+  this->table.Apply(record, this->clock.WallMs());
   this->adding_own = false;
 }
 
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -63,7 +63,7 @@
   /// @brief A server completed a run: clears the content.
   void NoteCompleted(const CrashRecordId& id);
 
-  CrashRecordTable& Book() { return this->table; }
+  CrashRecordTable& RecordTable() { return this->table; }
 
   /// @brief Number of contents in quarantine now.
   std::size_t Count() const;
--- a/src/quarantine/server_crash_detector.cc
+++ b/src/quarantine/server_crash_detector.cc
@@ -107,7 +107,7 @@
     record.id = entry.run.id;
     record.route = entry.run.route;
     record.request = entry.run.request.substr(0, kMaxRequestIdBytes);
-    record.ends = {
+    record.crashes = {
         {entry.run.server, entry.run.before_any_answer, entry.unix_ms}};
     this->listener(record);
   }
--- a/src/quarantine/tests/crash_gossip_test.cc
+++ b/src/quarantine/tests/crash_gossip_test.cc
@@ -39,8 +39,8 @@
     CrashRecord record;
     record.id = {"makati", kContent};
     record.request = "r";
-    record.ends = {{server, true, this->clock.WallMs()}};
-    this->hosts.at(host)->table.Take(record, this->clock.WallMs());
+    record.crashes = {{server, true, this->clock.WallMs()}};
+    this->hosts.at(host)->table.Apply(record, this->clock.WallMs());
   }
 
   void Restart(int host) {
--- a/src/quarantine/tests/crash_record_table_test.cc
+++ b/src/quarantine/tests/crash_record_table_test.cc
@@ -19,7 +19,8 @@
   record.route = "report";
   record.request = "r";
   for (int i = 0; i < crashes; ++i) {
-    record.ends.push_back({absl::StrFormat("s-%d-%d", n, i), true, kNow + i});
+    record.crashes.push_back(
+        {absl::StrFormat("s-%d-%d", n, i), true, kNow + i});
   }
   return record;
 }
@@ -32,14 +33,14 @@
 Test(a_workspace_with_thousands_of_records, evicts_none_of_other_workspaces) {
   CrashRecordTable table({4, 10});
   const CrashRecord other = RecordOf("pasig", 1, 3);
-  table.Take(other, kNow + 10);
+  table.Apply(other, kNow + 10);
   for (int n = 0; n < 2'000; ++n) {
-    table.Take(RecordOf("makati", n, 3), kNow + 10);
+    table.Apply(RecordOf("makati", n, 3), kNow + 10);
   }
   cr_assert(table.Size() == 5, "%zu", table.Size());
   cr_assert(IsQuarantined(table, other.id));
   for (int n = 0; n < 40; ++n) {
-    table.Take(RecordOf("w-" + std::to_string(n), 1, 1), kNow + 10);
+    table.Apply(RecordOf("w-" + std::to_string(n), 1, 1), kNow + 10);
   }
   cr_assert(table.Size() <= 10, "%zu", table.Size());
 }
@@ -47,9 +48,9 @@
 Test(a_full_workspace, evicts_suspects_before_quarantined_contents) {
   CrashRecordTable table({3, 100});
   const CrashRecord quarantined = RecordOf("makati", 1, 3);
-  table.Take(quarantined, kNow + 10);
+  table.Apply(quarantined, kNow + 10);
   for (int n = 2; n < 50; ++n) {
-    table.Take(RecordOf("makati", n, 1), kNow + 10);
+    table.Apply(RecordOf("makati", n, 1), kNow + 10);
   }
   cr_assert(IsQuarantined(table, quarantined.id));
 }
@@ -58,20 +59,20 @@
   CrashRecordTable table;
   int calls = 0;
   table.AddListener([&calls](const CrashRecord&) { ++calls; });
-  cr_assert(table.Take(RecordOf("makati", 1, 2), kNow + 10));
-  cr_assert_not(table.Take(RecordOf("makati", 1, 1), kNow + 10));
-  cr_assert(table.Take(RecordOf("makati", 1, 3), kNow + 10));
+  cr_assert(table.Apply(RecordOf("makati", 1, 2), kNow + 10));
+  cr_assert_not(table.Apply(RecordOf("makati", 1, 1), kNow + 10));
+  cr_assert(table.Apply(RecordOf("makati", 1, 3), kNow + 10));
   cr_assert(calls == 2);
 }
 
 Test(a_workspace, has_suspects_until_they_are_cleared) {
   CrashRecordTable table;
-  table.Take(RecordOf("makati", 1, 1), kNow + 10);
+  table.Apply(RecordOf("makati", 1, 1), kNow + 10);
   cr_assert(table.HasSuspects("makati"));
   cr_assert_not(table.HasSuspects("pasig"));
   CrashRecord cleared = RecordOf("makati", 1, 0);
   cleared.cleared_ms = kNow + 5;
-  table.Take(cleared, kNow + 10);
+  table.Apply(cleared, kNow + 10);
   cr_assert_not(table.HasSuspects("makati"));
 }
 
@@ -79,34 +80,34 @@
 // crashes again.
 Test(a_cleared_content, stays_cleared_when_old_crashes_are_received_again) {
   CrashRecordTable table;
-  table.Take(RecordOf("makati", 1, 3), kNow + 10);
+  table.Apply(RecordOf("makati", 1, 3), kNow + 10);
   CrashRecord cleared = RecordOf("makati", 1, 0);
   cleared.cleared_ms = kNow + 5;
-  table.Take(cleared, kNow + 10);
+  table.Apply(cleared, kNow + 10);
   table.DropExpired(kNow + 60'000);
-  cr_assert_not(table.Take(RecordOf("makati", 1, 3), kNow + 60'000));
+  cr_assert_not(table.Apply(RecordOf("makati", 1, 3), kNow + 60'000));
   cr_assert_not(IsQuarantined(table, cleared.id));
 }
 
 Test(an_expired_record, is_dropped_and_not_accepted_again) {
   CrashRecordTable table;
-  table.Take(RecordOf("makati", 1, 1), kNow + 10);
+  table.Apply(RecordOf("makati", 1, 1), kNow + 10);
   table.DropExpired(kNow + 1'000);
   cr_assert(table.Size() == 1);
   table.DropExpired(kNow + 700'000);
   cr_assert(table.Size() == 0);
-  cr_assert_not(table.Take(RecordOf("makati", 1, 1), kNow + 700'000));
+  cr_assert_not(table.Apply(RecordOf("makati", 1, 1), kNow + 700'000));
   cr_assert(table.Size() == 0, "a late record is not kept either");
 }
 
 Test(digests, are_equal_if_the_records_are) {
   CrashRecordTable one;
   CrashRecordTable other;
-  one.Take(RecordOf("makati", 1, 2), kNow + 10);
+  one.Apply(RecordOf("makati", 1, 2), kNow + 10);
   cr_assert(one.Digest() != other.Digest());
-  other.Take(RecordOf("makati", 1, 1), kNow + 10);
+  other.Apply(RecordOf("makati", 1, 1), kNow + 10);
   cr_assert(one.Digest() != other.Digest());
-  other.Take(RecordOf("makati", 1, 2), kNow + 10);
+  other.Apply(RecordOf("makati", 1, 2), kNow + 10);
   cr_assert(one.Digest() == other.Digest());
 }
 
@@ -114,7 +115,7 @@
   CrashRecord record = RecordOf("makati", 7, 3);
   record.cleared_ms = 5;
   record.kept_ms = 6;
-  record.ends[1].before_any_answer = false;
+  record.crashes[1].before_any_answer = false;
   const absl::StatusOr<CrashRecord> read =
       CrashRecordFrom(CrashRecordJson(record));
   cr_assert(read.ok());
--- a/src/quarantine/tests/crash_record_test.cc
+++ b/src/quarantine/tests/crash_record_test.cc
@@ -17,8 +17,8 @@
   /// @param[in] at_ms since kStart
   void Crash(std::int64_t at_ms, bool before_any_answer = true) {
     CrashRecord crash = this->record;
-    crash.ends = {{"s-" + std::to_string(++this->servers), before_any_answer,
-                   kStart + at_ms}};
+    crash.crashes = {{"s-" + std::to_string(++this->servers), before_any_answer,
+                      kStart + at_ms}};
     Merge(crash, &this->record);
   }
   bool IsQuarantined(std::int64_t at_ms) const {
@@ -46,7 +46,7 @@
   fixture.Crash(0);
   for (int n = 0; n < 5; ++n) {
     CrashRecord same = fixture.record;
-    same.ends[0].unix_ms += n;
+    same.crashes[0].unix_ms += n;
     cr_assert_not(Merge(same, &fixture.record), "nothing new");
   }
   cr_assert_not(fixture.IsQuarantined(10));
@@ -72,7 +72,8 @@
   fixture.Crash(1'400);
   fixture.Crash(2'100);
   cr_assert_not(fixture.IsQuarantined(2'100));
-  cr_assert(fixture.record.ends.size() == 2, "the cleared ones were dropped");
+  cr_assert(fixture.record.crashes.size() == 2,
+            "the cleared ones were dropped");
   fixture.Crash(2'800);
   cr_assert(fixture.IsQuarantined(2'800));
 }
@@ -123,7 +124,7 @@
   cr_assert(fixture.IsQuarantined(at_ms - 1));
   fixture.Crash(at_ms);
   cr_assert(fixture.RemainingQuarantineMs(at_ms) <= kDay);
-  cr_assert(fixture.record.ends.size() <= 16, "bounded");
+  cr_assert(fixture.record.crashes.size() <= 16, "bounded");
 }
 
 Test(an_operator, puts_a_content_in_quarantine_and_lifts_it) {
@@ -143,18 +144,18 @@
   fixture.record.cleared_ms = kStart + 100;
   CrashRecord forward;
   CrashRecord backward;
-  const std::vector<ServerCrash> ends = fixture.record.ends;
+  const std::vector<ServerCrash> ends = fixture.record.crashes;
   for (std::size_t n = 0; n < ends.size(); ++n) {
     CrashRecord one;
-    one.ends = {ends[n]};
+    one.crashes = {ends[n]};
     Merge(one, &forward);
-    one.ends = {ends[ends.size() - 1 - n]};
+    one.crashes = {ends[ends.size() - 1 - n]};
     one.cleared_ms = n == 1 ? fixture.record.cleared_ms : 0;
     Merge(one, &backward);
   }
   Merge(backward, &forward);
   Merge(forward, &backward);
-  cr_assert(forward.ends == backward.ends);
+  cr_assert(forward.crashes == backward.crashes);
   cr_assert(forward.cleared_ms == backward.cleared_ms);
 }
 
--- a/src/quarantine/tests/quarantine_false_positive_test.cc
+++ b/src/quarantine/tests/quarantine_false_positive_test.cc
@@ -37,11 +37,11 @@
       }
       this->now_ms += interrupted_ms;
       CrashRecord crash;
-      crash.ends = {{"s-" + std::to_string(++this->servers),
-                     interrupted_ms < kFirstEventMs,
-                     kStart + static_cast<std::int64_t>(this->now_ms)}};
+      crash.crashes = {{"s-" + std::to_string(++this->servers),
+                        interrupted_ms < kFirstEventMs,
+                        kStart + static_cast<std::int64_t>(this->now_ms)}};
       Merge(crash, &this->record);
-      if (Judge(this->record, crash.ends[0].unix_ms).in_quarantine) {
+      if (Judge(this->record, crash.crashes[0].unix_ms).in_quarantine) {
         return true;
       }
     }
--- a/src/quarantine/tests/server_crash_detector_test.cc
+++ b/src/quarantine/tests/server_crash_detector_test.cc
@@ -47,8 +47,8 @@
   fixture.check.Answer(ListenState::kRefused);
   cr_assert(fixture.reported.size() == 2);
   cr_assert(fixture.reported[0].id.content == "c-1");
-  cr_assert(fixture.reported[0].ends[0].server == "s-1");
-  cr_assert(fixture.reported[0].ends[0].unix_ms == cut_ms);
+  cr_assert(fixture.reported[0].crashes[0].server == "s-1");
+  cr_assert(fixture.reported[0].crashes[0].unix_ms == cut_ms);
 }
 
 // A malformed response, a lost connection, or a host that is unreachable.
--- a/src/relay/active_routing_config.cc
+++ b/src/relay/active_routing_config.cc
@@ -57,7 +57,8 @@
 ActiveRoutingConfig::ActiveRoutingConfig() = default;
 ActiveRoutingConfig::~ActiveRoutingConfig() = default;
 
-bool ActiveRoutingConfig::Take(RoutingConfig config, std::int64_t at_revision) {
+bool ActiveRoutingConfig::Activate(RoutingConfig config,
+                                   std::int64_t at_revision) {
   if (this->index != nullptr && at_revision <= this->revision) {
     return false;
   }
@@ -95,7 +96,7 @@
   return true;
 }
 
-const RoutingConfig* ActiveRoutingConfig::Plan() const {
+const RoutingConfig* ActiveRoutingConfig::Config() const {
   return this->index == nullptr ? nullptr : &this->index->config;
 }
 
@@ -154,7 +155,7 @@
     terms.workspace = workspace->name;
     terms.urgency = workspace->urgency.value_or(route->urgency);
   }
-  terms.homes = AllowedRegionsOf(
+  terms.allowed_regions = AllowedRegionsOf(
       route->home_regions,
       workspace != nullptr
           ? std::span<const std::string>(workspace->home_regions)
--- a/src/relay/active_routing_config.h
+++ b/src/relay/active_routing_config.h
@@ -31,7 +31,7 @@
   /// @param[in] revision its store revision; ignored unless higher than the
   /// last
   /// @return whether it is now active
-  bool Take(RoutingConfig config, std::int64_t revision);
+  bool Activate(RoutingConfig config, std::int64_t revision);
 
   /// @brief Registers a function that is called after each change of the active
   /// configuration.
@@ -40,7 +40,7 @@
   }
 
   /// @brief The active configuration, null if there is none yet.
-  const RoutingConfig* Plan() const;
+  const RoutingConfig* Config() const;
 
   /// @brief Resolves the rules for serving a request. Errors: kHostNotReady,
   /// kNotFound or kUnknownKey.
--- a/src/relay/backend_health.cc
+++ b/src/relay/backend_health.cc
@@ -76,7 +76,7 @@
   }
   if (this->listener) {
     update.failure_share = this->FailureRate(id, now_ms);
-    update.aside_ms =
+    update.backoff_ms =
         std::max<std::int64_t>(0, record.backoff_until_ms - now_ms);
     this->listener(update);
   }
--- a/src/relay/backend_health.h
+++ b/src/relay/backend_health.h
@@ -28,7 +28,7 @@
   std::string_view id;
   double failure_share = 0.0;  ///< failure rate of its recent requests, 0 to 1
   /// From now on the server is avoided for this long.
-  std::int64_t aside_ms = 0;
+  std::int64_t backoff_ms = 0;
   AttemptResult result = AttemptResult::kGood;
   bool from_peer = false;  ///< the attempt was made by another host
 };
--- a/src/relay/backend_list.cc
+++ b/src/relay/backend_list.cc
@@ -98,7 +98,7 @@
   }
   backend.listed = true;
   backend.vanished_ms.reset();
-  const bool was_named = std::exchange(backend.named, true);
+  const bool was_named = std::exchange(backend.entry_valid, true);
   backend.warm_at_ms = this->clock.MonotonicMs() + entry.slow_for_ms;
   backend.emptied_ms = this->EmptiedSince(entry.zone);
   const auto region = this->regions.find(entry.zone);
@@ -193,9 +193,9 @@
 // if it leaves, the removal of its entry or its own report tells so. If the
 // entry had expired, an invalid one in its place does not count as listing it
 // again.
-void BackendList::SetAside(std::string_view id) {
+void BackendList::MarkEntryInvalid(std::string_view id) {
   Backend* const found = this->FindMutable(id);
-  if (found == nullptr || !std::exchange(found->named, false)) {
+  if (found == nullptr || !std::exchange(found->entry_valid, false)) {
     return;
   }
   LogLine("backend")
@@ -244,21 +244,21 @@
   this->regions.insert(by_zone.begin(), by_zone.end());
 }
 
-bool BackendList::HasServerInHomeRegions(std::string_view service,
-                                         const AllowedRegions& homes) const {
+bool BackendList::HasServerInHomeRegions(
+    std::string_view service, const AllowedRegions& allowed_regions) const {
   return std::any_of(this->backends.begin(), this->backends.end(),
-                     [service, &homes](const auto& one) {
+                     [service, &allowed_regions](const auto& one) {
                        const Backend& backend = one.second;
                        return backend.entry.service == service &&
-                              MayRunIn(homes, backend.region);
+                              MayRunIn(allowed_regions, backend.region);
                      });
 }
 
 bool BackendList::IsEmptied(std::string_view service) const {
   bool has_emptied = false;
   for (const auto& [key, backend] : this->backends) {
-    const bool is_live =
-        backend.entry.service == service && !backend.leaving && backend.named;
+    const bool is_live = backend.entry.service == service && !backend.leaving &&
+                         backend.entry_valid;
     if (is_live && !backend.emptied_ms.has_value()) {
       return false;
     }
--- a/src/relay/backend_list.h
+++ b/src/relay/backend_list.h
@@ -52,14 +52,14 @@
   /// Whether its entry names a usable server. After the entry has been
   /// overwritten by an invalid one, the server gets no new requests and its
   /// runs go on.
-  bool named = true;
+  bool entry_valid = true;
   /// When this host learned that an operator has emptied the server's
   /// availability zone. It gets no new requests, and its runs go on. Monotonic.
   std::optional<std::int64_t> emptied_ms;
 
   /// @brief Whether the server may get new requests.
   bool AcceptsNewRequests() const {
-    return !this->leaving && this->named && !this->emptied_ms.has_value();
+    return !this->leaving && this->entry_valid && !this->emptied_ms.has_value();
   }
 
   /// @brief Whether a run whose KV cache the server holds may be continued
@@ -123,7 +123,7 @@
 
   /// @brief Marks that the entry under this id no longer describes a usable
   /// server, until it is set or removed again.
-  void SetAside(std::string_view id);
+  void MarkEntryInvalid(std::string_view id);
 
   /// @brief Handles a server's own report that it leaves, which precedes the
   /// change of its entry.
@@ -143,7 +143,7 @@
   /// @brief Whether the service has a known server, usable now or not, in one
   /// of the given regions.
   bool HasServerInHomeRegions(std::string_view service,
-                              const AllowedRegions& homes) const;
+                              const AllowedRegions& allowed_regions) const;
 
   /// @brief Whether any removed entry is still in its grace period.
   bool HasEntryInGrace() const;
--- a/src/relay/call_session.cc
+++ b/src/relay/call_session.cc
@@ -61,7 +61,7 @@
 }
 
 void CallSession::Begin() {
-  this->deps.budgets.Of(this->terms.service).NoteFirstAttempt();
+  this->deps.budgets.BudgetFor(this->terms.service).NoteFirstAttempt();
   this->After(std::max<std::int64_t>(0, this->RemainingMs()),
               &CallSession::OnDeadline);
   this->Send();
@@ -99,7 +99,7 @@
        this->deps.backends.Usable(this->terms.service)) {
     const bool was_tried = std::find(this->tried.begin(), this->tried.end(),
                                      backend->key) != this->tried.end();
-    if (was_tried || !MayRunIn(this->terms.homes, backend->region) ||
+    if (was_tried || !MayRunIn(this->terms.allowed_regions, backend->region) ||
         !this->deps.arrivals.May(backend->key, now_ms)) {
       continue;
     }
@@ -118,9 +118,9 @@
 }
 
 bool CallSession::HasServerInHomeRegions() const {
-  return !this->terms.homes.has_value() ||
-         this->deps.backends.HasServerInHomeRegions(this->terms.service,
-                                                    this->terms.homes);
+  return !this->terms.allowed_regions.has_value() ||
+         this->deps.backends.HasServerInHomeRegions(
+             this->terms.service, this->terms.allowed_regions);
 }
 
 // Uses the wall clock, since this host may have been paused after it claimed
@@ -331,7 +331,7 @@
   }
   if (connected) {
     const RetryDecision answer =
-        this->deps.budgets.Of(this->terms.service)
+        this->deps.budgets.BudgetFor(this->terms.service)
             .Ask({this->sent + static_cast<int>(this->attempts.size()),
                   this->deadline_ms, this->terms.max_attempts},
                  this->deps.clock.MonotonicMs(), this->deps.random());
--- a/src/relay/call_session_end.cc
+++ b/src/relay/call_session_end.cc
@@ -51,7 +51,7 @@
 }
 
 void CallSession::EndIfQuarantined(const CrashRecordId& quarantined) {
-  if (!this->ended && this->guarded.Is(quarantined)) {
+  if (!this->ended && this->guarded.HasContent(quarantined)) {
     const auto lasts_ms = this->guarded.QuarantinedForMs();
     this->End(QuarantinedError(lasts_ms.value_or(0),
                                this->OutcomeSoFar() != Outcome::kNotRun));
--- a/src/relay/engine_drainer.cc
+++ b/src/relay/engine_drainer.cc
@@ -279,7 +279,7 @@
   work.prompt_tokens = session.KvCacheTokens();
   work.is_copy = true;
   work.forced = true;
-  work.homes = session.Terms().homes;
+  work.allowed_regions = session.Terms().allowed_regions;
   return work;
 }
 
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -281,7 +281,7 @@
   for (const std::string& engine : engines) {
     const Backend* const backend = this->deps.backends.Find(engine);
     if (backend == nullptr || backend->leaving ||
-        (only_unnamed && backend->named) ||
+        (only_unnamed && backend->entry_valid) ||
         !this->pending_state_reads.insert(engine).second) {
       continue;
     }
--- a/src/relay/relay_request.h
+++ b/src/relay/relay_request.h
@@ -58,10 +58,10 @@
   std::int64_t timeout_ms = 0;         ///< longest time the request may take
   std::int64_t target_latency_ms = 0;  ///< until the answer or the first event
   int urgency = 0;                     ///< 0 is the most urgent
-  int max_attempts = 1;    ///< backend servers that it may be sent to
-  bool resumable = false;  ///< callers may resume a broken stream
-  std::string version;     ///< of the configuration, for logs
-  AllowedRegions homes;    ///< the only regions it may run in
+  int max_attempts = 1;            ///< backend servers that it may be sent to
+  bool resumable = false;          ///< callers may resume a broken stream
+  std::string version;             ///< of the configuration, for logs
+  AllowedRegions allowed_regions;  ///< the only regions it may run in
   /// Unix time after which no byte of the request may be sent; 0: no limit. A
   /// host that takes over the request's claim relies on this.
   std::int64_t send_until_unix_ms = 0;
--- a/src/relay/retry_budgets.cc
+++ b/src/relay/retry_budgets.cc
@@ -33,7 +33,7 @@
   this->SetHosts(this->hosts);
 }
 
-RetryBudget& RetryBudgets::Of(std::string_view service) {
+RetryBudget& RetryBudgets::BudgetFor(std::string_view service) {
   const auto found = this->budgets.find(service);
   if (found != this->budgets.end()) {
     return found->second;
--- a/src/relay/retry_budgets.h
+++ b/src/relay/retry_budgets.h
@@ -30,7 +30,7 @@
   void SetBounds(const FleetRetryLimits& with);
 
   /// @brief The retry budget of a service, created on first use.
-  RetryBudget& Of(std::string_view service);
+  RetryBudget& BudgetFor(std::string_view service);
 
  private:
   double MaxSaved() const;
--- a/src/relay/stream_session.cc
+++ b/src/relay/stream_session.cc
@@ -240,7 +240,7 @@
   this->RecordAttemptEnd(AttemptResult::kGood);
   ++this->resumes;
   const RetryDecision answer =
-      this->deps.budgets.Of(this->terms.service)
+      this->deps.budgets.BudgetFor(this->terms.service)
           .Ask({this->resumes, this->deadline_ms, this->terms.max_attempts},
                this->deps.clock.MonotonicMs(), this->deps.random());
   if (answer.verdict == RetryVerdict::kRetry) {
@@ -384,7 +384,7 @@
 void StreamSession::EndIfQuarantined(const CrashRecordId& quarantined) {
   const bool is_waiting =
       this->phase == StreamPhase::kQueued || this->phase == StreamPhase::kSent;
-  if (!is_waiting || !this->guarded.Is(quarantined)) {
+  if (!is_waiting || !this->guarded.HasContent(quarantined)) {
     return;
   }
   if (this->phase == StreamPhase::kQueued) {
--- a/src/relay/stream_session_placement.cc
+++ b/src/relay/stream_session_placement.cc
@@ -61,14 +61,14 @@
   work.deadline_ms =
       work.arrived_ms + std::max<std::int64_t>(1, this->RemainingMs());
   work.urgency = UrgencyOf(this->terms.urgency);
-  work.homes = this->terms.homes;
+  work.allowed_regions = this->terms.allowed_regions;
   return work;
 }
 
 void StreamSession::Begin() {
   this->since_first_try_ms = this->stream_deps.first_tries.Elapsed(
       this->terms.route, this->request.allowed_ms);
-  this->deps.budgets.Of(this->terms.service).NoteFirstAttempt();
+  this->deps.budgets.BudgetFor(this->terms.service).NoteFirstAttempt();
   this->writer->OnClosed([this] { this->OnCallerGone(); });
   this->writer->OnDrained([this] {
     this->paused = false;
@@ -211,16 +211,16 @@
 bool StreamSession::MaySendTo(std::string_view key) const {
   const Backend* const backend = this->deps.backends.Find(key);
   return backend != nullptr && backend->AcceptsNewRequests() &&
-         MayRunIn(this->terms.homes, backend->region) &&
+         MayRunIn(this->terms.allowed_regions, backend->region) &&
          this->deps.arrivals.May(key, this->deps.clock.MonotonicMs());
 }
 
 // Cases in which waiting does not help: nobody knows when an availability zone
 // is put back into use.
 bool StreamSession::RefuseUnservable() {
-  if (this->terms.homes.has_value() &&
-      !this->deps.backends.HasServerInHomeRegions(this->terms.service,
-                                                  this->terms.homes)) {
+  if (this->terms.allowed_regions.has_value() &&
+      !this->deps.backends.HasServerInHomeRegions(
+          this->terms.service, this->terms.allowed_regions)) {
     this->Refuse(ErrorId::kOutsideHomes, Outcome::kNotRun, "choose",
                  "no engine is in its regions", -1);
     return true;
--- a/src/relay/tests/active_routing_config_test.cc
+++ b/src/relay/tests/active_routing_config_test.cc
@@ -56,7 +56,7 @@
 
 Test(a_request, takes_the_route_with_the_longest_prefix) {
   ActiveRoutingConfig config;
-  config.Take(MakeConfig("7"), 10);
+  config.Activate(MakeConfig("7"), 10);
   const auto route = [&config](const char* host, const char* path) {
     return config.TermsOf(Request(host, path, "key-1"), 0)->route;
   };
@@ -75,9 +75,9 @@
   bound.routes[0].home_regions = {"manila", "cebu"};
   bound.workspaces[0].home_regions = {"cebu", "luzon"};
   ActiveRoutingConfig config;
-  config.Take(bound, 10);
+  config.Activate(bound, 10);
   const auto homes = [&config](const char* path, const char* key) {
-    return config.TermsOf(Request("a.example", path, key), 0)->homes;
+    return config.TermsOf(Request("a.example", path, key), 0)->allowed_regions;
   };
   cr_assert(homes("/x/", "key-1") == AllowedRegions({"cebu"}),
             "both lists apply");
@@ -85,14 +85,14 @@
   cr_assert(homes("/x/y/", "key-1") == AllowedRegions({"cebu", "luzon"}));
   cr_assert(!homes("/x/y/", "key-3").has_value(), "neither list restricts it");
   bound.workspaces[0].home_regions = {"luzon"};
-  config.Take(bound, 11);
+  config.Activate(bound, 11);
   cr_assert(homes("/x/", "key-1").has_value() &&
             homes("/x/", "key-1")->empty());
 }
 
 Test(a_request, belongs_to_the_workspace_of_its_key) {
   ActiveRoutingConfig config;
-  config.Take(MakeConfig("7"), 10);
+  config.Activate(MakeConfig("7"), 10);
   const auto makati = config.TermsOf(Request("a.example", "/x/", "key-2"), 0);
   cr_assert(makati->workspace == "makati" && makati->urgency == 1);
   const auto pasig = config.TermsOf(Request("a.example", "/x/", "key-3"), 0);
@@ -107,13 +107,13 @@
   ActiveRoutingConfig config;
   RoutingConfig open = MakeConfig("7");
   open.routes[0].is_public = true;
-  config.Take(open, 10);
+  config.Activate(open, 10);
   cr_assert(
       config.TermsOf(Request("a.example", "/x/", ""), 0)->workspace.empty());
   RoutingConfig without = MakeConfig("8");
   without.needs_keys = false;
   without.workspaces.clear();
-  config.Take(without, 11);
+  config.Activate(without, 11);
   cr_assert(config.TermsOf(Request("a.example", "/x/y/", ""), 0).ok());
 }
 
@@ -121,13 +121,13 @@
   ActiveRoutingConfig config;
   int notified = 0;
   config.AddListener([&notified] { ++notified; });
-  cr_assert(config.Take(MakeConfig("7"), 10));
-  cr_assert(!config.Take(MakeConfig("6"), 9));
-  cr_assert(!config.Take(MakeConfig("7"), 10));
-  cr_assert(config.Plan()->version == "7" && notified == 1);
+  cr_assert(config.Activate(MakeConfig("7"), 10));
+  cr_assert(!config.Activate(MakeConfig("6"), 9));
+  cr_assert(!config.Activate(MakeConfig("7"), 10));
+  cr_assert(config.Config()->version == "7" && notified == 1);
   RoutingConfig revoked = MakeConfig("8");
   revoked.workspaces[0].keys = {"key-2"};
-  cr_assert(config.Take(revoked, 11));
+  cr_assert(config.Activate(revoked, 11));
   cr_assert(Refusal(config, Request("a.example", "/x/", "key-1")) ==
             ErrorId::kUnknownKey);
 }
@@ -136,7 +136,7 @@
   ActiveRoutingConfig config;
   RoutingConfig split = MakeConfig("7");
   split.routes[0].services = {{"new", 10}, {"old", 90}, {"none", 0}};
-  config.Take(split, 10);
+  config.Activate(split, 10);
   int to_new = 0;
   for (std::uint64_t i = 0; i < 1'000; ++i) {
     const auto terms = config.TermsOf(Request("a.example", "/x/", "key-1"), i);
--- a/src/relay/tests/backend_list_test.cc
+++ b/src/relay/tests/backend_list_test.cc
@@ -119,14 +119,14 @@
 
 Test(a_server_with_an_invalid_entry, gets_no_new_requests_and_stays_known) {
   BackendListFixture fixture;
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   cr_assert(fixture.Usable() == 1);
   cr_assert(fixture.list.Find("a") != nullptr &&
             !fixture.list.Find("a")->leaving);
   cr_assert(
       fixture.changes == std::vector<BackendChange>{BackendChange::kChanged},
       "it has not left, so its runs go on");
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   cr_assert(fixture.changes.size() == 1,
             "further invalid entries are no change");
   fixture.Advance(3'600'000);
@@ -135,12 +135,12 @@
 
 Test(a_server_with_an_invalid_entry, is_used_again_once_the_entry_is_valid) {
   BackendListFixture fixture;
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   fixture.list.Set(Entry("a"));
   cr_assert(fixture.Usable() == 2);
   BackendEntry leaving = Entry("a");
   leaving.leaving = true;
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   fixture.list.Set(leaving);
   cr_assert(fixture.changes.back() == BackendChange::kLeaving &&
             fixture.Usable() == 1);
@@ -148,7 +148,7 @@
 
 Test(a_server_with_an_invalid_entry, leaves_when_the_entry_is_removed) {
   BackendListFixture fixture;
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   fixture.list.Remove("a");
   cr_assert(fixture.changes.back() == BackendChange::kLeaving);
   fixture.Advance(60'000);
@@ -157,7 +157,7 @@
 
 Test(a_server_with_an_invalid_entry, leaves_when_it_reports_so_itself) {
   BackendListFixture fixture;
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   fixture.list.NoteLeaving("a");
   cr_assert(fixture.changes.back() == BackendChange::kLeaving);
   fixture.list.Set(Entry("a"));
@@ -169,7 +169,7 @@
   fixture.ReturnStore();
   fixture.list.Remove("a");
   cr_assert(fixture.Usable() == 2, "its entry may only have expired");
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   cr_assert(fixture.Usable() == 1);
   fixture.Advance(2'200);
   cr_assert(fixture.changes.back() == BackendChange::kLeaving);
@@ -180,7 +180,7 @@
   BackendEntry entry = Entry("a");
   entry.started_ms = 1'000;
   fixture.list.Set(entry);
-  fixture.list.SetAside("a");
+  fixture.list.MarkEntryInvalid("a");
   entry.started_ms = 2'000;
   fixture.list.Set(entry);
   cr_assert(fixture.Usable() == 2 && fixture.list.Count() == 2);
@@ -189,7 +189,7 @@
 
 Test(an_invalid_entry, under_an_unknown_id_adds_no_server) {
   BackendListFixture fixture;
-  fixture.list.SetAside("c");
+  fixture.list.MarkEntryInvalid("c");
   cr_assert(fixture.changes.empty() && fixture.list.Count() == 2);
   fixture.list.Remove("c");
   cr_assert(fixture.changes.empty() && fixture.list.All().size() == 2);
--- a/src/relay/tests/call_session_test.cc
+++ b/src/relay/tests/call_session_test.cc
@@ -56,12 +56,12 @@
 
 Test(a_call, that_could_not_connect_is_retried_without_using_the_budget) {
   CallSessionFixture fixture(3);
-  const double saved = fixture.budgets.Of("svc").Saved();
+  const double saved = fixture.budgets.BudgetFor("svc").Saved();
   fixture.Begin(ExecutionRule::kOnce);
   fixture.client.Break(0, false);
   cr_assert(fixture.client.sent.size() == 2);
   cr_assert(fixture.ServerOf(0) != fixture.ServerOf(1));
-  cr_assert(fixture.budgets.Of("svc").Saved() >= saved);
+  cr_assert(fixture.budgets.BudgetFor("svc").Saved() >= saved);
   fixture.client.Answer(1, 200, "done");
   cr_assert(fixture.result.ok());
 }
@@ -220,7 +220,7 @@
 
 Test(a_call_with_home_regions, is_sent_to_no_other_region) {
   CallSessionFixture fixture(1);
-  fixture.terms.homes = AllowedRegions({"cebu"});
+  fixture.terms.allowed_regions = AllowedRegions({"cebu"});
   fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.client.sent.empty());
   cr_assert(fixture.Failure().id == ErrorId::kOutsideHomes);
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -199,8 +199,8 @@
   record.id = {"makati", ContentKeyOf(fixture.calls.back()->Request(),
                                       fixture.calls.back()->Terms())};
   record.request = "elsewhere";
-  record.ends = {{"s-9", true, fixture.clock.WallMs()}};
-  fixture.quarantine.Book().Take(record, fixture.clock.WallMs());
+  record.crashes = {{"s-9", true, fixture.clock.WallMs()}};
+  fixture.quarantine.RecordTable().Apply(record, fixture.clock.WallMs());
   fixture.client.Break(2, true);
   cr_assert(fixture.Sent() == 3);
   const ErrorDetail detail = DetailOf(fixture.result.status());
--- a/src/relay/tests/relay_test.cc
+++ b/src/relay/tests/relay_test.cc
@@ -42,7 +42,7 @@
     route.target_latency_ms = 1'000;
     route.services = {{"svc", 1}};
     made.routes = {route};
-    this->config.Take(std::move(made), 1);
+    this->config.Activate(std::move(made), 1);
     BackendEntry entry = this->backends.Find("s-1")->entry;
     entry.started_ms = 1'000;
     this->backends.Set(entry);
@@ -88,7 +88,7 @@
   RestartingEngineFixture fixture;
   fixture.relay.PollEngineStates(true);
   cr_assert(fixture.control.asked.empty(), "its entry is valid");
-  fixture.backends.SetAside("s-1");
+  fixture.backends.MarkEntryInvalid("s-1");
   fixture.relay.PollEngineStates(true);
   cr_assert(fixture.control.asked.size() == 1);
   fixture.control.asked[0](fixture.State(true, 1'000));
--- a/src/relay/tests/retry_budgets_test.cc
+++ b/src/relay/tests/retry_budgets_test.cc
@@ -210,7 +210,7 @@
   BackendHealth health;
   std::vector<std::int64_t> backoffs;
   health.SetListener([&backoffs](const HealthUpdate& update) {
-    backoffs.push_back(update.aside_ms);
+    backoffs.push_back(update.backoff_ms);
   });
   health.RecordAttempt("s", AttemptResult::kUnreachable, 1'000);
   health.RecordAttempt("s", AttemptResult::kUnreachable, 1'500);
@@ -259,10 +259,10 @@
     RetryBudgets budgets({0.2, 58.0});
     budgets.SetHosts(kHosts);
     for (int i = 0; i < kRequests; ++i) {
-      budgets.Of("pool").NoteFirstAttempt();
+      budgets.BudgetFor("pool").NoteFirstAttempt();
     }
     for (int i = 0; i < kRequests; ++i) {
-      granted += budgets.Of("pool").Ask({1, 0, 2}, 0, 1).verdict ==
+      granted += budgets.BudgetFor("pool").Ask({1, 0, 2}, 0, 1).verdict ==
                          RetryVerdict::kRetry
                      ? 1
                      : 0;
@@ -274,7 +274,7 @@
 
 Test(the_retries_of_one_request, stay_within_its_routes_attempts) {
   RetryBudgets budgets({0.2, 58.0});
-  RetryBudget& budget = budgets.Of("pool");
+  RetryBudget& budget = budgets.BudgetFor("pool");
   cr_assert(budget.Ask({1, 0, 2}, 0, 1).verdict == RetryVerdict::kRetry);
   cr_assert(budget.Ask({2, 0, 2}, 0, 1).verdict == RetryVerdict::kAttempts);
   cr_assert(budget.Ask({1, 0, 1}, 0, 1).verdict == RetryVerdict::kAttempts);
--- a/src/serve/ownership_duty.cc
+++ b/src/serve/ownership_duty.cc
@@ -17,7 +17,7 @@
 
 OwnershipSettings MakeOwnershipSettings(const HalfSettings& half) {
   OwnershipSettings settings;
-  settings.half = half.name;
+  settings.deployment = half.name;
   settings.default_owner = half.default_owner;
   settings.has_other_deployment = !half.addresses.empty();
   for (const HalfAddress& address : half.addresses) {
@@ -85,8 +85,8 @@
     return;
   }
   const std::int64_t age = this->clock.WallMs() - read_wall_ms;
-  this->ownership.Confirm(this->clock.MonotonicMs() -
-                          std::max<std::int64_t>(0, age));
+  this->ownership.ConfirmReadSince(this->clock.MonotonicMs() -
+                                   std::max<std::int64_t>(0, age));
 }
 
 void OwnershipDuty::WriteStatus(const std::string& report) {
@@ -182,7 +182,7 @@
   if (!this->has_other_deployment) {
     return true;
   }
-  return this->ownership.Look({OwnedKind::kEngine, std::string(engine)})
+  return this->ownership.Lookup({OwnedKind::kEngine, std::string(engine)})
              .verdict == OwnershipVerdict::kOurs;
 }
 
--- a/src/serve/placement_duty.cc
+++ b/src/serve/placement_duty.cc
@@ -48,7 +48,7 @@
   }
 }
 
-std::vector<NeededModel> PlacementDuty::Needed() {
+std::vector<NeededModel> PlacementDuty::NeededModels() {
   std::map<ServedModel, NeededModel> needed;
   for (const ServedModel& model : this->parts.catalog.Models()) {
     needed[model] = {model, 0.0, false};
--- a/src/serve/placement_duty.h
+++ b/src/serve/placement_duty.h
@@ -42,7 +42,7 @@
   /// @brief Gives leases up, so that others take over at once.
   void Stop();
 
-  std::vector<NeededModel> Needed() override;
+  std::vector<NeededModel> NeededModels() override;
   bool NeededModelsAreFresh() override;
   std::span<const ListedEngine> Engines() override;
   std::span<const std::string> LiveHosts() override;
--- a/src/serve/quarantine_entries.cc
+++ b/src/serve/quarantine_entries.cc
@@ -69,7 +69,7 @@
     return;
   }
   this->taking = true;
-  this->quarantine.Book().Take(*record, this->clock.WallMs());
+  this->quarantine.RecordTable().Apply(*record, this->clock.WallMs());
   this->taking = false;
 }
 
@@ -94,7 +94,7 @@
   const CrashVerdict verdict = Judge(record, this->clock.WallMs());
   const bool lies = this->view.Find(this->kind, record.id.content) != nullptr;
   return lies || verdict.strikes > 0 || record.kept_ms > 0 ||
-         (this->which == StoredRecords::kSuspects && !record.ends.empty());
+         (this->which == StoredRecords::kSuspects && !record.crashes.empty());
 }
 
 bool QuarantineEntries::HasNews(const CrashRecord& record) const {
@@ -122,7 +122,7 @@
 }
 
 void QuarantineEntries::Write(const CrashRecordId& id) {
-  const CrashRecord* const record = this->quarantine.Book().Find(id);
+  const CrashRecord* const record = this->quarantine.RecordTable().Find(id);
   if (record == nullptr || !this->HasNews(*record)) {
     return;
   }
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -146,8 +146,8 @@
       quarantine(this->listen_check, this->clock, this->scheduler),
       arrivals(with.host.name),
       crash_datagrams(this->hub),
-      crash_words(this->quarantine.Book(), this->crash_datagrams, this->clock,
-                  this->scheduler, this->random()),
+      crash_words(this->quarantine.RecordTable(), this->crash_datagrams,
+                  this->clock, this->scheduler, this->random()),
       quarantine_entries(on.Kinds().quarantine, StoredRecords::kQuarantined,
                          this->quarantine, *this->store, this->view,
                          this->clock, this->scheduler, this->random()),
@@ -174,7 +174,7 @@
       ready_service(on.ReadyPath(),
                     [this] {
                       return !this->stop_plan.has_value() &&
-                             this->plan.Plan() != nullptr;
+                             this->plan.Config() != nullptr;
                     }),
       metrics_service(kMetricsPath, [this] { return this->MetricsText(); }),
       server(&this->relay, ServerLimits{}),
@@ -198,7 +198,8 @@
       });
   this->health.SetListener([this](const HealthUpdate& news) {
     this->fleet.SetFailureShare(news.id, news.failure_share);
-    this->fleet.SetAside(news.id, this->clock.WallMs() + news.aside_ms);
+    this->fleet.MarkUnreachable(news.id,
+                                this->clock.WallMs() + news.backoff_ms);
     if (!news.from_peer) {
       this->allocation.ReportAttempt(
           {std::string(news.id), static_cast<int>(news.result)});
@@ -314,7 +315,7 @@
     set("revision_" + digest.kind, digest.revision);
   }
   set("ready",
-      !this->stop_plan.has_value() && this->plan.Plan() != nullptr ? 1 : 0);
+      !this->stop_plan.has_value() && this->plan.Config() != nullptr ? 1 : 0);
   set("running", this->relay.Running());
   set("connections", this->server.Connections());
   set("answers_cut", this->server.AnswersCut());
@@ -326,17 +327,17 @@
   }
   set("peers_alive", this->exchange.PeersAlive());
   set("quarantined", this->quarantine.Count());
-  set("crash_records", this->quarantine.Book().Size());
+  set("crash_records", this->quarantine.RecordTable().Size());
   set("allocation_groups", this->allocation.OwnGroupCount());
   for (const Urgency urgency :
        {Urgency::kUrgent, Urgency::kNormal, Urgency::kBatch}) {
     set("queued_" + std::string(UrgencyName(urgency)),
         this->dispatcher.Queue().Queued(urgency));
   }
-  if (const RoutingConfig* const in_force = this->plan.Plan()) {
+  if (const RoutingConfig* const in_force = this->plan.Config()) {
     for (const ServiceRule& service : in_force->services) {
       set("retries_saved_" + service.name,
-          this->budgets.Of(service.name).Saved());
+          this->budgets.BudgetFor(service.name).Saved());
     }
   }
   const ClientStats& sent = this->client.Stats();
@@ -383,7 +384,7 @@
 /////////////
 
 void RelayHost::Parts::ApplyBounds() {
-  const RoutingConfig* const in_force = this->plan.Plan();
+  const RoutingConfig* const in_force = this->plan.Config();
   this->server.SetLimits(RelayLimitsOf(this->settings.bounds, in_force));
   if (in_force == nullptr) {
     return;
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -49,7 +49,7 @@
   this->zones_known = true;
   const StoredObject* const object =
       this->view.Find(names.plan, names.plan_name);
-  if (object != nullptr && this->plan.Plan() == nullptr) {
+  if (object != nullptr && this->plan.Config() == nullptr) {
     this->TakePlan(*object);
   }
 }
@@ -66,7 +66,7 @@
           : this->platform.ReadPlan(object.value);
   this->NoteRead(object, read.status());
   if (read.ok()) {
-    this->plan.Take(*std::move(read), object.version);
+    this->plan.Activate(*std::move(read), object.version);
   }
 }
 
@@ -95,7 +95,7 @@
   if (entry.ok() && !this->IsOfUnknownService(*entry)) {
     this->backends.Set(*entry);
   } else {
-    this->backends.SetAside(object.name);
+    this->backends.MarkEntryInvalid(object.name);
   }
 }
 
@@ -112,7 +112,7 @@
 void RelayHost::Parts::TakeSetAsideAgain() {
   std::vector<std::string> set_aside;
   for (const Backend* const backend : this->backends.All()) {
-    if (!backend->named) {
+    if (!backend->entry_valid) {
       set_aside.push_back(backend->entry.id);
     }
   }
--- a/src/serve/tests/engine_listing_test.cc
+++ b/src/serve/tests/engine_listing_test.cc
@@ -44,7 +44,7 @@
   const ManualClock clock{1'000};
   const ServiceRule service = Pool();
   Backend backend = Listed();
-  backend.named = false;
+  backend.entry_valid = false;
   cr_assert(ListingOf(backend, &service, clock).leaving);
 }
 
