--- a/src/engine/engine_client.h
+++ b/src/engine/engine_client.h
@@ -9,14 +9,14 @@
 
 namespace meadowthread {
 
-/// @brief Time limits towards engines, in milliseconds.
+/// @brief Timeouts of requests to engines.
 struct EngineLimits {
   std::int64_t connect_timeout_ms = 1000;
-  std::int64_t silence_ms = 10'000;  ///< longest gap in a stream
+  std::int64_t silence_ms = 10'000;  ///< longest gap between bytes of a stream
   std::int64_t control_timeout_ms = 2000;
 };
 
-/// @brief Speaks to model engines (docs/INTERFACES.md, section 1).
+/// @brief HTTP client for model engines (docs/INTERFACES.md, section 1).
 class EngineClient {
  public:
   using LoadDone = std::function<void(const absl::StatusOr<LoadReport>&)>;
@@ -25,18 +25,20 @@
   EngineClient(HttpClient& client, const EngineLimits& limits)
       : client(client), limits(limits) {}
 
-  /// @brief Sends a generation; the library sends it once at most.
+  /// @brief Starts a generation and streams it. The HTTP client sends the
+  /// request at most once.
   std::unique_ptr<EngineStream> Start(const EngineAddress& engine,
                                       const GenerationRequest& request,
                                       GenerationSink& sink);
 
-  /// @brief Streams a generation on from an index.
+  /// @brief Reconnects to a generation's stream.
+  /// @param[in] from index of the first token to stream
   std::unique_ptr<EngineStream> Resume(const EngineAddress& engine,
                                        std::string_view generation,
                                        std::int64_t from, GenerationSink& sink);
 
-  /// @brief Cancels a generation; best effort, since the engine's orphan
-  /// timeout ends it in any case.
+  /// @brief Cancels a generation. Best effort: the engine's orphan timeout ends
+  /// the generation in any case.
   void Cancel(const EngineAddress& engine, std::string_view generation);
 
   /// @brief Reads the engine's load report.
--- a/src/engine/engine_messages.h
+++ b/src/engine/engine_messages.h
@@ -10,21 +10,22 @@
 
 namespace meadowthread {
 
-/// @brief Where an engine is reached.
+/// @brief Name and URL of an engine.
 struct EngineAddress {
   std::string engine;
   std::string base_url;  ///< e.g. "http://10.0.0.7:9100"
 };
 
-/// @brief What an engine is asked to generate.
+/// @brief Parameters of a generation sent to an engine.
 struct GenerationRequest {
-  std::string attempt;  ///< unique for each attempt
+  std::string attempt;  ///< unique id of the attempt
   std::string workspace;
   ServedModel model;
   std::string prompt;
   std::int64_t max_tokens = 0;
   int priority = 1;  ///< 0 is most urgent
   std::int64_t deadline_unix_ms = 0;
+  /// The engine ends the generation when it has had no reader for this long.
   std::int64_t orphan_timeout_ms = 0;
 };
 
@@ -35,17 +36,18 @@
   std::string text;
 };
 
-/// @brief A generation's regular end.
+/// @brief Regular completion of a generation.
 struct GenerationFinish {
   std::string generation;
   std::int64_t count = 0;  ///< tokens in the whole generation
   std::string reason;      ///< "stop" or "length"
 };
 
-/// @brief The request's body on the wire (docs/INTERFACES.md, section 1).
+/// @brief Encodes the JSON body of a generation request (docs/INTERFACES.md,
+/// section 1).
 std::string EncodeGenerationRequest(const GenerationRequest& request);
 
-/// @brief Reads a load report; an error names the field and the engine.
+/// @brief Decodes a load report. An error names the field and the engine.
 absl::StatusOr<LoadReport> DecodeLoadReport(std::string_view body,
                                             std::string_view engine);
 
--- a/src/engine/engine_stream.cc
+++ b/src/engine/engine_stream.cc
@@ -95,12 +95,12 @@
                          data["i"].get<std::int64_t>(),
                          data["t"].get<std::string>()});
   } else if (event.name.empty()) {
-    this->CloseMalformed("an event is no token");
+    this->CloseMalformed("an unnamed event is not a token");
   }
 }
 
 void EngineStream::CloseMalformed(std::string_view what) {
-  GenerationSink* told = this->sink;
+  GenerationSink* receiver = this->sink;
   this->Close();
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
@@ -110,24 +110,24 @@
   close.status = MakeError(absl::StatusCode::kDataLoss, detail, what);
   close.http_status = this->http_status;
   close.may_have_left = true;
-  told->OnStreamClosed(close);
+  receiver->OnStreamClosed(close);
 }
 
 void EngineStream::OnEnd(const HttpEnd& end) {
   this->call = 0;
   if (this->sink != nullptr) {
-    this->sink->OnStreamClosed(this->CloseOf(end));
+    this->sink->OnStreamClosed(this->MakeStreamClose(end));
   }
 }
 
-StreamClose EngineStream::CloseOf(const HttpEnd& end) const {
+StreamClose EngineStream::MakeStreamClose(const HttpEnd& end) const {
   StreamClose close;
   close.status = end.status;
   close.http_status = end.http_status;
   close.may_have_left = end.request_may_have_left;
   close.retry_after_ms = this->retry_after_ms;
-  // An error's head is a definite answer only once the answer is whole: a
-  // connection cut in between leaves the matter open.
+  // An error status counts as a rejection only if the response is complete. If
+  // the connection broke in between, it is unknown whether the request runs.
   if (end.status.ok() && end.http_status >= http_code::kFirstClientError) {
     close.rejected = true;
     const json body = json::parse(this->error_body, nullptr, false);
--- a/src/engine/sse_parser.cc
+++ b/src/engine/sse_parser.cc
@@ -3,7 +3,7 @@
 namespace meadowthread {
 namespace {
 
-std::string_view ValueOf(std::string_view line, std::size_t colon) {
+std::string_view FieldValue(std::string_view line, std::size_t colon) {
   std::string_view value = line.substr(colon + 1);
   if (!value.empty() && value.front() == ' ') {
     value.remove_prefix(1);
@@ -14,7 +14,7 @@
 }  // namespace
 
 bool SseParser::Feed(std::string_view bytes, SseSink& sink) {
-  // The common case, whole lines in one piece, copies nothing into `partial`.
+  // Only lines split over several calls are copied into `partial`.
   while (!bytes.empty()) {
     const std::size_t end = bytes.find('\n');
     if (end == std::string_view::npos) {
@@ -24,12 +24,12 @@
     const std::string_view piece = bytes.substr(0, end);
     bytes.remove_prefix(end + 1);
     if (this->partial.empty()) {
-      this->TakeLine(piece, sink);
+      this->ParseLine(piece, sink);
     } else {
       this->partial.append(piece);
       const std::string line = std::move(this->partial);
       this->partial.clear();
-      this->TakeLine(line, sink);
+      this->ParseLine(line, sink);
     }
     if (this->event.data.size() > this->limit_bytes) {
       return false;
@@ -38,7 +38,7 @@
   return this->partial.size() <= this->limit_bytes;
 }
 
-void SseParser::TakeLine(std::string_view line, SseSink& sink) {
+void SseParser::ParseLine(std::string_view line, SseSink& sink) {
   if (!line.empty() && line.back() == '\r') {
     line.remove_suffix(1);
   }
@@ -57,12 +57,12 @@
   }
   const std::string_view field = line.substr(0, colon);
   if (field == "event") {
-    this->event.name = ValueOf(line, colon);
+    this->event.name = FieldValue(line, colon);
   } else if (field == "data") {
     if (this->has_data) {
       this->event.data.push_back('\n');
     }
-    this->event.data.append(ValueOf(line, colon));
+    this->event.data.append(FieldValue(line, colon));
     this->has_data = true;
   }
 }
--- a/src/engine/sse_parser.h
+++ b/src/engine/sse_parser.h
@@ -9,29 +9,30 @@
 
 /// @brief One server-sent event.
 struct SseEvent {
-  std::string name;  ///< "message" where the stream names none
+  std::string name;  ///< the `event` field; empty if there is none
   std::string data;
 };
 
-/// @brief Receives events as they become whole.
+/// @brief Receives each event when it is complete.
 class SseSink {
  public:
   virtual ~SseSink() = default;
   virtual void OnSseEvent(const SseEvent& event) = 0;
 };
 
-/// @brief Cuts a byte stream into server-sent events.
+/// @brief Incremental parser for server-sent events (SSE).
 class SseParser {
  public:
-  /// @param[in] limit_bytes bound on one event
+  /// @param[in] limit_bytes largest permitted event
   explicit SseParser(std::size_t limit_bytes) : limit_bytes(limit_bytes) {}
 
-  /// @brief Takes the next bytes and tells the sink of whole events.
-  /// @return false where an event passes its bound; the stream is then useless
+  /// @brief Parses the next bytes and passes complete events to the sink.
+  /// @return false if an event exceeds the limit; the stream can't be parsed
+  /// any further
   bool Feed(std::string_view bytes, SseSink& sink);
 
  private:
-  void TakeLine(std::string_view line, SseSink& sink);
+  void ParseLine(std::string_view line, SseSink& sink);
 
   std::size_t limit_bytes;
   std::string partial;
--- a/src/gateway/caller_identity.cc
+++ b/src/gateway/caller_identity.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::string_view kScheme = "bearer ";
-constexpr std::size_t kCallerDigits = 16;
+constexpr std::size_t kCallerIdDigits = 16;
 
-absl::Status UnknownKey(std::string_view what) {
+absl::Status UnknownKeyError(std::string_view what) {
   ErrorDetail detail;
   detail.id = ErrorId::kUnknownKey;
   detail.outcome = Outcome::kNotRun;
@@ -32,19 +32,20 @@
 
 }  // namespace
 
-absl::StatusOr<CallerIdentity> Identify(const ServerRequest& request,
-                                        const ServiceCatalog& catalog) {
+absl::StatusOr<CallerIdentity> AuthenticateCaller(
+    const ServerRequest& request, const ServiceCatalog& catalog) {
   const std::string_view header = FindHeader(request.headers, "Authorization");
   if (!absl::StartsWithIgnoreCase(AbslView(header), AbslView(kScheme))) {
-    return UnknownKey("the request carries no 'Authorization: Bearer KEY'");
+    return UnknownKeyError(
+        "the request carries no 'Authorization: Bearer KEY'");
   }
   const std::string digest = Sha256Hex(header.substr(kScheme.size()));
   const std::string_view workspace = catalog.WorkspaceOfKey(digest);
   if (workspace.empty()) {
-    return UnknownKey("the key belongs to no workspace");
+    return UnknownKeyError("the key belongs to no workspace");
   }
   return CallerIdentity{std::string(workspace),
-                        digest.substr(0, kCallerDigits)};
+                        digest.substr(0, kCallerIdDigits)};
 }
 
 }  // namespace meadowthread
--- a/src/gateway/caller_identity.h
+++ b/src/gateway/caller_identity.h
@@ -9,16 +9,16 @@
 
 namespace meadowthread {
 
-/// @brief Who sent a request.
+/// @brief The authenticated sender of a request.
 struct CallerIdentity {
   std::string workspace;
-  std::string caller;  ///< a digest of the key, for resume tokens
+  std::string caller;  ///< prefix of the API key's SHA-256 digest, in hex
 };
 
-/// @brief Tells the workspace by `Authorization: Bearer KEY`.
-/// @return the identity, or kUnknownKey
-absl::StatusOr<CallerIdentity> Identify(const ServerRequest& request,
-                                        const ServiceCatalog& catalog);
+/// @brief Finds the workspace by the API key in `Authorization: Bearer KEY`.
+/// @return the identity, or the error kUnknownKey
+absl::StatusOr<CallerIdentity> AuthenticateCaller(
+    const ServerRequest& request, const ServiceCatalog& catalog);
 
 }  // namespace meadowthread
 
--- a/src/gateway/caller_request.h
+++ b/src/gateway/caller_request.h
@@ -10,18 +10,18 @@
 
 namespace meadowthread {
 
-/// @brief A generation as its caller asks for it.
+/// @brief A caller's parsed generation request.
 struct CallerRequest {
-  CompletionApi form = CompletionApi::kChat;
+  CompletionApi api = CompletionApi::kChat;
   std::string model;
-  std::string prompt;           ///< messages of a chat are joined, one a line
+  std::string prompt;           ///< chat messages are joined, one per line
   std::int64_t max_tokens = 0;  ///< 0: not given
   bool stream = false;
 };
 
-/// @brief Reads a body of `POST /v1/chat/completions` or `/v1/completions`.
-/// @return the request, or an error naming the field
-absl::StatusOr<CallerRequest> ParseCallerRequest(CompletionApi form,
+/// @brief Parses the body of `POST /v1/chat/completions` or `/v1/completions`.
+/// @return the request, or an error that names the invalid field
+absl::StatusOr<CallerRequest> ParseCallerRequest(CompletionApi api,
                                                  std::string_view body);
 
 }  // namespace meadowthread
--- a/src/gateway/caller_stream.cc
+++ b/src/gateway/caller_stream.cc
@@ -14,45 +14,45 @@
 }  // namespace
 
 CallerStream::CallerStream(std::unique_ptr<ResponseWriter> writer,
-                           const AnswerHead& head, DeliveryMode mode,
-                           const CallerLimits& bounds)
+                           const CompletionMetadata& metadata,
+                           DeliveryMode mode, const DeliveryLimits& limits)
     : writer(std::move(writer)),
-      head(head),
-      format(head),
+      metadata(metadata),
+      format(metadata),
       mode(mode),
-      bounds(bounds) {}
+      limits(limits) {}
 
-// A whole answer is given without one: nothing of it was delivered before its
-// end, and a second generation may still take its place.
+// Buffered answers get no resume token: nothing is delivered before the answer
+// is complete, and until then a new generation may replace the current one.
 void CallerStream::SetResumeToken(std::string token) {
   if (this->mode != DeliveryMode::kStreamed) {
     return;
   }
   this->resume_token = std::move(token);
-  this->token_told = false;
+  this->resume_token_sent = false;
 }
 
 bool CallerStream::CanResume() const {
-  return this->token_told && !this->ended;
+  return this->resume_token_sent && !this->ended;
 }
 
-// The head waits for the first token, so that the resume token can stand in it;
-// after a keep-alive it is too late and a comment carries the token instead,
-// which clients of the convention pass over.
-void CallerStream::SendHead() {
-  if (!this->head_sent) {
-    this->head_sent = true;
+// The response headers are sent with the first token, so that they can carry
+// the resume token. If a keep-alive had to be sent earlier, the resume token
+// follows in an SSE comment, which clients ignore.
+void CallerStream::SendHeaders() {
+  if (!this->headers_sent) {
+    this->headers_sent = true;
     std::vector<HttpHeader> headers = {
-        {"Meadowthread-Request", this->head.request}};
+        {"Meadowthread-Request", this->metadata.request}};
     if (!this->resume_token.empty()) {
       headers.push_back({"Meadowthread-Resume-Token", this->resume_token});
-      this->token_told = true;
+      this->resume_token_sent = true;
     }
     this->writer->StartStream(http_code::kOk, kEventStream, headers);
     return;
   }
-  if (!this->token_told && !this->resume_token.empty()) {
-    this->token_told = true;
+  if (!this->resume_token_sent && !this->resume_token.empty()) {
+    this->resume_token_sent = true;
     this->writer->Write(
         absl::StrCat(": resume-token ", this->resume_token, "\n\n"));
   }
@@ -62,29 +62,29 @@
   if (this->ended) {
     return true;
   }
-  this->KeepTextOf(tokens);
+  this->AppendText(tokens);
   if (this->mode == DeliveryMode::kStreamed) {
     this->SendTokens(tokens);
     return true;
   }
   for (const TokenEvent& token : tokens) {
     this->held_bytes += static_cast<std::int64_t>(token.text.size());
-    if (this->mode == DeliveryMode::kStreamedWhole) {
+    if (this->mode == DeliveryMode::kBufferedStream) {
       this->held.push_back(token);
     }
   }
-  return this->held_bytes <= this->bounds.whole_answer_bytes;
+  return this->held_bytes <= this->limits.whole_answer_bytes;
 }
 
-void CallerStream::KeepTextOf(std::span<const TokenEvent> tokens) {
+void CallerStream::AppendText(std::span<const TokenEvent> tokens) {
   const std::int64_t limit = this->mode == DeliveryMode::kJson
-                                 ? this->bounds.whole_answer_bytes
-                                 : this->keep_bytes;
+                                 ? this->limits.whole_answer_bytes
+                                 : this->kept_text_limit_bytes;
   for (const TokenEvent& token : tokens) {
     const auto size =
         static_cast<std::int64_t>(this->text.size() + token.text.size());
-    this->text_cut = this->text_cut || size > limit;
-    if (!this->text_cut) {
+    this->text_truncated = this->text_truncated || size > limit;
+    if (!this->text_truncated) {
       this->text += token.text;
     }
   }
@@ -94,34 +94,34 @@
   if (tokens.empty()) {
     return;
   }
-  this->SendHead();
-  this->scratch.clear();
+  this->SendHeaders();
+  this->buffer.clear();
   for (const TokenEvent& token : tokens) {
-    this->format.AppendToken(token.index, token.text, this->scratch);
+    this->format.AppendToken(token.index, token.text, this->buffer);
   }
   this->delivered += static_cast<std::int64_t>(tokens.size());
-  this->writer->Write(this->scratch);
+  this->writer->Write(this->buffer);
 }
 
 void CallerStream::Complete(std::string_view finish_reason,
-                            const AnswerUsage& usage) {
+                            const TokenUsage& usage) {
   if (this->ended) {
     return;
   }
   if (this->mode == DeliveryMode::kJson) {
     this->ended = true;
     WholeResponse response;
-    response.headers = {{"Meadowthread-Request", this->head.request}};
-    response.body = this->format.Whole(this->text, finish_reason, usage);
+    response.headers = {{"Meadowthread-Request", this->metadata.request}};
+    response.body = this->format.FormatJson(this->text, finish_reason, usage);
     this->writer->SendWhole(response);
     return;
   }
   this->SendTokens(this->held);
   this->held.clear();
-  this->SendHead();
-  this->scratch.clear();
-  this->format.AppendEnd(finish_reason, usage, this->scratch);
-  this->writer->Write(this->scratch);
+  this->SendHeaders();
+  this->buffer.clear();
+  this->format.AppendEnd(finish_reason, usage, this->buffer);
+  this->writer->Write(this->buffer);
   this->writer->FinishStream();
   this->ended = true;
 }
@@ -133,18 +133,18 @@
   this->ended = true;
   Problem problem;
   problem.status = status;
-  problem.request = this->head.request;
+  problem.request = this->metadata.request;
   problem.safe_to_repeat = safe_to_repeat;
-  if (!this->head_sent) {
+  if (!this->headers_sent) {
     const bool interrupted = DetailOf(status).outcome == Outcome::kInterrupted;
     problem.tokens_delivered = interrupted ? this->delivered : -1;
     this->writer->SendWhole(ProblemResponse(problem));
     return;
   }
   problem.tokens_delivered = this->delivered;
-  this->scratch.clear();
-  AnswerFormat::AppendProblem(ProblemJson(problem), this->scratch);
-  this->writer->Write(this->scratch);
+  this->buffer.clear();
+  CompletionFormatter::AppendError(ProblemJson(problem), this->buffer);
+  this->writer->Write(this->buffer);
   this->writer->FinishStream();
 }
 
@@ -152,24 +152,24 @@
   if (this->ended || this->mode == DeliveryMode::kJson) {
     return;
   }
-  this->SendHead();
+  this->SendHeaders();
   this->writer->Write(kKeepAliveComment);
 }
 
-void CallerStream::Cut() {
+void CallerStream::Disconnect() {
   this->ended = true;
   this->writer->Abort();
 }
 
-void CallerStream::DropHeld() {
+void CallerStream::DiscardHeldTokens() {
   this->held.clear();
   this->held_bytes = 0;
   this->text.clear();
-  this->text_cut = false;
+  this->text_truncated = false;
 }
 
 bool CallerStream::IsSlow() const {
-  return this->writer->PendingBytes() > this->bounds.slow_caller_bytes;
+  return this->writer->PendingBytes() > this->limits.slow_caller_bytes;
 }
 
 }  // namespace meadowthread
--- a/src/gateway/claim_log.cc
+++ b/src/gateway/claim_failure_log.cc
@@ -1,4 +1,4 @@
-#include "gateway/claim_log.h"
+#include "gateway/claim_failure_log.h"
 
 #include <string>
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -10,7 +10,7 @@
 #include "base/absl_view.h"
 #include "base/log_line.h"
 #include "claims/claim_key.h"
-#include "gateway/work_estimate.h"
+#include "gateway/prompt_estimate.h"
 #include "net/http_code.h"
 #include "nlohmann/json.hpp"
 
@@ -27,8 +27,8 @@
       "r-", QUuid::createUuid().toString(QUuid::WithoutBraces).toStdString());
 }
 
-absl::Status Refuse(ErrorId id, std::string_view step, std::string_view field,
-                    std::string_view what) {
+absl::Status RequestError(ErrorId id, std::string_view step,
+                          std::string_view field, std::string_view what) {
   ErrorDetail detail;
   detail.id = id;
   detail.outcome = Outcome::kNotRun;
@@ -65,7 +65,7 @@
   return true;
 }
 
-ServedModel ModelOf(const WorkspaceService& service, std::string_view name) {
+ServedModel FindModel(const WorkspaceService& service, std::string_view name) {
   for (const ServedModel& model : service.models) {
     if (model.model == name) {
       return model;
@@ -74,21 +74,21 @@
   return {};
 }
 
-std::int64_t MaxOutput(std::int64_t asked, std::int64_t allowed) {
+std::int64_t CapOutputTokens(std::int64_t requested, std::int64_t allowed) {
   const std::int64_t limit = allowed > 0 ? allowed : kDefaultMaxOutputTokens;
-  return asked > 0 ? std::min(asked, limit) : limit;
+  return requested > 0 ? std::min(requested, limit) : limit;
 }
 
 }  // namespace
 
-/// @brief A request on its way through the checks.
-struct Gateway::Arrival {
+/// @brief A request while it is being checked.
+struct Gateway::IncomingRequest {
   SessionStart start;
   ServiceCatalog::ServicePtr service;
 };
 
-Gateway::Gateway(const GatewayParts& parts) : parts(parts) {
-  this->parts.session.observer = this;
+Gateway::Gateway(const GatewayParts& deps) : deps(deps) {
+  this->deps.session.observer = this;
 }
 
 Gateway::~Gateway() = default;
@@ -114,7 +114,7 @@
   } else if (path == "/healthz") {
     writer->SendWhole({http_code::kOk, "text/plain", {}, "ok\n"});
   } else if (path == "/readyz") {
-    const absl::Status ready = this->parts.gate.MayTakeWork();
+    const absl::Status ready = this->deps.gate.MayTakeWork();
     writer->SendWhole(
         {ready.ok() ? http_code::kOk : http_code::kUnavailable,
          "text/plain",
@@ -124,15 +124,15 @@
     writer->SendWhole({http_code::kOk,
                        "text/plain; version=0.0.4",
                        {},
-                       this->parts.metrics_text()});
+                       this->deps.metrics_text()});
   } else if (path == "/statusz") {
     writer->SendWhole(
-        {http_code::kOk, "application/json", {}, this->parts.status_json()});
+        {http_code::kOk, "application/json", {}, this->deps.status_json()});
   } else {
     SendProblem(*writer,
-                Refuse(ErrorId::kNotFound, "route", "",
-                       absl::StrCat("nothing is served at ", request.method,
-                                    " ", path)),
+                RequestError(ErrorId::kNotFound, "route", "",
+                             absl::StrCat("nothing is served at ",
+                                          request.method, " ", path)),
                 "");
   }
 }
@@ -140,14 +140,14 @@
 void Gateway::ServeModels(const ServerRequest& request,
                           std::unique_ptr<ResponseWriter> writer) {
   const absl::StatusOr<CallerIdentity> caller =
-      Identify(request, this->parts.catalog);
+      AuthenticateCaller(request, this->deps.catalog);
   if (!caller.ok()) {
     SendProblem(*writer, caller.status(), "");
     return;
   }
   nlohmann::json models = nlohmann::json::array();
   for (const ServiceCatalog::ServicePtr& service :
-       this->parts.catalog.ServicesOf(caller->workspace)) {
+       this->deps.catalog.ServicesOf(caller->workspace)) {
     for (const ServedModel& model : service->models) {
       models.push_back({{"id", model.model},
                         {"object", "model"},
@@ -167,13 +167,13 @@
 void Gateway::ServePlainService(const ServerRequest& request,
                                 std::unique_ptr<ResponseWriter> writer) {
   const absl::StatusOr<CallerIdentity> caller =
-      Identify(request, this->parts.catalog);
+      AuthenticateCaller(request, this->deps.catalog);
   absl::Status status = caller.status();
   if (status.ok()) {
-    status = this->parts.gate.MayTakeWork();
+    status = this->deps.gate.MayTakeWork();
   }
   if (status.ok()) {
-    status = this->parts.gate.BeginWork(caller->workspace);
+    status = this->deps.gate.BeginWork(caller->workspace);
   }
   const std::string id = NewRequestId();
   writer->NameAnswer(id);
@@ -196,8 +196,8 @@
   call.idempotency_key =
       std::string(FindHeader(request.headers, "Idempotency-Key"));
   call.body = request.body;
-  WorkGate* gate = &this->parts.gate;
-  this->parts.forwarder.Forward(
+  WorkGate* gate = &this->deps.gate;
+  this->deps.forwarder.Forward(
       call, std::move(writer),
       [gate, workspace = call.workspace] { gate->EndWork(workspace); });
 }
@@ -206,115 +206,120 @@
 // Generations
 ////////////////
 
-void Gateway::ServeGeneration(CompletionApi form, const ServerRequest& request,
+void Gateway::ServeGeneration(CompletionApi api, const ServerRequest& request,
                               std::unique_ptr<ResponseWriter> writer) {
-  Arrival arrival;
-  arrival.start.request = NewRequestId();
-  writer->NameAnswer(arrival.start.request);
-  arrival.start.arrived_ms = this->parts.session.clock.WallMs();
-  absl::Status status = this->Check(form, request, &arrival);
+  IncomingRequest incoming;
+  incoming.start.request = NewRequestId();
+  writer->NameAnswer(incoming.start.request);
+  incoming.start.arrived_ms = this->deps.session.clock.WallMs();
+  absl::Status status = this->CheckRequest(api, request, &incoming);
   if (status.ok()) {
-    status = this->AdmitToLimits(&arrival.start);
+    status = this->AdmitWithinLimits(&incoming.start);
   }
   if (status.ok()) {
-    status = this->BeginWork(arrival.start);
+    status = this->BeginWork(incoming.start);
   }
   if (!status.ok()) {
-    SendProblem(*writer, status, arrival.start.request);
+    SendProblem(*writer, status, incoming.start.request);
     return;
   }
   DeliveryMode mode = DeliveryMode::kJson;
-  if (arrival.start.asked.stream) {
-    mode = arrival.start.terms.whole_delivery ? DeliveryMode::kStreamedWhole
-                                              : DeliveryMode::kStreamed;
+  if (incoming.start.caller_request.stream) {
+    mode = incoming.start.parameters.whole_delivery
+               ? DeliveryMode::kBufferedStream
+               : DeliveryMode::kStreamed;
   }
-  this->AddSession(arrival.start, std::move(writer), mode).Begin();
+  this->AddSession(incoming.start, std::move(writer), mode).Begin();
 }
 
-absl::Status Gateway::Check(CompletionApi form, const ServerRequest& request,
-                            Arrival* arrival) const {
+absl::Status Gateway::CheckRequest(CompletionApi api,
+                                   const ServerRequest& request,
+                                   IncomingRequest* incoming) const {
   const absl::StatusOr<CallerIdentity> caller =
-      Identify(request, this->parts.catalog);
+      AuthenticateCaller(request, this->deps.catalog);
   if (!caller.ok()) {
     return caller.status();
   }
-  absl::Status ready = this->parts.gate.MayTakeWork();
+  absl::Status ready = this->deps.gate.MayTakeWork();
   if (!ready.ok()) {
     return ready;
   }
-  const absl::StatusOr<CallerRequest> asked =
-      ParseCallerRequest(form, request.body);
-  if (!asked.ok()) {
-    return asked.status();
+  const absl::StatusOr<CallerRequest> parsed =
+      ParseCallerRequest(api, request.body);
+  if (!parsed.ok()) {
+    return parsed.status();
   }
-  arrival->start.asked = *asked;
-  arrival->start.caller = caller->caller;
-  arrival->service = this->parts.catalog.Find(caller->workspace, asked->model);
-  if (arrival->service == nullptr) {
-    return Refuse(
+  incoming->start.caller_request = *parsed;
+  incoming->start.caller = caller->caller;
+  incoming->service = this->deps.catalog.Find(caller->workspace, parsed->model);
+  if (incoming->service == nullptr) {
+    return RequestError(
         ErrorId::kUnknownModel, "route", "model",
-        absl::StrCat("model '", asked->model, "' is not served to workspace '",
+        absl::StrCat("model '", parsed->model, "' is not served to workspace '",
                      caller->workspace, "'"));
   }
-  return this->CheckTerms(request, arrival);
+  return this->ResolveParameters(request, incoming);
 }
 
-absl::Status Gateway::CheckTerms(const ServerRequest& request,
-                                 Arrival* arrival) const {
-  const WorkspaceService& service = *arrival->service;
-  SessionStart& start = arrival->start;
+absl::Status Gateway::ResolveParameters(const ServerRequest& request,
+                                        IncomingRequest* incoming) const {
+  const WorkspaceService& service = *incoming->service;
+  SessionStart& start = incoming->start;
   const std::string_view key = FindHeader(request.headers, "Idempotency-Key");
-  ServiceTerms& terms = start.terms;
-  terms.workspace = service.workspace;
-  terms.template_name = service.template_name;
-  terms.template_version = service.template_version;
-  terms.model = ModelOf(service, start.asked.model);
-  terms.urgency = service.urgency;
-  terms.max_output_tokens =
-      MaxOutput(start.asked.max_tokens, service.limits.max_output_tokens);
-  terms.deadline_ms = service.limits.deadline_ms > 0
-                          ? service.limits.deadline_ms
-                          : kDefaultDeadlineMs;
-  terms.whole_delivery = service.delivery == Delivery::kWhole;
-  terms.at_most_once = NeedsClaim(service, key);
-  terms.key_form = service.not_repeatable.key_form;
+  GenerationParameters& parameters = start.parameters;
+  parameters.workspace = service.workspace;
+  parameters.template_name = service.template_name;
+  parameters.template_version = service.template_version;
+  parameters.model = FindModel(service, start.caller_request.model);
+  parameters.urgency = service.urgency;
+  parameters.max_output_tokens = CapOutputTokens(
+      start.caller_request.max_tokens, service.limits.max_output_tokens);
+  parameters.deadline_ms = service.limits.deadline_ms > 0
+                               ? service.limits.deadline_ms
+                               : kDefaultDeadlineMs;
+  parameters.whole_delivery = service.delivery == Delivery::kWhole;
+  parameters.at_most_once = NeedsClaim(service, key);
+  parameters.key_form = service.not_repeatable.key_form;
   start.idempotency_key = std::string(key);
-  if (terms.at_most_once) {
+  if (parameters.at_most_once) {
     start.body_digest = Sha256Of(request.body);
   }
-  if (terms.at_most_once && key.empty()) {
-    return Refuse(ErrorId::kIdempotencyKeyMissing, "route", "Idempotency-Key",
-                  "this workspace's requests may not be repeated: they need "
-                  "an Idempotency-Key");
+  if (parameters.at_most_once && key.empty()) {
+    return RequestError(
+        ErrorId::kIdempotencyKeyMissing, "route", "Idempotency-Key",
+        "this workspace's requests may not be repeated: they need "
+        "an Idempotency-Key");
   }
-  const std::int64_t prompt_tokens = EstimateTokens(start.asked.prompt);
+  const std::int64_t prompt_tokens =
+      EstimateTokens(start.caller_request.prompt);
   if (service.limits.max_prompt_tokens > 0 &&
       prompt_tokens > service.limits.max_prompt_tokens) {
-    return Refuse(
-        ErrorId::kFieldInvalid, "route",
-        start.asked.form == CompletionApi::kChat ? "messages" : "prompt",
-        absl::StrCat("the prompt has about ", prompt_tokens,
-                     " tokens; the workspace's limit is ",
-                     service.limits.max_prompt_tokens));
+    return RequestError(ErrorId::kFieldInvalid, "route",
+                        start.caller_request.api == CompletionApi::kChat
+                            ? "messages"
+                            : "prompt",
+                        absl::StrCat("the prompt has about ", prompt_tokens,
+                                     " tokens; the workspace's limit is ",
+                                     service.limits.max_prompt_tokens));
   }
   start.expected_tokens = prompt_tokens;
   return absl::OkStatus();
 }
 
-absl::Status Gateway::AdmitToLimits(SessionStart* start) {
+absl::Status Gateway::AdmitWithinLimits(SessionStart* start) {
   ErrorDetail detail;
   detail.outcome = Outcome::kNotRun;
   detail.step = "admit";
-  const std::uint64_t random = this->parts.session.random();
-  if (this->sessions.size() >= this->parts.max_streams) {
+  const std::uint64_t random = this->deps.session.random();
+  if (this->sessions.size() >= this->deps.max_streams) {
     detail.id = ErrorId::kOverloaded;
     detail.retry_after_ms =
         kFullHostRetryMs + static_cast<std::int64_t>(random % kFullHostRetryMs);
     return MakeError(absl::StatusCode::kResourceExhausted, detail,
-                     "this host holds as many streams as it may");
+                     "this host has reached its limit of concurrent streams");
   }
-  const LimitDecision answer = this->parts.session.limits.Admit(
-      start->terms.workspace, start->expected_tokens, start->arrived_ms,
+  const LimitDecision answer = this->deps.session.limits.Admit(
+      start->parameters.workspace, start->expected_tokens, start->arrived_ms,
       random);
   if (answer.reached == LimitReached::kNone) {
     return absl::OkStatus();
@@ -327,28 +332,28 @@
 }
 
 absl::Status Gateway::BeginWork(const SessionStart& start) {
-  absl::Status status = this->parts.gate.BeginWork(start.terms.workspace);
+  absl::Status status = this->deps.gate.BeginWork(start.parameters.workspace);
   if (!status.ok()) {
-    this->parts.session.limits.Ended(start.terms.workspace,
-                                     start.expected_tokens, 0);
+    this->deps.session.limits.Ended(start.parameters.workspace,
+                                    start.expected_tokens, 0);
   }
   return status;
 }
 
-// The token says where the answer's engine is; whose it is has been checked.
+// The resume token names the engine that generates the answer. Verify() checks
+// that the token belongs to this caller.
 void Gateway::ServeResume(const ServerRequest& request,
                           std::unique_ptr<ResponseWriter> writer) {
   const absl::StatusOr<CallerIdentity> caller =
-      Identify(request, this->parts.catalog);
+      AuthenticateCaller(request, this->deps.catalog);
   if (!caller.ok()) {
     SendProblem(*writer, caller.status(), "");
     return;
   }
   const absl::StatusOr<ResumeTokenClaims> claims =
-      this->parts.session.tokens.Verify(
+      this->deps.session.tokens.Verify(
           FindHeader(request.headers, "Meadowthread-Resume-Token"),
-          caller->workspace, caller->caller,
-          this->parts.session.clock.WallMs());
+          caller->workspace, caller->caller, this->deps.session.clock.WallMs());
   if (!claims.ok()) {
     SendProblem(*writer, claims.status(), "");
     return;
@@ -359,18 +364,18 @@
   if (!last.empty() &&
       (!absl::SimpleAtoi(last, &last_index) || last_index < 0)) {
     SendProblem(*writer,
-                Refuse(ErrorId::kFieldInvalid, "resume", "Last-Event-ID",
-                       "is not a token index"),
+                RequestError(ErrorId::kFieldInvalid, "resume", "Last-Event-ID",
+                             "is not a token index"),
                 claims->request);
     return;
   }
   SessionStart start;
   start.request = claims->request;
   start.caller = caller->caller;
-  start.arrived_ms = this->parts.session.clock.WallMs();
-  start.asked.form = claims->form;
-  start.asked.model = claims->model;
-  start.terms.workspace = caller->workspace;
+  start.arrived_ms = this->deps.session.clock.WallMs();
+  start.caller_request.api = claims->form;
+  start.caller_request.model = claims->model;
+  start.parameters.workspace = caller->workspace;
   this->AddSession(start, std::move(writer), DeliveryMode::kStreamed)
       .BeginResumed(*claims, last_index + 1);
 }
@@ -382,19 +387,19 @@
 GenerationSession& Gateway::AddSession(const SessionStart& start,
                                        std::unique_ptr<ResponseWriter> writer,
                                        DeliveryMode mode) {
-  AnswerHead head;
-  head.form = start.asked.form;
-  head.request = start.request;
-  head.model = start.asked.model;
-  head.created_unix_s = start.arrived_ms / 1000;
-  const SessionParts& session_parts = this->parts.session;
+  CompletionMetadata metadata;
+  metadata.api = start.caller_request.api;
+  metadata.request = start.request;
+  metadata.model = start.caller_request.model;
+  metadata.created_unix_s = start.arrived_ms / 1000;
+  const SessionParts& session_deps = this->deps.session;
   const std::uint64_t id = ++this->last_session;
-  auto caller = std::make_unique<CallerStream>(std::move(writer), head, mode,
-                                               session_parts.options.bounds);
+  auto caller = std::make_unique<CallerStream>(
+      std::move(writer), metadata, mode, session_deps.options.bounds);
   this->by_request[start.request] = id;
   const auto added =
       this->sessions.emplace(id, std::make_unique<GenerationSession>(
-                                     session_parts, start, std::move(caller)));
+                                     session_deps, start, std::move(caller)));
   return *added.first->second;
 }
 
@@ -407,29 +412,29 @@
   return session == this->sessions.end() ? nullptr : session->second.get();
 }
 
-// A session tells of its end from deep within its own calls; it is destroyed
-// once the event loop is back.
+// Called from within the session's own member functions, so the session is
+// destroyed later, from the event loop.
 void Gateway::OnSessionEnded(const SessionEnd& end) {
-  this->parts.observer.OnSessionEnded(end);
+  this->deps.observer.OnSessionEnded(end);
   if (!end.resumed) {
-    this->parts.gate.EndWork(end.workspace);
+    this->deps.gate.EndWork(end.workspace);
   }
-  if (this->drop_planned) {
+  if (this->removal_scheduled) {
     return;
   }
-  this->drop_planned = true;
-  this->parts.session.scheduler.After(0, this->life.Guarded([this] {
-    this->DropEnded();
+  this->removal_scheduled = true;
+  this->deps.session.scheduler.After(0, this->life.Guarded([this] {
+    this->RemoveEndedSessions();
     this->DrainQueue();
   }));
 }
 
 void Gateway::OnTokenGap(std::int64_t gap_ms) {
-  this->parts.observer.OnTokenGap(gap_ms);
+  this->deps.observer.OnTokenGap(gap_ms);
 }
 
-void Gateway::DropEnded() {
-  this->drop_planned = false;
+void Gateway::RemoveEndedSessions() {
+  this->removal_scheduled = false;
   for (auto entry = this->sessions.begin(); entry != this->sessions.end();) {
     if (entry->second->Phase() != SessionPhase::kEnded) {
       ++entry;
@@ -444,23 +449,23 @@
 }
 
 void Gateway::DrainQueue() {
-  const std::int64_t now = this->parts.session.clock.WallMs();
-  Dispatcher& dispatcher = this->parts.session.dispatcher;
+  const std::int64_t now = this->deps.session.clock.WallMs();
+  Dispatcher& dispatcher = this->deps.session.dispatcher;
   for (const SendOrder& order :
-       dispatcher.Drain(now, this->parts.session.random())) {
+       dispatcher.Drain(now, this->deps.session.random())) {
     GenerationSession* session = this->FindSession(order.work.request);
     if (session != nullptr) {
       session->SendNow(order.decision);
     } else {
-      this->parts.session.fleet.NoteEnded(order.work.request, StreamEnd::kCut,
-                                          now);
+      this->deps.session.fleet.NoteEnded(order.work.request, StreamEnd::kCut,
+                                         now);
     }
   }
-  for (const ExpiredWork& given_up :
-       dispatcher.Expire(now, this->parts.session.random())) {
-    GenerationSession* session = this->FindSession(given_up.work.request);
+  for (const ExpiredWork& expired :
+       dispatcher.Expire(now, this->deps.session.random())) {
+    GenerationSession* session = this->FindSession(expired.work.request);
     if (session != nullptr) {
-      session->GiveUp(given_up.reason, given_up.retry_after_ms);
+      session->GiveUp(expired.reason, expired.retry_after_ms);
     }
   }
 }
@@ -471,10 +476,11 @@
   }
 }
 
-std::vector<RunningRequest> Gateway::RunningRequests(std::size_t most) const {
+std::vector<RunningRequest> Gateway::RunningRequests(
+    std::size_t max_count) const {
   std::vector<RunningRequest> running;
   for (const auto& [id, session] : this->sessions) {
-    if (running.size() == most) {
+    if (running.size() == max_count) {
       break;
     }
     running.push_back(
@@ -492,7 +498,7 @@
 int Gateway::HandOverStreams() {
   int cut = 0;
   for (const auto& [id, session] : this->sessions) {
-    cut += session->HandOver() ? 1 : 0;
+    cut += session->DisconnectForResume() ? 1 : 0;
   }
   return cut;
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -18,29 +18,29 @@
 
 namespace meadowthread {
 
-/// @brief What the gateway needs besides what its sessions need.
+/// @brief Dependencies of the gateway and of its sessions.
 struct GatewayParts {
-  SessionParts session;  ///< its observer is replaced by the gateway
+  SessionParts session;  ///< the gateway sets its observer to itself
   const ServiceCatalog& catalog;
   WorkGate& gate;
   ServiceForwarder& forwarder;
-  SessionObserver& observer;  ///< told after the gateway's own bookkeeping
+  SessionObserver& observer;  ///< gets each session event from the gateway
   std::function<std::string()> metrics_text;
   std::function<std::string()> status_json;
   std::size_t max_streams = 4000;
 };
 
-/// @brief One running request, for a stop's report.
+/// @brief A running request, as reported while the host stops.
 struct RunningRequest {
   std::string request;
   SessionPhase phase = SessionPhase::kClaiming;
   std::int64_t tokens_delivered = 0;
 };
 
-/// @brief Answers callers: the paths of docs/INTERFACES.md, section 6.
+/// @brief HTTP service for callers (paths in docs/INTERFACES.md, section 6).
 class Gateway final : public HttpService, public SessionObserver {
  public:
-  explicit Gateway(const GatewayParts& parts);
+  explicit Gateway(const GatewayParts& deps);
   ~Gateway() override;
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
@@ -55,34 +55,35 @@
   // Called by timers
   /////////////////////
 
-  /// @brief Sends queued work that fits now and gives up what waited too long.
+  /// @brief Sends queued requests for which there is room now and fails those
+  /// that waited too long.
   void DrainQueue();
 
-  /// @brief Keep-alives and slow callers.
+  /// @brief Sends keep-alives and disconnects callers that are too slow.
   void TickSessions();
 
   ///////////////////
   // Planned stops
   ///////////////////
 
-  /// @brief Requests in progress.
+  /// @brief Number of generation requests in progress.
   std::size_t Running() const { return this->sessions.size(); }
 
-  /// @brief What a stop waits for, the first `most` of it.
-  std::vector<RunningRequest> RunningRequests(std::size_t most) const;
+  /// @brief Requests that a stop still waits for, at most `max_count` of them.
+  std::vector<RunningRequest> RunningRequests(std::size_t max_count) const;
 
-  /// @brief Hands over the streams whose callers can resume elsewhere.
-  /// @return how many were cut for that
+  /// @brief Disconnects the streams whose callers can resume at another host.
+  /// @return number of disconnected streams
   int HandOverStreams();
 
-  /// @brief A content is in quarantine now: what waits or was just sent of it
-  /// ends.
+  /// @brief Ends requests with newly quarantined content that are queued or
+  /// were sent but have no answer yet.
   void EndQuarantined(const CrashRecordId& quarantined);
 
  private:
-  struct Arrival;
+  struct IncomingRequest;
 
-  void ServeGeneration(CompletionApi form, const ServerRequest& request,
+  void ServeGeneration(CompletionApi api, const ServerRequest& request,
                        std::unique_ptr<ResponseWriter> writer);
   void ServeResume(const ServerRequest& request,
                    std::unique_ptr<ResponseWriter> writer);
@@ -90,22 +91,23 @@
                    std::unique_ptr<ResponseWriter> writer);
   void ServePlainService(const ServerRequest& request,
                          std::unique_ptr<ResponseWriter> writer);
-  absl::Status Check(CompletionApi form, const ServerRequest& request,
-                     Arrival* arrival) const;
-  absl::Status CheckTerms(const ServerRequest& request, Arrival* arrival) const;
-  absl::Status AdmitToLimits(SessionStart* start);
+  absl::Status CheckRequest(CompletionApi api, const ServerRequest& request,
+                            IncomingRequest* incoming) const;
+  absl::Status ResolveParameters(const ServerRequest& request,
+                                 IncomingRequest* incoming) const;
+  absl::Status AdmitWithinLimits(SessionStart* start);
   absl::Status BeginWork(const SessionStart& start);
   GenerationSession& AddSession(const SessionStart& start,
                                 std::unique_ptr<ResponseWriter> writer,
                                 DeliveryMode mode);
   GenerationSession* FindSession(std::string_view request);
-  void DropEnded();
+  void RemoveEndedSessions();
 
-  GatewayParts parts;
+  GatewayParts deps;
   std::map<std::uint64_t, std::unique_ptr<GenerationSession>> sessions;
   std::map<std::string, std::uint64_t, std::less<>> by_request;
   std::uint64_t last_session = 0;
-  bool drop_planned = false;
+  bool removal_scheduled = false;
   Lifetime life;
 };
 
--- a/src/gateway/generation_session.cc
+++ b/src/gateway/generation_session.cc
@@ -6,20 +6,21 @@
 #include "absl/strings/str_cat.h"
 #include "base/absl_view.h"
 #include "base/log_line.h"
-#include "gateway/claim_log.h"
+#include "gateway/claim_failure_log.h"
+#include "gateway/prompt_estimate.h"
 #include "gateway/recorded_answer.h"
-#include "gateway/work_estimate.h"
 #include "quarantine/content_key.h"
 
-// Beginning, claiming, placing and sending; what follows once an engine
-// answers stands in generation_session_stream.cc.
+// Starting, claiming, placing and sending. The code for everything after an
+// engine's response is in generation_session_stream.cc.
 
 namespace meadowthread {
 namespace {
 
-// In the log line of a decision; the rest of the candidates adds little.
-constexpr std::size_t kLoggedCandidates = 3;
-constexpr std::string_view kSchemeEnd = "://";
+// Limits the length of the log line of a routing decision; further candidates
+// add little information.
+constexpr std::size_t kMaxLoggedCandidates = 3;
+constexpr std::string_view kSchemeSeparator = "://";
 
 }  // namespace
 
@@ -44,20 +45,21 @@
   return "ended";
 }
 
-GenerationSession::GenerationSession(const SessionParts& parts,
+GenerationSession::GenerationSession(const SessionParts& deps,
                                      const SessionStart& start,
                                      std::unique_ptr<CallerStream> caller)
-    : parts(parts),
+    : deps(deps),
       start(start),
-      guarded(parts.quarantine,
-              {start.terms.workspace, start.terms.template_name, start.request},
+      guarded(deps.quarantine,
+              {start.parameters.workspace, start.parameters.template_name,
+               start.request},
               [this] {
-                return ContentKeyOf({this->start.terms.workspace, "",
-                                     this->start.asked.model,
-                                     this->start.asked.prompt});
+                return ContentKeyOf({this->start.parameters.workspace, "",
+                                     this->start.caller_request.model,
+                                     this->start.caller_request.prompt});
               }),
       caller(std::move(caller)),
-      last_sign_ms(parts.clock.MonotonicMs()) {
+      last_sent_ms(deps.clock.MonotonicMs()) {
   this->caller->OnGone([this] { this->OnCallerGone(); });
   this->caller->OnDrained([this] {
     if (this->paused_since_ms != 0 && !this->caller->IsSlow()) {
@@ -72,32 +74,33 @@
 GenerationSession::~GenerationSession() = default;
 
 ///////////////
-// Beginnings
+// Starting
 ///////////////
 
 void GenerationSession::Begin() {
-  if (this->start.terms.at_most_once) {
-    this->caller->KeepText(this->parts.options.kept_result_bytes);
+  if (this->start.parameters.at_most_once) {
+    this->caller->KeepText(this->deps.options.recorded_text_limit_bytes);
     this->Claim();
     return;
   }
-  this->Offer();
+  this->SubmitFirst();
 }
 
 void GenerationSession::BeginResumed(const ResumeTokenClaims& claims,
                                      std::int64_t from) {
   this->resumed = true;
   this->phase = SessionPhase::kStreaming;
-  // Addresses change hands when a host is replaced; the host list's is newer.
-  this->engine = this->parts.directory.AddressOf(claims.engine.engine)
+  // The engine's address may have changed since the resume token was issued;
+  // the host list has the newer one.
+  this->engine = this->deps.directory.AddressOf(claims.engine.engine)
                      .value_or(claims.engine);
   this->assembler = StreamAssembler(from);
   this->assembler.OnStarted(claims.generation);
   this->caller->SetResumeToken(
-      this->parts.tokens.Sign(this->MakeResumeClaims()));
+      this->deps.tokens.Sign(this->MakeResumeClaims()));
   LogLine line("resume");
   line.Add("request", this->start.request)
-      .Add("workspace", this->start.terms.workspace)
+      .Add("workspace", this->start.parameters.workspace)
       .Add("engine", this->engine.engine)
       .Add("generation", claims.generation)
       .Add("from", from)
@@ -111,12 +114,12 @@
 
 void GenerationSession::Claim() {
   ClaimRequest request;
-  request.workspace = this->start.terms.workspace;
+  request.workspace = this->start.parameters.workspace;
   request.key = this->start.idempotency_key;
-  request.key_form = this->start.terms.key_form;
+  request.key_form = this->start.parameters.key_form;
   request.body_digest = this->start.body_digest;
   request.deadline_unix_ms = this->DeadlineUnixMs();
-  this->parts.claims.Claim(
+  this->deps.claims.Claim(
       request,
       this->life.Guarded([this](const absl::StatusOr<ClaimAnswer>& answer) {
         this->OnClaimed(answer);
@@ -129,7 +132,7 @@
     return;
   }
   if (const auto* recorded = std::get_if<ClaimResult>(&*answer)) {
-    this->Replay(*recorded);
+    this->ReplayRecordedAnswer(*recorded);
     return;
   }
   this->grant = std::get<ClaimGrant>(*answer);
@@ -138,18 +141,18 @@
     this->Finish(Outcome::kNotRun, ErrorId::kConnectionLost);
     return;
   }
-  this->Offer();
+  this->SubmitFirst();
 }
 
-void GenerationSession::Replay(const ClaimResult& result) {
-  const absl::StatusOr<RecordedAnswer> recorded = ReadRecordedAnswer(result);
+void GenerationSession::ReplayRecordedAnswer(const ClaimResult& result) {
+  const absl::StatusOr<RecordedAnswer> recorded = DecodeRecordedAnswer(result);
   if (!recorded.ok()) {
     this->Fail(recorded.status());
     return;
   }
   LogLine line("replay");
   line.Add("request", this->start.request)
-      .Add("workspace", this->start.terms.workspace)
+      .Add("workspace", this->start.parameters.workspace)
       .Add("original", recorded->request)
       .Write();
   if (!recorded->text.empty()) {
@@ -161,17 +164,17 @@
   this->Finish(Outcome::kNone, ErrorId::kInternal);
 }
 
-// Only called where nothing was sent or the engine definitely rejected it, and
-// nothing will be sent under this claim any more.
+// Call this only if nothing was sent or the engine definitely rejected the
+// request, and nothing more will be sent under this claim.
 void GenerationSession::ReleaseClaim() {
   if (this->grant.has_value()) {
     const ClaimGrant released = *std::exchange(this->grant, std::nullopt);
-    this->parts.claims.Release(released,
-                               LogClaimFailure("release", this->start.request));
+    this->deps.claims.Release(released,
+                              LogClaimFailure("release", this->start.request));
   }
 }
 
-void GenerationSession::RecordResult(const AnswerUsage& usage) {
+void GenerationSession::RecordResult(const TokenUsage& usage) {
   if (!this->grant.has_value()) {
     return;
   }
@@ -182,8 +185,8 @@
   recorded.text = this->caller->Text();
   recorded.text_is_whole = this->caller->TextIsWhole();
   const std::string request = this->start.request;
-  this->parts.claims.RecordResult(
-      *std::exchange(this->grant, std::nullopt), WriteRecordedAnswer(recorded),
+  this->deps.claims.RecordResult(
+      *std::exchange(this->grant, std::nullopt), EncodeRecordedAnswer(recorded),
       [request](const absl::Status& status) {
         LogLine line("result-recorded");
         line.Add("request", request)
@@ -196,42 +199,42 @@
 // Placing and sending
 ////////////////////////
 
-// 0: none.
+// Returns 0 if the request has no deadline.
 std::int64_t GenerationSession::DeadlineUnixMs() const {
-  return this->start.terms.deadline_ms > 0
-             ? this->start.arrived_ms + this->start.terms.deadline_ms
+  return this->start.parameters.deadline_ms > 0
+             ? this->start.arrived_ms + this->start.parameters.deadline_ms
              : 0;
 }
 
-WorkItem GenerationSession::MakeWork() const {
+WorkItem GenerationSession::MakeWorkItem() const {
   WorkItem work;
   work.request = this->start.request;
-  work.workspace = this->start.terms.workspace;
-  work.template_name = this->start.terms.template_name;
-  work.model = this->start.terms.model.model;
-  work.adapter = this->start.terms.model.adapter;
-  work.version = this->start.terms.model.version;
-  work.prompt_tokens = EstimateTokens(this->start.asked.prompt);
-  work.max_output_tokens = this->start.terms.max_output_tokens;
+  work.workspace = this->start.parameters.workspace;
+  work.template_name = this->start.parameters.template_name;
+  work.model = this->start.parameters.model.model;
+  work.adapter = this->start.parameters.model.adapter;
+  work.version = this->start.parameters.model.version;
+  work.prompt_tokens = EstimateTokens(this->start.caller_request.prompt);
+  work.max_output_tokens = this->start.parameters.max_output_tokens;
   work.arrived_ms = this->start.arrived_ms;
   work.deadline_ms = this->DeadlineUnixMs();
-  work.urgency = this->start.terms.urgency;
-  work.prefix_hash = PrefixHash(this->start.asked.prompt);
+  work.urgency = this->start.parameters.urgency;
+  work.prefix_hash = PrefixHash(this->start.caller_request.prompt);
   return work;
 }
 
-void GenerationSession::Offer() {
-  this->parts.retries.NoteFirstAttempt();
-  this->OfferAgain();
+void GenerationSession::SubmitFirst() {
+  this->deps.retries.NoteFirstAttempt();
+  this->SubmitToDispatcher();
 }
 
-void GenerationSession::OfferAgain() {
-  if (this->EndsInQuarantine()) {
+void GenerationSession::SubmitToDispatcher() {
+  if (this->FailIfQuarantined()) {
     return;
   }
   this->phase = SessionPhase::kQueued;
-  const DispatchResult answer = this->parts.dispatcher.Offer(
-      this->MakeWork(), this->parts.clock.WallMs(), this->parts.random());
+  const DispatchResult answer = this->deps.dispatcher.Offer(
+      this->MakeWorkItem(), this->deps.clock.WallMs(), this->deps.random());
   switch (answer.verdict) {
     case AdmissionVerdict::kAdmitted:
       this->SendNow(answer.decision);
@@ -239,8 +242,8 @@
     case AdmissionVerdict::kQueued: {
       LogLine line("queue");
       line.Add("request", this->start.request)
-          .Add("workspace", this->start.terms.workspace)
-          .Add("urgency", UrgencyName(this->start.terms.urgency))
+          .Add("workspace", this->start.parameters.workspace)
+          .Add("urgency", UrgencyName(this->start.parameters.urgency))
           .Add("why", DecisionReasonName(answer.decision.reason))
           .Write();
       return;
@@ -251,46 +254,50 @@
   }
 }
 
-// Between two attempts too: engines may have ended under the first ones.
-bool GenerationSession::EndsInQuarantine() {
-  const auto lasts_ms = this->guarded.QuarantinedForMs();
-  if (!lasts_ms.has_value()) {
+// Checked before every attempt, since engines may have crashed during the
+// previous ones.
+bool GenerationSession::FailIfQuarantined() {
+  const auto remaining_ms = this->guarded.QuarantinedForMs();
+  if (!remaining_ms.has_value()) {
     return false;
   }
-  const bool may_have_run = this->earlier != Outcome::kNotRun;
+  const bool may_have_run = this->earlier_outcome != Outcome::kNotRun;
   if (!may_have_run) {
     this->ReleaseClaim();
   }
-  this->Fail(QuarantinedError(*lasts_ms, may_have_run));
+  this->Fail(QuarantinedError(*remaining_ms, may_have_run));
   return true;
 }
 
 void GenerationSession::EndIfQuarantined(const CrashRecordId& quarantined) {
-  const bool is_waiting = this->phase == SessionPhase::kQueued ||
-                          this->phase == SessionPhase::kSending;
-  if (!is_waiting || this->resumed || !this->guarded.HasContent(quarantined)) {
+  const bool awaits_engine = this->phase == SessionPhase::kQueued ||
+                             this->phase == SessionPhase::kSending;
+  if (!awaits_engine || this->resumed ||
+      !this->guarded.HasContent(quarantined)) {
     return;
   }
   if (this->phase == SessionPhase::kQueued) {
-    this->parts.dispatcher.Cancel(this->start.request);
+    this->deps.dispatcher.Cancel(this->start.request);
   } else {
-    this->earlier = Outcome::kUnknown;
+    this->earlier_outcome = Outcome::kUnknown;
   }
-  this->EndsInQuarantine();
+  this->FailIfQuarantined();
 }
 
-std::optional<ServerInstance> GenerationSession::UnannouncedEngine() const {
-  const EngineView* const view = this->parts.fleet.Find(this->engine.engine);
-  // Of an answer that is read on for another host the prompt is not known here.
+std::optional<ServerInstance> GenerationSession::EngineIfNotLeaving() const {
+  const EngineView* const view = this->deps.fleet.Find(this->engine.engine);
+  // The prompt of a resumed answer is not known here, so a crash can't be
+  // attributed to its content.
   if (this->resumed || view == nullptr || view->leaving) {
     return std::nullopt;
   }
   const std::string& url = this->engine.base_url;
-  const std::size_t scheme = url.find(kSchemeEnd);
-  return ServerInstance{EngineStartKey(this->engine.engine, this->engine_start),
-                        scheme == std::string::npos
-                            ? url
-                            : url.substr(scheme + kSchemeEnd.size())};
+  const std::size_t scheme = url.find(kSchemeSeparator);
+  return ServerInstance{
+      EngineStartKey(this->engine.engine, this->engine_incarnation),
+      scheme == std::string::npos
+          ? url
+          : url.substr(scheme + kSchemeSeparator.size())};
 }
 
 void GenerationSession::GiveUp(RefusalReason reason,
@@ -309,22 +316,22 @@
 }
 
 void GenerationSession::SendNow(const Decision& decision) {
-  this->noted_in_fleet = true;
+  this->tracked_in_fleet = true;
   this->Send(decision);
 }
 
 void GenerationSession::LogRoute(const Decision& decision) const {
   LogLine line("route");
   line.Add("request", this->start.request)
-      .Add("workspace", this->start.terms.workspace)
-      .Add("template", this->start.terms.template_name)
-      .Add("template_version", this->start.terms.template_version)
+      .Add("workspace", this->start.parameters.workspace)
+      .Add("template", this->start.parameters.template_name)
+      .Add("template_version", this->start.parameters.template_version)
       .Add("attempt", this->attempts)
       .Add("engine", decision.engine.value_or(""))
       .Add("why", DecisionReasonName(decision.reason));
   std::string candidates;
   const std::size_t shown =
-      std::min(kLoggedCandidates, decision.considered.size());
+      std::min(kMaxLoggedCandidates, decision.considered.size());
   for (std::size_t i = 0; i < shown; ++i) {
     const Candidate& candidate = decision.considered[i];
     absl::StrAppend(&candidates, i == 0 ? "" : ",", candidate.engine, ":",
@@ -337,37 +344,38 @@
   ++this->attempts;
   this->LogRoute(decision);
   const std::optional<EngineAddress> address =
-      this->parts.directory.AddressOf(*decision.engine);
+      this->deps.directory.AddressOf(*decision.engine);
   if (!address.has_value()) {
-    this->RetryElsewhere(AttemptFailure::kUnreachable,
-                         this->ErrorOf(ErrorId::kNoEngine, Outcome::kNotRun,
-                                       "send", "the engine has no address"),
-                         Outcome::kNotRun);
+    this->OnAttemptFailed(
+        AttemptFailure::kUnreachable,
+        this->EngineError(ErrorId::kNoEngine, Outcome::kNotRun, "send",
+                          "the engine has no address"),
+        Outcome::kNotRun);
     return;
   }
   this->engine = *address;
-  // A claimer that was paused since its claim looks once more: past its
-  // deadline the caller has been told something else.
+  // Checked again in case this process was suspended after it got the claim:
+  // once the deadline has passed, the caller may have got another outcome.
   if (this->grant.has_value() &&
-      !this->grant->MaySend(this->parts.clock.WallMs())) {
+      !this->grant->MaySend(this->deps.clock.WallMs())) {
     this->GiveUp(RefusalReason::kDeadlinePassed, 0);
     return;
   }
-  const EngineView* const view = this->parts.fleet.Find(this->engine.engine);
-  this->engine_start = view == nullptr ? "" : view->incarnation;
+  const EngineView* const view = this->deps.fleet.Find(this->engine.engine);
+  this->engine_incarnation = view == nullptr ? "" : view->incarnation;
   this->phase = SessionPhase::kSending;
   this->assembler = StreamAssembler();
   GenerationRequest request;
   request.attempt = absl::StrCat(this->start.request, ".", this->attempts);
-  request.workspace = this->start.terms.workspace;
-  request.model = this->start.terms.model;
-  request.prompt = this->start.asked.prompt;
-  request.max_tokens = this->start.terms.max_output_tokens;
+  request.workspace = this->start.parameters.workspace;
+  request.model = this->start.parameters.model;
+  request.prompt = this->start.caller_request.prompt;
+  request.max_tokens = this->start.parameters.max_output_tokens;
   request.priority = decision.priority;
   request.deadline_unix_ms = this->DeadlineUnixMs();
-  request.orphan_timeout_ms = this->parts.options.orphan_timeout_ms;
+  request.orphan_timeout_ms = this->deps.options.orphan_timeout_ms;
   this->RetireStream();
-  this->stream = this->parts.engines.Start(this->engine, request, *this);
+  this->stream = this->deps.engines.Start(this->engine, request, *this);
 }
 
 }  // namespace meadowthread
--- a/src/gateway/generation_session.h
+++ b/src/gateway/generation_session.h
@@ -17,81 +17,84 @@
 
 namespace meadowthread {
 
-/// @brief Where a session is.
+/// @brief State of a session.
 enum class SessionPhase {
   kClaiming,
   kQueued,
-  kSending,    ///< sent; no generation named yet
-  kStreaming,  ///< a generation is pinned
+  kSending,    ///< sent to an engine, which has not yet named a generation
+  kStreaming,  ///< bound to one generation
   kEnded,
 };
 
 /// @brief The phase's name in logs.
 std::string_view SessionPhaseName(SessionPhase phase);
 
-/// @brief Names one start of an engine in the quarantine's records.
+/// @brief Key of one incarnation of an engine in quarantine records.
 std::string EngineStartKey(std::string_view engine,
                            std::string_view incarnation);
 
-/// @brief What is known of a request when its session begins.
+/// @brief Inputs of a new session.
 struct SessionStart {
   std::string request;  ///< its id
-  std::string caller;   ///< a digest of the caller's key
+  std::string caller;   ///< CallerIdentity::caller
   std::string idempotency_key;
   Hash256 body_digest{};
-  CallerRequest asked;
-  ServiceTerms terms;
+  CallerRequest caller_request;
+  GenerationParameters parameters;
   std::int64_t arrived_ms = 0;       ///< Unix time
-  std::int64_t expected_tokens = 0;  ///< as counted against the limits
+  std::int64_t expected_tokens = 0;  ///< counted against the workspace's limits
 };
 
-/// @brief One caller's generation, from claim to its one outcome.
+/// @brief Runs one caller's generation, from its claim on the idempotency key
+/// to its final outcome.
 class GenerationSession final : public GenerationSink {
  public:
-  GenerationSession(const SessionParts& parts, const SessionStart& start,
+  GenerationSession(const SessionParts& deps, const SessionStart& start,
                     std::unique_ptr<CallerStream> caller);
   ~GenerationSession() override;
   GenerationSession(const GenerationSession&) = delete;
   GenerationSession& operator=(const GenerationSession&) = delete;
 
   ///////////////
-  // Beginnings
+  // Starting
   ///////////////
 
-  /// @brief Begins a new request.
+  /// @brief Starts a new request.
   void Begin();
 
-  /// @brief Goes on with an answer that another host may have begun.
-  /// @param[in] from the first index that the caller lacks
+  /// @brief Resumes an answer that may have been started by another host.
+  /// @param[in] from index of the first token that the caller does not have
   void BeginResumed(const ResumeTokenClaims& claims, std::int64_t from);
 
   ////////////////////////////////
-  // What others decide about it
+  // Called by the gateway
   ////////////////////////////////
 
-  /// @brief The queue let it go: send to the engine chosen.
+  /// @brief Sends the request to the engine that the dispatcher chose.
   void SendNow(const Decision& decision);
 
-  /// @brief The queue gave it up.
+  /// @brief Fails the request because the dispatcher refused it or dropped it
+  /// from the queue.
   void GiveUp(RefusalReason reason, std::int64_t retry_after_ms);
 
-  /// @brief A content is in quarantine now: ends if it is this one's and no
+  /// @brief Ends the request if it has the newly quarantined content and no
   /// engine has begun to answer it.
   void EndIfQuarantined(const CrashRecordId& quarantined);
 
-  /// @brief Called now and then: keep-alive, slow callers.
+  /// @brief Periodic work: sends keep-alives, disconnects a caller that is too
+  /// slow.
   void Tick();
 
-  /// @brief Cuts the caller off so that it resumes at another host, if it can.
-  /// @return whether it was cut
-  bool HandOver();
+  /// @brief Disconnects the caller if it can resume at another host.
+  /// @return whether it was disconnected
+  bool DisconnectForResume();
 
   const std::string& Request() const { return this->start.request; }
   SessionPhase Phase() const { return this->phase; }
   std::int64_t TokensDelivered() const { return this->caller->Delivered(); }
 
   /////////////////////////////
-  // From the engine's stream
+  // Events of the engine's stream
   /////////////////////////////
 
   void OnGenerationStarted(const std::string& generation) override;
@@ -106,73 +109,73 @@
   // Claiming
   void Claim();
   void OnClaimed(const absl::StatusOr<ClaimAnswer>& answer);
-  void Replay(const ClaimResult& result);
+  void ReplayRecordedAnswer(const ClaimResult& result);
   void ReleaseClaim();
-  void RecordResult(const AnswerUsage& usage);
+  void RecordResult(const TokenUsage& usage);
 
   // Placing and sending
-  void Offer();
-  void OfferAgain();
+  void SubmitFirst();
+  void SubmitToDispatcher();
   void Send(const Decision& decision);
   void LogRoute(const Decision& decision) const;
-  WorkItem MakeWork() const;
+  WorkItem MakeWorkItem() const;
   std::int64_t DeadlineUnixMs() const;
 
-  // The quarantine
-  bool EndsInQuarantine();
-  std::optional<ServerInstance> UnannouncedEngine() const;
+  // Quarantine
+  bool FailIfQuarantined();
+  std::optional<ServerInstance> EngineIfNotLeaving() const;
 
-  // Failing and trying again
-  void RetryElsewhere(AttemptFailure failure, const absl::Status& cause,
-                      Outcome outcome);
-  void SendAgain(const absl::Status& cause, Outcome outcome);
+  // Failures and retries
+  void OnAttemptFailed(AttemptFailure failure, const absl::Status& cause,
+                       Outcome outcome);
+  void RetryOrFail(const absl::Status& cause, Outcome outcome);
   void ResumeSoon(const absl::Status& cause);
   void ResumeStream();
   void AfterGenerationLost(const absl::Status& cause);
 
   // Delivering
-  void Apply(AssemblerAction verdict);
+  void Apply(AssemblerAction action);
   void DeliverReady();
-  void NoteTokenTimes(std::size_t count);
+  void RecordTokenTimes(std::size_t count);
   void Complete();
 
   // Ending
   void OnCallerGone();
   void Fail(const absl::Status& status);
-  void EndPolicy(StreamEnd end);
+  void ReportEndToFleet(StreamEnd end);
   void Finish(Outcome outcome, ErrorId error);
   void RetireStream();
   void CancelGeneration();
   ResumeTokenClaims MakeResumeClaims() const;
-  absl::Status ErrorOf(ErrorId id, Outcome outcome, std::string_view step,
-                       std::string_view what) const;
-  bool MayRunAgain() const;
-  absl::Status Truthful(const absl::Status& status) const;
+  absl::Status EngineError(ErrorId id, Outcome outcome, std::string_view step,
+                           std::string_view what) const;
+  bool MayStartNewGeneration() const;
+  absl::Status WithEarlierOutcome(const absl::Status& status) const;
 
-  SessionParts parts;
+  SessionParts deps;
   SessionStart start;
   GuardedRun guarded;
   std::unique_ptr<CallerStream> caller;
   SessionPhase phase = SessionPhase::kClaiming;
   std::optional<ClaimGrant> grant;
   EngineAddress engine;
-  std::string engine_start;  ///< its incarnation when it was sent there
+  std::string engine_incarnation;  ///< of `engine`, at the time of sending
   std::unique_ptr<EngineStream> stream;
   std::vector<std::unique_ptr<EngineStream>> retired;
   StreamAssembler assembler;
   Lifetime life;
-  /// The worst that is known of attempts which failed: a later one that has
-  /// certainly not run takes nothing of it back.
-  Outcome earlier = Outcome::kNotRun;
+  /// Worst outcome of the failed attempts so far. A later attempt that
+  /// certainly did not run does not change it.
+  Outcome earlier_outcome = Outcome::kNotRun;
   int attempts = 0;
-  int resumes = 0;  ///< since the last token
+  int resumes_since_token = 0;
   std::int64_t first_token_ms = -1;
   std::int64_t last_token_ms = 0;
   std::int64_t longest_gap_ms = 0;
-  std::int64_t last_sign_ms = 0;     ///< of anything sent to the caller
+  std::int64_t last_sent_ms = 0;     ///< time of the last output
   std::int64_t paused_since_ms = 0;  ///< 0: not paused
-  bool noted_in_fleet = false;
-  bool resumed = false;  ///< begun elsewhere: the policy did not place it here
+  bool tracked_in_fleet = false;
+  bool resumed = false;  ///< started by another session, which placed it
   bool caller_gone = false;
 };
 
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -4,9 +4,10 @@
 #include "absl/strings/str_cat.h"
 #include "base/log_line.h"
 #include "gateway/generation_session.h"
-#include "gateway/work_estimate.h"
+#include "gateway/prompt_estimate.h"
 
-// What follows once an engine answers: delivering, failing, ending.
+// The part of GenerationSession that handles an engine's response: delivery,
+// failures and retries, ending.
 
 namespace meadowthread {
 namespace {
@@ -14,7 +15,7 @@
 constexpr std::int64_t kResumeDelayMs = 50;
 constexpr std::int64_t kMsPerSecond = 1000;
 
-AttemptFailure FailureOf(const StreamClose& close) {
+AttemptFailure ClassifyFailure(const StreamClose& close) {
   if (close.rejected) {
     return close.reason == "full" ? AttemptFailure::kEngineFull
                                   : AttemptFailure::kEngineLeaving;
@@ -30,7 +31,7 @@
 }  // namespace
 
 /////////////////////////////
-// From the engine's stream
+// Events of the engine's stream
 /////////////////////////////
 
 void GenerationSession::OnGenerationStarted(const std::string& generation) {
@@ -40,7 +41,7 @@
   }
   this->phase = SessionPhase::kStreaming;
   this->caller->SetResumeToken(
-      this->parts.tokens.Sign(this->MakeResumeClaims()));
+      this->deps.tokens.Sign(this->MakeResumeClaims()));
 }
 
 void GenerationSession::OnToken(const TokenEvent& token) {
@@ -56,19 +57,19 @@
   if (generation != this->assembler.Generation()) {
     return;
   }
-  this->AfterGenerationLost(this->ErrorOf(
+  this->AfterGenerationLost(this->EngineError(
       ErrorId::kGenerationLost, Outcome::kInterrupted, "stream", reason));
 }
 
-// The caller came back at another host, which reads the generation now. To
-// read it again from here would take it away from there.
+// The caller resumed at another host, which now reads the generation. Reading
+// it from here again would interrupt that host's stream.
 void GenerationSession::OnReplaced(const std::string& generation) {
   if (generation != this->assembler.Generation()) {
     return;
   }
   this->RetireStream();
-  this->caller->Cut();
-  this->EndPolicy(StreamEnd::kCut);
+  this->caller->Disconnect();
+  this->ReportEndToFleet(StreamEnd::kCut);
   this->Finish(Outcome::kNone, ErrorId::kInternal);
 }
 
@@ -81,19 +82,20 @@
                     this->phase == SessionPhase::kStreaming});
   absl::Status cause = close.status;
   if (cause.ok()) {
-    cause = this->ErrorOf(
+    cause = this->EngineError(
         close.rejected ? ErrorId::kRejectedByPeer : ErrorId::kConnectionLost,
         verdict.outcome, "stream",
-        close.rejected ? close.reason : "the stream ended before its end");
+        close.rejected ? close.reason
+                       : "the stream closed before the generation finished");
   }
   if (close.may_have_left && !close.rejected) {
-    this->guarded.NoteCut(this->UnannouncedEngine(),
+    this->guarded.NoteCut(this->EngineIfNotLeaving(),
                           this->assembler.NextIndex() == 0);
   }
-  const AttemptFailure failure = FailureOf(close);
+  const AttemptFailure failure = ClassifyFailure(close);
   if (IsEngineFault(failure)) {
-    this->parts.fleet.EngineStalled(this->engine.engine,
-                                    this->parts.clock.WallMs());
+    this->deps.fleet.EngineStalled(this->engine.engine,
+                                   this->deps.clock.WallMs());
   }
   if (this->phase == SessionPhase::kStreaming) {
     if (verdict.may_resume) {
@@ -103,15 +105,15 @@
     }
     return;
   }
-  this->RetryElsewhere(failure, cause, verdict.outcome);
+  this->OnAttemptFailed(failure, cause, verdict.outcome);
 }
 
 ///////////////
 // Delivering
 ///////////////
 
-void GenerationSession::Apply(AssemblerAction verdict) {
-  switch (verdict) {
+void GenerationSession::Apply(AssemblerAction action) {
+  switch (action) {
     case AssemblerAction::kContinue:
       return;
     case AssemblerAction::kDeliver:
@@ -119,14 +121,14 @@
       return;
     case AssemblerAction::kResume:
       this->DeliverReady();
-      this->ResumeSoon(this->ErrorOf(ErrorId::kPeerMalformed,
-                                     Outcome::kInterrupted, "stream",
-                                     "tokens are missing"));
+      this->ResumeSoon(this->EngineError(ErrorId::kPeerMalformed,
+                                         Outcome::kInterrupted, "stream",
+                                         "tokens are missing"));
       return;
     case AssemblerAction::kOtherGeneration:
       this->AfterGenerationLost(
-          this->ErrorOf(ErrorId::kGenerationLost, Outcome::kInterrupted,
-                        "stream", "the engine streams another generation"));
+          this->EngineError(ErrorId::kGenerationLost, Outcome::kInterrupted,
+                            "stream", "the engine streams another generation"));
       return;
     case AssemblerAction::kComplete:
       this->DeliverReady();
@@ -142,44 +144,44 @@
   if (tokens.empty()) {
     return;
   }
-  this->resumes = 0;
-  this->NoteTokenTimes(tokens.size());
+  this->resumes_since_token = 0;
+  this->RecordTokenTimes(tokens.size());
   if (!this->caller->Deliver(tokens)) {
     this->CancelGeneration();
-    this->EndPolicy(StreamEnd::kCut);
-    this->Fail(this->ErrorOf(ErrorId::kBodyTooLarge, Outcome::kInterrupted,
-                             "deliver",
-                             "the answer is longer than a host may hold"));
+    this->ReportEndToFleet(StreamEnd::kCut);
+    this->Fail(this->EngineError(
+        ErrorId::kBodyTooLarge, Outcome::kInterrupted, "deliver",
+        "the answer exceeds the size limit for buffered answers"));
     return;
   }
-  if (this->noted_in_fleet) {
-    this->parts.fleet.NoteTokens(this->start.request,
-                                 this->assembler.NextIndex(),
-                                 this->parts.clock.WallMs());
+  if (this->tracked_in_fleet) {
+    this->deps.fleet.NoteTokens(this->start.request,
+                                this->assembler.NextIndex(),
+                                this->deps.clock.WallMs());
   }
   if (this->caller->IsSlow() && this->paused_since_ms == 0 &&
       this->stream != nullptr) {
-    this->paused_since_ms = this->parts.clock.MonotonicMs();
+    this->paused_since_ms = this->deps.clock.MonotonicMs();
     this->stream->SetPaused(true);
   }
 }
 
-void GenerationSession::NoteTokenTimes(std::size_t count) {
-  const std::int64_t now = this->parts.clock.MonotonicMs();
+void GenerationSession::RecordTokenTimes(std::size_t count) {
+  const std::int64_t now = this->deps.clock.MonotonicMs();
   if (this->first_token_ms < 0) {
-    this->first_token_ms = this->parts.clock.WallMs() - this->start.arrived_ms;
+    this->first_token_ms = this->deps.clock.WallMs() - this->start.arrived_ms;
   } else {
     const std::int64_t gap = now - this->last_token_ms;
     this->longest_gap_ms = std::max(this->longest_gap_ms, gap);
-    this->parts.observer->OnTokenGap(gap / static_cast<std::int64_t>(count));
+    this->deps.observer->OnTokenGap(gap / static_cast<std::int64_t>(count));
   }
   this->last_token_ms = now;
-  this->last_sign_ms = now;
+  this->last_sent_ms = now;
 }
 
 void GenerationSession::Complete() {
-  AnswerUsage usage;
-  usage.prompt_tokens = EstimateTokens(this->start.asked.prompt);
+  TokenUsage usage;
+  usage.prompt_tokens = EstimateTokens(this->start.caller_request.prompt);
   usage.completion_tokens = this->assembler.NextIndex();
   if (!this->resumed) {
     this->guarded.NoteCompleted();
@@ -187,19 +189,19 @@
   this->RetireStream();
   this->RecordResult(usage);
   this->caller->Complete(this->assembler.FinishReason(), usage);
-  this->EndPolicy(StreamEnd::kComplete);
+  this->ReportEndToFleet(StreamEnd::kComplete);
   this->Finish(Outcome::kNone, ErrorId::kInternal);
 }
 
 /////////////////////////////
-// Failing and trying again
+// Failures and retries
 /////////////////////////////
 
-// No generation is known of the attempt that just failed.
-void GenerationSession::RetryElsewhere(AttemptFailure failure,
-                                       const absl::Status& cause,
-                                       Outcome outcome) {
-  this->EndPolicy(StreamEnd::kCut);
+// For an attempt that failed before the engine named a generation.
+void GenerationSession::OnAttemptFailed(AttemptFailure failure,
+                                        const absl::Status& cause,
+                                        Outcome outcome) {
+  this->ReportEndToFleet(StreamEnd::kCut);
   this->RetireStream();
   LogLine line("attempt-failed");
   line.Add("request", this->start.request)
@@ -211,20 +213,21 @@
       .Add("why", std::string{cause.message()})
       .Write();
   if (outcome == Outcome::kUnknown) {
-    this->earlier = Outcome::kUnknown;
+    this->earlier_outcome = Outcome::kUnknown;
   }
-  if (outcome == Outcome::kUnknown && this->start.terms.at_most_once) {
+  if (outcome == Outcome::kUnknown && this->start.parameters.at_most_once) {
     this->Fail(WithOutcome(cause, Outcome::kUnknown));
     return;
   }
-  this->SendAgain(cause, outcome);
+  this->RetryOrFail(cause, outcome);
 }
 
-// Allowed where the last attempt has certainly not run, or may be repeated.
-void GenerationSession::SendAgain(const absl::Status& cause, Outcome outcome) {
-  const std::int64_t now = this->parts.clock.WallMs();
-  const RetryDecision answer = this->parts.retries.Ask(
-      {this->attempts, this->DeadlineUnixMs()}, now, this->parts.random());
+// Call this only if the last attempt certainly did not run or may be repeated.
+void GenerationSession::RetryOrFail(const absl::Status& cause,
+                                    Outcome outcome) {
+  const std::int64_t now = this->deps.clock.WallMs();
+  const RetryDecision answer = this->deps.retries.Ask(
+      {this->attempts, this->DeadlineUnixMs()}, now, this->deps.random());
   if (answer.verdict != RetryVerdict::kRetry || this->caller_gone) {
     LogLine line("retry-refused");
     line.Add("request", this->start.request)
@@ -237,31 +240,31 @@
     return;
   }
   this->phase = SessionPhase::kQueued;
-  this->parts.scheduler.After(answer.backoff_ms, this->life.Guarded([this] {
-    // Through the queue: where no engine is left just now, it waits its
-    // turn until its deadline.
+  this->deps.scheduler.After(answer.backoff_ms, this->life.Guarded([this] {
+    // Goes through the queue again: if no engine is available now, the request
+    // waits there until its deadline.
     if (this->phase == SessionPhase::kQueued) {
-      this->OfferAgain();
+      this->SubmitToDispatcher();
     }
   }));
 }
 
 void GenerationSession::ResumeSoon(const absl::Status& cause) {
   this->RetireStream();
-  if (++this->resumes > this->parts.options.max_resumes) {
+  if (++this->resumes_since_token > this->deps.options.max_resumes) {
     this->AfterGenerationLost(cause);
     return;
   }
-  const std::int64_t delay = kResumeDelayMs << (this->resumes - 1);
+  const std::int64_t delay = kResumeDelayMs << (this->resumes_since_token - 1);
   LogLine("read-on")
       .Add("request", this->start.request)
       .Add("engine", this->engine.engine)
       .Add("from", this->assembler.NextIndex())
-      .Add("tries", this->resumes)
+      .Add("tries", this->resumes_since_token)
       .Add("in_ms", delay)
       .Add("why", std::string{cause.message()})
       .WriteImportant();
-  this->parts.scheduler.After(delay, this->life.Guarded([this] {
+  this->deps.scheduler.After(delay, this->life.Guarded([this] {
     if (this->phase == SessionPhase::kStreaming && this->stream == nullptr) {
       this->ResumeStream();
     }
@@ -271,29 +274,30 @@
 void GenerationSession::ResumeStream() {
   this->paused_since_ms = 0;
   this->stream =
-      this->parts.engines.Resume(this->engine, this->assembler.Generation(),
-                                 this->assembler.NextIndex(), *this);
+      this->deps.engines.Resume(this->engine, this->assembler.Generation(),
+                                this->assembler.NextIndex(), *this);
 }
 
-// Nothing more will come of the pinned generation. A second one may take its
-// place only while nothing of the first was delivered.
+// No more tokens will come from the current generation. A new one may replace
+// it only if none of its tokens were delivered.
 void GenerationSession::AfterGenerationLost(const absl::Status& cause) {
-  // It may go on where only our way to it is broken; the answer ends here.
+  // The generation may still be running if only the connection to its engine
+  // failed, so cancel it.
   this->CancelGeneration();
-  this->EndPolicy(StreamEnd::kCut);
+  this->ReportEndToFleet(StreamEnd::kCut);
   this->RetireStream();
-  if (this->MayRunAgain()) {
-    this->earlier = Outcome::kInterrupted;
-    this->caller->DropHeld();
+  if (this->MayStartNewGeneration()) {
+    this->earlier_outcome = Outcome::kInterrupted;
+    this->caller->DiscardHeldTokens();
     this->caller->SetResumeToken("");
-    this->SendAgain(cause, Outcome::kInterrupted);
+    this->RetryOrFail(cause, Outcome::kInterrupted);
     return;
   }
   this->Fail(WithOutcome(cause, Outcome::kInterrupted));
 }
 
-bool GenerationSession::MayRunAgain() const {
-  return !this->resumed && !this->start.terms.at_most_once &&
+bool GenerationSession::MayStartNewGeneration() const {
+  return !this->resumed && !this->start.parameters.at_most_once &&
          this->caller->MayStartOver();
 }
 
@@ -301,27 +305,28 @@
 // Ending
 ///////////
 
-// A streamed answer may be resumed at another host, so the engine goes on
-// until its orphan timeout; an answer that nobody can come back for is
-// cancelled; one that may not be repeated runs on, so that a retry gets it.
+// A streamed answer can be resumed at another host, so its generation keeps
+// running until the engine's orphan timeout. A generation that can't be resumed
+// is cancelled. One that must run at most once keeps running, so that a retry
+// gets its recorded answer.
 void GenerationSession::OnCallerGone() {
   if (this->phase == SessionPhase::kEnded) {
     return;
   }
   this->caller_gone = true;
   if (this->phase == SessionPhase::kQueued) {
-    this->parts.dispatcher.Cancel(this->start.request);
+    this->deps.dispatcher.Cancel(this->start.request);
     this->ReleaseClaim();
     this->Finish(Outcome::kNotRun, ErrorId::kConnectionLost);
     return;
   }
-  if (this->start.terms.at_most_once) {
+  if (this->start.parameters.at_most_once) {
     return;
   }
   if (!this->caller->CanResume()) {
     this->CancelGeneration();
   }
-  this->EndPolicy(StreamEnd::kCut);
+  this->ReportEndToFleet(StreamEnd::kCut);
   this->Finish(Outcome::kInterrupted, ErrorId::kConnectionLost);
 }
 
@@ -329,29 +334,29 @@
   if (this->phase == SessionPhase::kEnded) {
     return;
   }
-  const std::int64_t now = this->parts.clock.MonotonicMs();
+  const std::int64_t now = this->deps.clock.MonotonicMs();
   const bool too_slow =
       this->paused_since_ms != 0 &&
-      now - this->paused_since_ms > this->parts.options.slow_caller_timeout_ms;
+      now - this->paused_since_ms > this->deps.options.slow_caller_timeout_ms;
   if (too_slow) {
-    this->caller->Cut();
+    this->caller->Disconnect();
     this->OnCallerGone();
     return;
   }
-  if (now - this->last_sign_ms >= this->parts.options.keepalive_ms) {
-    this->last_sign_ms = now;
+  if (now - this->last_sent_ms >= this->deps.options.keepalive_ms) {
+    this->last_sent_ms = now;
     this->caller->KeepAlive();
   }
 }
 
-bool GenerationSession::HandOver() {
+bool GenerationSession::DisconnectForResume() {
   if (this->phase != SessionPhase::kStreaming ||
-      this->start.terms.at_most_once || !this->caller->CanResume()) {
+      this->start.parameters.at_most_once || !this->caller->CanResume()) {
     return false;
   }
   this->RetireStream();
-  this->caller->Cut();
-  this->EndPolicy(StreamEnd::kCut);
+  this->caller->Disconnect();
+  this->ReportEndToFleet(StreamEnd::kCut);
   this->Finish(Outcome::kNone, ErrorId::kInternal);
   return true;
 }
@@ -361,26 +366,28 @@
     return;
   }
   this->RetireStream();
-  this->EndPolicy(StreamEnd::kCut);
-  const absl::Status truth = this->Truthful(status);
+  this->ReportEndToFleet(StreamEnd::kCut);
+  const absl::Status truth = this->WithEarlierOutcome(status);
   const ErrorDetail detail = DetailOf(truth);
-  const bool safe =
-      detail.outcome == Outcome::kNotRun || !this->start.terms.at_most_once;
+  const bool safe = detail.outcome == Outcome::kNotRun ||
+                    !this->start.parameters.at_most_once;
   this->caller->Fail(truth, safe);
   this->Finish(detail.outcome, detail.id);
 }
 
-// "Not run" is said of the request, not of its last attempt.
-absl::Status GenerationSession::Truthful(const absl::Status& status) const {
+// "Not run" must hold for the whole request: an earlier attempt may have run
+// even if the last one did not.
+absl::Status GenerationSession::WithEarlierOutcome(
+    const absl::Status& status) const {
   const bool hides = DetailOf(status).outcome == Outcome::kNotRun &&
-                     this->earlier != Outcome::kNotRun;
-  return hides ? WithOutcome(status, this->earlier) : status;
+                     this->earlier_outcome != Outcome::kNotRun;
+  return hides ? WithOutcome(status, this->earlier_outcome) : status;
 }
 
-void GenerationSession::EndPolicy(StreamEnd end) {
-  if (std::exchange(this->noted_in_fleet, false)) {
-    this->parts.fleet.NoteEnded(this->start.request, end,
-                                this->parts.clock.WallMs());
+void GenerationSession::ReportEndToFleet(StreamEnd end) {
+  if (std::exchange(this->tracked_in_fleet, false)) {
+    this->deps.fleet.NoteEnded(this->start.request, end,
+                               this->deps.clock.WallMs());
   }
 }
 
@@ -392,18 +399,18 @@
   this->RetireStream();
   const std::int64_t tokens = this->assembler.NextIndex();
   if (!this->resumed) {
-    this->parts.limits.Ended(this->start.terms.workspace,
-                             this->start.expected_tokens,
-                             EstimateTokens(this->start.asked.prompt) + tokens);
+    this->deps.limits.Ended(
+        this->start.parameters.workspace, this->start.expected_tokens,
+        EstimateTokens(this->start.caller_request.prompt) + tokens);
   }
   SessionEnd end;
   end.request = this->start.request;
-  end.workspace = this->start.terms.workspace;
+  end.workspace = this->start.parameters.workspace;
   end.outcome = outcome;
   end.error = error;
   end.tokens = tokens;
   end.first_token_ms = this->first_token_ms;
-  end.total_ms = this->parts.clock.WallMs() - this->start.arrived_ms;
+  end.total_ms = this->deps.clock.WallMs() - this->start.arrived_ms;
   end.longest_gap_ms = this->longest_gap_ms;
   end.resumed = this->resumed;
   LogLine line("end");
@@ -419,11 +426,11 @@
       .Add("total_ms", end.total_ms)
       .Add("caller", this->caller_gone ? "gone" : "there")
       .Write();
-  this->parts.observer->OnSessionEnded(end);
+  this->deps.observer->OnSessionEnded(end);
 }
 
-// The stream may be calling us right now: it is closed and destroyed with the
-// session, or at the next retirement.
+// This may be called from within a callback of the stream, so the stream is
+// only closed here and is destroyed together with the session.
 void GenerationSession::RetireStream() {
   if (this->stream == nullptr) {
     return;
@@ -434,28 +441,28 @@
 
 void GenerationSession::CancelGeneration() {
   if (this->assembler.IsPinned()) {
-    this->parts.engines.Cancel(this->engine, this->assembler.Generation());
+    this->deps.engines.Cancel(this->engine, this->assembler.Generation());
   }
 }
 
 ResumeTokenClaims GenerationSession::MakeResumeClaims() const {
   ResumeTokenClaims claims;
   claims.request = this->start.request;
-  claims.workspace = this->start.terms.workspace;
+  claims.workspace = this->start.parameters.workspace;
   claims.caller = this->start.caller;
   claims.engine = this->engine;
   claims.generation = this->assembler.Generation();
-  claims.model = this->start.asked.model;
-  claims.form = this->start.asked.form;
+  claims.model = this->start.caller_request.model;
+  claims.form = this->start.caller_request.api;
   claims.created_unix_s = this->start.arrived_ms / kMsPerSecond;
   claims.expires_unix_ms =
-      this->parts.clock.WallMs() + this->parts.options.resume_expiry_ms;
+      this->deps.clock.WallMs() + this->deps.options.resume_expiry_ms;
   return claims;
 }
 
-absl::Status GenerationSession::ErrorOf(ErrorId id, Outcome outcome,
-                                        std::string_view step,
-                                        std::string_view what) const {
+absl::Status GenerationSession::EngineError(ErrorId id, Outcome outcome,
+                                            std::string_view step,
+                                            std::string_view what) const {
   ErrorDetail detail;
   detail.id = id;
   detail.outcome = outcome;
--- a/src/gateway/work_estimate.cc
+++ b/src/gateway/prompt_estimate.cc
@@ -1,11 +1,11 @@
-#include "gateway/work_estimate.h"
+#include "gateway/prompt_estimate.h"
 
 #include <xxhash.h>
 
 namespace meadowthread {
 namespace {
 
-// English and Spanish text comes to about four bytes a token.
+// English and Spanish text has about four bytes per token.
 constexpr std::int64_t kBytesPerToken = 4;
 constexpr std::size_t kPrefixBytes = 256;
 
--- a/src/gateway/recorded_answer.cc
+++ b/src/gateway/recorded_answer.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-absl::Status ReplayError(ErrorId id, std::string_view what) {
+absl::Status RecordedAnswerError(ErrorId id, std::string_view what) {
   ErrorDetail detail;
   detail.id = id;
   detail.outcome = Outcome::kUnknown;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-ClaimResult WriteRecordedAnswer(const RecordedAnswer& answer) {
+ClaimResult EncodeRecordedAnswer(const RecordedAnswer& answer) {
   const json body = {{"request", answer.request},
                      {"finish", answer.finish_reason},
                      {"prompt_tokens", answer.usage.prompt_tokens},
@@ -33,11 +33,11 @@
           body.dump(-1, ' ', false, json::error_handler_t::replace)};
 }
 
-absl::StatusOr<RecordedAnswer> ReadRecordedAnswer(const ClaimResult& result) {
+absl::StatusOr<RecordedAnswer> DecodeRecordedAnswer(const ClaimResult& result) {
   const json body = json::parse(result.body, nullptr, false);
   if (!body.is_object()) {
-    return ReplayError(ErrorId::kStoreMalformed,
-                       "the recorded answer cannot be read");
+    return RecordedAnswerError(ErrorId::kStoreMalformed,
+                               "the recorded answer cannot be read");
   }
   RecordedAnswer answer;
   answer.request = StringOr(body, "request", "");
@@ -47,7 +47,7 @@
   answer.text = StringOr(body, "text", "");
   answer.text_is_whole = body.value("whole", true);
   if (!answer.text_is_whole) {
-    return ReplayError(
+    return RecordedAnswerError(
         ErrorId::kClaimHeld,
         absl::StrCat("request ", answer.request, " ran to its end with ",
                      answer.usage.completion_tokens,
--- a/src/gateway/recorded_answer.h
+++ b/src/gateway/recorded_answer.h
@@ -5,26 +5,27 @@
 
 #include "absl/status/statusor.h"
 #include "claims/claim_types.h"
-#include "gateway/answer_format.h"
+#include "gateway/completion_formatter.h"
 
 namespace meadowthread {
 
-/// @brief A generation's answer as it is kept for retries with the same key.
+/// @brief A generation's answer, stored for retries with the same idempotency
+/// key.
 struct RecordedAnswer {
-  std::string request;  ///< the one that ran
+  std::string request;  ///< id of the request that ran
   std::string finish_reason;
-  AnswerUsage usage;
+  TokenUsage usage;
   std::string text;
-  bool text_is_whole = true;  ///< false: longer than what is kept
+  bool text_is_whole = true;  ///< false: too long to be stored
 };
 
-/// @brief The form in which the claim service keeps it.
-ClaimResult WriteRecordedAnswer(const RecordedAnswer& answer);
+/// @brief Encodes an answer for the claim service.
+ClaimResult EncodeRecordedAnswer(const RecordedAnswer& answer);
 
-/// @brief Reads it back.
-/// @return kClaimHeld (outcome unknown) where the text was too long to keep,
-/// kStoreMalformed where it cannot be read
-absl::StatusOr<RecordedAnswer> ReadRecordedAnswer(const ClaimResult& result);
+/// @brief Decodes an answer from the claim service.
+/// @return the answer; kClaimHeld (outcome unknown) if the text was too long to
+/// be stored; kStoreMalformed if the record is not a JSON object
+absl::StatusOr<RecordedAnswer> DecodeRecordedAnswer(const ClaimResult& result);
 
 }  // namespace meadowthread
 
--- a/src/gateway/service_backends.cc
+++ b/src/gateway/service_backends.cc
@@ -6,11 +6,11 @@
 
 ServiceBackends::ServiceBackends(HostDirectory& hosts, BackendList& backends)
     : hosts(hosts), backends(backends) {
-  hosts.AddListener([this] { this->Take(); });
+  hosts.AddListener([this] { this->UpdateBackends(); });
 }
 
-void ServiceBackends::Take() {
-  std::set<std::string> now;
+void ServiceBackends::UpdateBackends() {
+  std::set<std::string> current;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kBackend)) {
     BackendEntry entry;
     entry.id = host->name;
@@ -19,14 +19,14 @@
     entry.zone = host->zone;
     entry.leaving = host->leaving;
     this->backends.Set(entry);
-    now.insert(host->name);
+    current.insert(host->name);
   }
   for (const std::string& name : this->listed) {
-    if (!now.contains(name)) {
+    if (!current.contains(name)) {
       this->backends.Remove(name);
     }
   }
-  this->listed = std::move(now);
+  this->listed = std::move(current);
 }
 
 }  // namespace meadowthread
--- a/src/gateway/service_backends.h
+++ b/src/gateway/service_backends.h
@@ -9,17 +9,18 @@
 
 namespace meadowthread {
 
-/// @brief Tells the list of backend servers what the host list says of the
-/// plain services' servers.
+/// @brief Keeps the list of backend servers up to date with the plain services'
+/// servers in the host list.
 class ServiceBackends {
  public:
-  /// @param[in] hosts,backends outlive this, and this outlives what feeds hosts
+  /// @param[in] hosts,backends must outlive this object, which must outlive the
+  /// source of updates to `hosts`
   ServiceBackends(HostDirectory& hosts, BackendList& backends);
   ServiceBackends(const ServiceBackends&) = delete;
   ServiceBackends& operator=(const ServiceBackends&) = delete;
 
  private:
-  void Take();
+  void UpdateBackends();
 
   const HostDirectory& hosts;
   BackendList& backends;
--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -9,19 +9,20 @@
 #include "base/error.h"
 #include "base/log_line.h"
 #include "claims/claim_key.h"
-#include "gateway/claim_log.h"
+#include "gateway/claim_failure_log.h"
 #include "net/problem.h"
 
 namespace meadowthread {
 namespace {
 
-// A longer answer is not kept for retries: a claim's log holds many of them.
+// Longer answers are not recorded for retries, to keep the log of claims small:
+// it holds many answers.
 constexpr std::size_t kMaxRecordedBytes = std::size_t{512} * 1024;
-// Backend servers that one call may be sent to: the services of today have
-// three each.
+// Backend servers that one call may be sent to. Services currently
+// have three servers each.
 constexpr int kMaxAttempts = 3;
 
-// Methods that HTTP itself declares idempotent.
+// Methods that are idempotent by the HTTP specification.
 constexpr std::array<std::string_view, 5> kIdempotentMethods = {
     "GET", "HEAD", "OPTIONS", "PUT", "DELETE"};
 
@@ -30,15 +31,15 @@
                    method) != kIdempotentMethods.end();
 }
 
-std::string TargetOf(const ServiceCall& call) {
+std::string RequestTarget(const ServiceCall& call) {
   return absl::StrCat(call.path, call.query.empty() ? "" : "?", call.query);
 }
 
-RelayRequest RequestOf(const ServiceCall& call, std::int64_t begun_ms) {
+RelayRequest MakeRelayRequest(const ServiceCall& call, std::int64_t begun_ms) {
   RelayRequest request;
   request.id = call.request;
   request.method = call.method;
-  request.target = TargetOf(call);
+  request.target = RequestTarget(call);
   request.path = call.path;
   request.body = call.body;
   request.begun_ms = begun_ms;
@@ -51,7 +52,7 @@
   return request;
 }
 
-absl::Status KeyMissing() {
+absl::Status MissingKeyError() {
   ErrorDetail detail;
   detail.id = ErrorId::kIdempotencyKeyMissing;
   detail.outcome = Outcome::kNotRun;
@@ -64,35 +65,35 @@
 
 }  // namespace
 
-struct ServiceForwarder::Pending {
+struct ServiceForwarder::PendingCall {
   std::string id;
-  RelayRequest request;  ///< the session's from its begin on
+  RelayRequest request;  ///< moved into the session by Send()
   RelayTerms terms;
   std::unique_ptr<ResponseWriter> writer;
   std::function<void()> ended;
-  bool keyed = false;
+  bool needs_claim = false;
   std::optional<ClaimGrant> grant;
-  std::unique_ptr<CallSession> session;  ///< null until it may be sent
+  std::unique_ptr<CallSession> session;  ///< null until Send()
 };
 
-ServiceForwarder::ServiceForwarder(const ForwarderParts& parts)
-    : parts(parts) {}
+ServiceForwarder::ServiceForwarder(const ForwarderDependencies& deps)
+    : deps(deps) {}
 
 ServiceForwarder::~ServiceForwarder() = default;
 
 void ServiceForwarder::Forward(const ServiceCall& call,
                                std::unique_ptr<ResponseWriter> writer,
                                std::function<void()> ended) {
-  const CallRule rule = this->parts.catalog.RuleOf(call.workspace, call.service,
-                                                   call.method, call.path);
+  const CallRule rule = this->deps.catalog.RuleOf(call.workspace, call.service,
+                                                  call.method, call.path);
   const std::uint64_t number = ++this->last_number;
-  auto added = std::make_unique<Pending>();
+  auto added = std::make_unique<PendingCall>();
   added->id = call.request;
-  added->request = RequestOf(call, this->parts.relay.clock.MonotonicMs());
+  added->request = MakeRelayRequest(call, this->deps.relay.clock.MonotonicMs());
   added->terms.route = call.service;
   added->terms.service = call.service;
   added->terms.workspace = call.workspace;
-  added->terms.timeout_ms = this->parts.timeout_ms;
+  added->terms.timeout_ms = this->deps.timeout_ms;
   added->terms.max_attempts = kMaxAttempts;
   added->terms.rule = !rule.needs_key && IsIdempotent(call.method)
                           ? ExecutionRule::kRepeatable
@@ -100,18 +101,18 @@
   added->writer = std::move(writer);
   added->writer->OnClosed([this, number] { this->OnCallerGone(number); });
   added->ended = std::move(ended);
-  added->keyed = rule.needs_key;
+  added->needs_claim = rule.needs_key;
   this->pending.emplace(number, std::move(added));
   if (!rule.needs_key) {
     this->Send(number);
   } else if (call.idempotency_key.empty()) {
-    this->Fail(number, KeyMissing());
+    this->Fail(number, MissingKeyError());
   } else {
     this->Claim(number, call, rule.key_form);
   }
 }
 
-ServiceForwarder::Pending* ServiceForwarder::Find(std::uint64_t number) {
+ServiceForwarder::PendingCall* ServiceForwarder::Find(std::uint64_t number) {
   const auto found = this->pending.find(number);
   return found == this->pending.end() ? nullptr : found->second.get();
 }
@@ -130,8 +131,8 @@
       Sha256Of(absl::StrCat(call.method, "\n", call.service, "\n", call.path,
                             "\n", call.query, "\n", call.body));
   request.deadline_unix_ms =
-      this->parts.relay.clock.WallMs() + this->parts.timeout_ms;
-  this->parts.claims.Claim(
+      this->deps.relay.clock.WallMs() + this->deps.timeout_ms;
+  this->deps.claims.Claim(
       request, this->life.Guarded(
                    [this, number](const absl::StatusOr<ClaimAnswer>& answer) {
                      this->OnClaimed(number, answer);
@@ -140,7 +141,7 @@
 
 void ServiceForwarder::OnClaimed(std::uint64_t number,
                                  const absl::StatusOr<ClaimAnswer>& answer) {
-  Pending* const call = this->Find(number);
+  PendingCall* const call = this->Find(number);
   if (call == nullptr) {
     return;
   }
@@ -149,7 +150,7 @@
     return;
   }
   if (const auto* recorded = std::get_if<ClaimResult>(&*answer)) {
-    this->PassOn(number, *recorded);
+    this->SendResult(number, *recorded);
     return;
   }
   call->grant = std::get<ClaimGrant>(*answer);
@@ -162,9 +163,9 @@
 //////////////////////
 
 void ServiceForwarder::Send(std::uint64_t number) {
-  Pending& call = *this->Find(number);
+  PendingCall& call = *this->Find(number);
   call.session = std::make_unique<CallSession>(
-      this->parts.relay, std::move(call.request), call.terms,
+      this->deps.relay, std::move(call.request), call.terms,
       [this, number](const absl::StatusOr<HttpResponse>& result) {
         this->OnDone(number, result);
       });
@@ -173,12 +174,12 @@
 
 void ServiceForwarder::OnDone(std::uint64_t number,
                               const absl::StatusOr<HttpResponse>& result) {
-  Pending& call = *this->Find(number);
+  PendingCall& call = *this->Find(number);
   if (!result.ok()) {
     const Outcome outcome = DetailOf(result.status()).outcome;
     if (call.grant.has_value() && outcome == Outcome::kNotRun) {
-      this->parts.claims.Release(*call.grant,
-                                 LogClaimFailure("release", call.id));
+      this->deps.claims.Release(*call.grant,
+                                LogClaimFailure("release", call.id));
     }
     this->Fail(number, result.status());
     return;
@@ -187,26 +188,28 @@
       result->http_status,
       std::string(FindHeader(result->headers, "Content-Type")), result->body};
   if (call.grant.has_value() && answer.body.size() <= kMaxRecordedBytes) {
-    this->parts.claims.RecordResult(*call.grant, answer,
-                                    LogClaimFailure("record", call.id));
+    this->deps.claims.RecordResult(*call.grant, answer,
+                                   LogClaimFailure("record", call.id));
   }
-  this->PassOn(number, answer);
+  this->SendResult(number, answer);
 }
 
-// A call under a claim runs on, so that its caller's retry gets the result.
+// A call with a claim keeps running, so that the caller's retry gets the
+// result.
 void ServiceForwarder::OnCallerGone(std::uint64_t number) {
-  Pending* const call = this->Find(number);
-  if (call == nullptr || call->keyed) {
+  PendingCall* const call = this->Find(number);
+  if (call == nullptr || call->needs_claim) {
     return;
   }
   if (call->session != nullptr) {
     call->session->Abandon();
   }
-  this->Drop(number);
+  this->EndCall(number);
 }
 
-void ServiceForwarder::PassOn(std::uint64_t number, const ClaimResult& answer) {
-  Pending& call = *this->Find(number);
+void ServiceForwarder::SendResult(std::uint64_t number,
+                                  const ClaimResult& answer) {
+  PendingCall& call = *this->Find(number);
   WholeResponse response;
   response.http_status = answer.status;
   response.content_type = answer.content_type;
@@ -221,17 +224,17 @@
         .Add("status", answer.status)
         .Write();
   }
-  this->Drop(number);
+  this->EndCall(number);
 }
 
 void ServiceForwarder::Fail(std::uint64_t number, const absl::Status& status) {
-  Pending& call = *this->Find(number);
+  PendingCall& call = *this->Find(number);
   Problem problem;
   problem.status = status;
   problem.request = call.id;
   call.writer->SendWhole(ProblemResponse(problem));
   if (call.session == nullptr) {
-    // Never sent, so no session tells of it.
+    // Never sent, so no session has logged it.
     const ErrorDetail detail = DetailOf(status);
     LogLine("refused")
         .Add("request", call.id)
@@ -242,19 +245,19 @@
         .Add("step", detail.step)
         .WriteImportant();
   }
-  this->Drop(number);
+  this->EndCall(number);
 }
 
-void ServiceForwarder::Drop(std::uint64_t number) {
+void ServiceForwarder::EndCall(std::uint64_t number) {
   const auto found = this->pending.find(number);
-  const std::function<void()> told = std::move(found->second->ended);
-  if (this->over.empty()) {
-    this->parts.relay.scheduler.After(
-        0, this->life.Guarded([this] { this->over.clear(); }));
+  const std::function<void()> on_ended = std::move(found->second->ended);
+  if (this->finished.empty()) {
+    this->deps.relay.scheduler.After(
+        0, this->life.Guarded([this] { this->finished.clear(); }));
   }
-  this->over.push_back(std::move(found->second));
+  this->finished.push_back(std::move(found->second));
   this->pending.erase(found);
-  told();
+  on_ended();
 }
 
 }  // namespace meadowthread
--- a/src/gateway/service_forwarder.h
+++ b/src/gateway/service_forwarder.h
@@ -17,7 +17,7 @@
 
 namespace meadowthread {
 
-/// @brief One call of a plain service.
+/// @brief A call to a plain service.
 struct ServiceCall {
   std::string request;
   std::string workspace;
@@ -30,33 +30,33 @@
   std::string body;
 };
 
-/// @brief What the forwarder works with; all of it outlives the forwarder.
-struct ForwarderParts {
+/// @brief Dependencies of the forwarder; all must outlive it.
+struct ForwarderDependencies {
   RelayDependencies relay;
-  const ServiceCatalog& catalog;  ///< says which calls may not be repeated
+  const ServiceCatalog& catalog;  ///< tells which calls need a claim
   ClaimService& claims;
   std::int64_t timeout_ms = 30'000;
 };
 
-/// @brief Puts a claim around calls that may not be repeated, and sends all of
-/// them by the relay's sessions.
+/// @brief Forwards calls to plain services through the relay. Claims the
+/// idempotency key first for calls that may not be repeated.
 class ServiceForwarder {
  public:
-  explicit ServiceForwarder(const ForwarderParts& parts);
+  explicit ServiceForwarder(const ForwarderDependencies& deps);
   ~ServiceForwarder();
   ServiceForwarder(const ServiceForwarder&) = delete;
   ServiceForwarder& operator=(const ServiceForwarder&) = delete;
 
-  /// @brief Forwards a call and answers it through `writer`.
-  /// @param[in] ended called once the call is over
+  /// @brief Forwards a call and writes the response to `writer`.
+  /// @param[in] ended called once when the call has ended
   void Forward(const ServiceCall& call, std::unique_ptr<ResponseWriter> writer,
                std::function<void()> ended);
 
-  /// @brief Calls in progress.
+  /// @brief Number of calls in progress.
   int Running() const { return static_cast<int>(this->pending.size()); }
 
  private:
-  struct Pending;
+  struct PendingCall;
 
   void Claim(std::uint64_t number, const ServiceCall& call, KeyForm form);
   void OnClaimed(std::uint64_t number,
@@ -64,16 +64,17 @@
   void OnCallerGone(std::uint64_t number);
   void OnDone(std::uint64_t number, const absl::StatusOr<HttpResponse>& result);
   void Send(std::uint64_t number);
-  void PassOn(std::uint64_t number, const ClaimResult& answer);
+  void SendResult(std::uint64_t number, const ClaimResult& answer);
   void Fail(std::uint64_t number, const absl::Status& status);
-  void Drop(std::uint64_t number);
-  Pending* Find(std::uint64_t number);
+  void EndCall(std::uint64_t number);
+  PendingCall* Find(std::uint64_t number);
 
-  ForwarderParts parts;
+  ForwarderDependencies deps;
   std::uint64_t last_number = 0;
-  std::map<std::uint64_t, std::unique_ptr<Pending>> pending;
-  /// Over ones: their sessions' calls may still be on the stack.
-  std::vector<std::unique_ptr<Pending>> over;
+  std::map<std::uint64_t, std::unique_ptr<PendingCall>> pending;
+  /// Ended calls. They are destroyed from the event loop, since member
+  /// functions of their sessions may still be on the stack.
+  std::vector<std::unique_ptr<PendingCall>> finished;
   Lifetime life;
 };
 
--- a/src/gateway/service_wire.cc
+++ b/src/gateway/service_wire.cc
@@ -15,8 +15,8 @@
   return http;
 }
 
-// They have no way to say that they did not run a call, so nothing they answer
-// is taken for that.
+// The interface of plain servers has no response for "call not run", so every
+// response is taken to mean that the call ran.
 AnswerMeaning ServiceWire::Read(int /*http_status*/,
                                 std::span<const HttpHeader> /*headers*/) const {
   return AnswerMeaning::kRan;
--- a/src/gateway/service_wire.h
+++ b/src/gateway/service_wire.h
@@ -7,14 +7,14 @@
 
 namespace meadowthread {
 
-/// @brief Plain backend servers of our own interface (docs/INTERFACES.md): a
-/// call reaches them as its caller sent it, under the request's name.
+/// @brief Protocol of plain backend servers (docs/INTERFACES.md): calls are
+/// passed on as the caller sent them, with the request id as an extra header.
 class ServiceWire final : public BackendProtocol {
  public:
   HttpRequest RequestFor(const RelayRequest& request,
                          const SendTerms& terms) const override;
 
-  /// @brief Whatever such a server answers, it ran the call.
+  /// @brief Always AnswerMeaning::kRan, for any response.
   AnswerMeaning Read(int http_status,
                      std::span<const HttpHeader> headers) const override;
 };
--- a/src/gateway/session_parts.h
+++ b/src/gateway/session_parts.h
@@ -20,53 +20,53 @@
 
 namespace meadowthread {
 
-/// @brief Where engines are reached, by name.
+/// @brief Looks up the addresses of engines by name.
 class EngineDirectory {
  public:
   virtual ~EngineDirectory() = default;
 
-  /// @brief The engine's address; empty where the host list has none.
+  /// @brief The engine's address; nullopt if the host list has none.
   virtual std::optional<EngineAddress> AddressOf(
       std::string_view engine) const = 0;
 };
 
-/// @brief How one request ended, for counting.
+/// @brief Outcome and timing of an ended request, for metrics.
 struct SessionEnd {
   std::string request;
   std::string workspace;
-  Outcome outcome = Outcome::kNone;  ///< kNone: complete
+  Outcome outcome = Outcome::kNone;  ///< kNone: completed
   ErrorId error = ErrorId::kInternal;
   std::int64_t tokens = 0;
   std::int64_t first_token_ms = -1;  ///< since arrival; -1: none came
   std::int64_t total_ms = 0;
   std::int64_t longest_gap_ms = 0;  ///< between tokens
-  bool resumed = false;             ///< its work was begun by another session
+  bool resumed = false;             ///< started by another session
 };
 
-/// @brief Told what happens to sessions.
+/// @brief Observes the events of sessions.
 class SessionObserver {
  public:
   virtual ~SessionObserver() = default;
 
-  /// @brief A session ended and may be destroyed, but not from within.
+  /// @brief A session ended. It must not be destroyed from within this call.
   virtual void OnSessionEnded(const SessionEnd& end) = 0;
 
-  /// @brief Time from one token to the next, milliseconds.
+  /// @brief Reports the time between two tokens.
   virtual void OnTokenGap(std::int64_t gap_ms) = 0;
 };
 
-/// @brief Time limits and bounds of sessions.
+/// @brief Timeouts and limits of sessions.
 struct SessionOptions {
-  CallerLimits bounds;
+  DeliveryLimits bounds;
   std::int64_t keepalive_ms = 15'000;
   std::int64_t resume_expiry_ms = 600'000;
   std::int64_t orphan_timeout_ms = 30'000;
   std::int64_t slow_caller_timeout_ms = 60'000;
-  std::int64_t kept_result_bytes = std::int64_t{512} * 1024;
-  int max_resumes = 5;  ///< of one generation, without a token in between
+  std::int64_t recorded_text_limit_bytes = std::int64_t{512} * 1024;
+  int max_resumes = 5;  ///< consecutive attempts without a new token
 };
 
-/// @brief Everything a session works with; all of it outlives sessions.
+/// @brief Dependencies of a session; all must outlive it.
 struct SessionParts {
   const Clock& clock;
   Scheduler& scheduler;
@@ -84,15 +84,15 @@
   std::mt19937_64& random;
 };
 
-/// @brief What a request is to be done with, from its template.
-struct ServiceTerms {
+/// @brief How a generation is to be run, from its workspace's service template.
+struct GenerationParameters {
   std::string workspace;
   std::string template_name;
   std::int64_t template_version = 0;
   ServedModel model;
   Urgency urgency = Urgency::kNormal;
   std::int64_t max_output_tokens = 0;
-  std::int64_t deadline_ms = 0;  ///< for the first byte sent to an engine
+  std::int64_t deadline_ms = 0;  ///< from arrival to sending to an engine
   bool whole_delivery = false;
   bool at_most_once = false;
   KeyForm key_form = KeyForm::kTimed;
--- a/src/gateway/tests/caller_request_test.cc
+++ b/src/gateway/tests/caller_request_test.cc
@@ -9,11 +9,11 @@
 namespace meadowthread {
 namespace {
 
-std::string FieldOf(CompletionApi form, const char* body) {
-  return DetailOf(ParseCallerRequest(form, body).status()).field;
+std::string FieldOf(CompletionApi api, const char* body) {
+  return DetailOf(ParseCallerRequest(api, body).status()).field;
 }
 
-Test(a_callers_body, of_the_convention_is_read) {
+Test(parse_caller_request, accepts_chat_completion_body) {
   const auto request = ParseCallerRequest(
       CompletionApi::kChat,
       R"({"model":"m","stream":true,"max_tokens":9,"temperature":0.2,
@@ -25,7 +25,7 @@
   cr_assert(request->max_tokens == 9);
 }
 
-Test(a_callers_body, that_is_wrong_is_refused_naming_the_field) {
+Test(parse_caller_request, names_the_invalid_field) {
   const CompletionApi chat = CompletionApi::kChat;
   const CompletionApi plain = CompletionApi::kCompletion;
   cr_assert(FieldOf(plain, R"({"prompt":"x"})") == "model");
@@ -40,14 +40,14 @@
             "messages[0].content");
 }
 
-Test(a_callers_body, that_is_no_json_object_is_refused) {
+Test(parse_caller_request, rejects_body_that_is_not_a_json_object) {
   for (const char* body : {"", "[]", "{", "\xff\xfe", "null", "7"}) {
     const auto request = ParseCallerRequest(CompletionApi::kChat, body);
     cr_assert(DetailOf(request.status()).id == ErrorId::kMalformedRequest);
   }
 }
 
-Test(a_problem, carries_code_outcome_step_peer_and_when_to_come_back) {
+Test(problem_response, has_code_outcome_step_peer_and_retry_after) {
   ErrorDetail detail;
   detail.id = ErrorId::kOverloaded;
   detail.outcome = Outcome::kNotRun;
--- a/src/gateway/tests/service_backends_test.cc
+++ b/src/gateway/tests/service_backends_test.cc
@@ -1,4 +1,5 @@
-// Plain backend servers of our own interface, as the relay's calls see them.
+// Host list updates of plain backend servers, and the protocol used to call
+// them.
 #include "gateway/service_backends.h"
 
 #include <criterion/criterion.h>
@@ -19,46 +20,46 @@
   return entry;
 }
 
-struct Story {
+struct BackendFeedFixture {
   ManualClock clock{1'000};
   ManualScheduler scheduler{&this->clock};
   HostDirectory hosts;
-  NoEntryGracePeriod lapses;
-  BackendList backends{this->clock, this->scheduler, this->lapses};
+  NoEntryGracePeriod grace_period;
+  BackendList backends{this->clock, this->scheduler, this->grace_period};
   ServiceBackends feed{this->hosts, this->backends};
 };
 
-Test(a_plain_server, is_used_while_the_host_list_has_it) {
-  Story story;
-  story.hosts.Apply({1, {Server("b-1"), Server("b-2")}});
-  cr_assert(story.backends.Usable("rounds").size() == 2);
-  cr_assert(story.backends.Find("b-1")->entry.address == "10.0.0.1:80");
-  story.hosts.Apply({2, {Server("b-2")}});
-  cr_assert(story.backends.Usable("rounds").size() == 1);
-  cr_assert(story.backends.Usable("rounds")[0]->entry.id == "b-2");
+Test(service_backends, follow_the_host_list) {
+  BackendFeedFixture fixture;
+  fixture.hosts.Apply({1, {Server("b-1"), Server("b-2")}});
+  cr_assert(fixture.backends.Usable("rounds").size() == 2);
+  cr_assert(fixture.backends.Find("b-1")->entry.address == "10.0.0.1:80");
+  fixture.hosts.Apply({2, {Server("b-2")}});
+  cr_assert(fixture.backends.Usable("rounds").size() == 1);
+  cr_assert(fixture.backends.Usable("rounds")[0]->entry.id == "b-2");
 }
 
-Test(a_plain_server, that_leaves_gets_nothing_new_and_may_come_back) {
-  Story story;
+Test(service_backends, skip_leaving_server_until_it_is_live_again) {
+  BackendFeedFixture fixture;
   HostEntry leaving = Server("b-1");
   leaving.leaving = true;
-  story.hosts.Apply({1, {leaving}});
-  cr_assert(story.backends.Usable("rounds").empty());
-  story.hosts.Apply({2, {Server("b-1")}});
-  cr_assert(story.backends.Usable("rounds").size() == 1);
+  fixture.hosts.Apply({1, {leaving}});
+  cr_assert(fixture.backends.Usable("rounds").empty());
+  fixture.hosts.Apply({2, {Server("b-1")}});
+  cr_assert(fixture.backends.Usable("rounds").size() == 1);
 }
 
-Test(an_engine_or_entry_host, is_no_plain_server) {
-  Story story;
+Test(service_backends, ignore_engines_and_entry_hosts) {
+  BackendFeedFixture fixture;
   HostEntry engine = Server("e-1");
   engine.role = HostRole::kEngine;
   HostEntry entry = Server("h-1");
   entry.role = HostRole::kEntry;
-  story.hosts.Apply({1, {engine, entry}});
-  cr_assert(story.backends.Count() == 0);
+  fixture.hosts.Apply({1, {engine, entry}});
+  cr_assert(fixture.backends.Count() == 0);
 }
 
-Test(a_call_to_a_plain_server, keeps_its_target_and_names_its_request) {
+Test(service_wire, keeps_target_and_headers_and_adds_request_id) {
   RelayRequest request;
   request.id = "r-1";
   request.method = "POST";
@@ -72,7 +73,7 @@
   cr_assert(FindHeader(sent.headers, "Idempotency-Key") == "k");
 }
 
-Test(an_answer_of_a_plain_server, never_says_that_it_did_not_run) {
+Test(service_wire, takes_every_response_as_call_ran) {
   for (const int status : {200, 421, 429, 503}) {
     cr_assert(ServiceWire().Read(status, {}) == AnswerMeaning::kRan);
   }
--- a/src/gateway/work_gate.h
+++ b/src/gateway/work_gate.h
@@ -7,19 +7,23 @@
 
 namespace meadowthread {
 
-/// @brief Whether this host may take new work.
+/// @brief Decides whether this host may accept new work, and counts running
+/// work.
 class WorkGate {
  public:
   virtual ~WorkGate() = default;
 
-  /// @brief OK, or why this host takes nothing new (not run).
+  /// @brief Returns OK, or the reason why this host accepts no new work (with
+  /// Outcome::kNotRun).
   virtual absl::Status MayTakeWork() const = 0;
 
-  /// @brief Counts a piece of work in, or says why this half does not serve
-  /// the workspace (not run); one step, so that no hand-over comes between.
+  /// @brief Registers a piece of work, or returns the reason why this
+  /// deployment does not serve the workspace (with Outcome::kNotRun). Check and
+  /// registration are one step, so that the workspace can't move to the other
+  /// deployment in between.
   virtual absl::Status BeginWork(std::string_view workspace) = 0;
 
-  /// @brief A piece of work that BeginWork let in has ended.
+  /// @brief Reports the end of a piece of work that BeginWork accepted.
   virtual void EndWork(std::string_view workspace) = 0;
 };
 
