--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -18,8 +18,8 @@
 // Longer answers are not recorded for retries, to keep the log of claims small:
 // it holds many answers.
 constexpr std::size_t kMaxRecordedBytes = std::size_t{512} * 1024;
-// Backend servers that one call may be sent to. Services currently
-// have three servers each.
+// Backend servers that one call may be sent to. Services currently have three
+// servers each.
 constexpr int kMaxAttempts = 3;
 
 // Methods that are idempotent by the HTTP specification.
