--- a/src/exchange/bench/bench_runs.h
+++ b/src/exchange/bench/bench_runs.h
@@ -5,22 +5,24 @@
 
 namespace meadowthread::bench {
 
-/// @brief Time until every live host knows a change, in virtual time, by how
-/// versions travel; hosts and frozen thirds vary. Prints CSV.
-/// @param[in] trials changes for each row
+/// @brief Measures the time until every live host knows a change, in virtual
+/// time, for several ways of propagation, fleet sizes and a third of the hosts
+/// frozen or not. Prints CSV.
+/// @param[in] trials number of changes for each row
 void RunConsistency(int trials);
 
-/// @brief Bytes and processor time against hosts, items and changes, and memory
-/// against items, in virtual time with real messages. Prints CSV.
-/// @param[in] seconds of virtual time for each row
+/// @brief Measures bytes and CPU time by hosts, items and changes, and memory
+/// by items, in virtual time with real messages. Prints CSV.
+/// @param[in] seconds virtual time for each row
 void RunCost(int seconds);
 
-/// @brief Time and bytes until a restarted host knows all that its peers know,
-/// in virtual time with real messages. Prints CSV.
+/// @brief Measures time and bytes until a restarted host has caught up with
+/// peers, in virtual time with real messages. Prints CSV.
 void RunRestart();
 
-/// @brief Hosts on real sockets over loopback: processor time a call, and with
-/// a relay between them the bytes of TCP payload a call. Prints CSV.
+/// @brief Runs hosts on real sockets over loopback and measures CPU time per
+/// call, and with a proxy between them the TCP payload bytes per call. Prints
+/// CSV.
 void RunWire(int hosts, int seconds, int items, bool with_relay);
 
 }  // namespace meadowthread::bench
--- a/src/exchange/bench/consistency.cc
+++ b/src/exchange/bench/consistency.cc
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t kWarmUpMs = 30 * kSecondMs;
 constexpr std::int64_t kBetweenMs = 3 * kSecondMs;
-constexpr std::int64_t kMostMs = 60 * kSecondMs;
+constexpr std::int64_t kMaxWaitMs = 60 * kSecondMs;
 constexpr std::uint64_t kSeed = 11;
 
 enum class Frozen { kNone, kThirdLongAgo, kThirdJustNow };
@@ -28,7 +28,7 @@
   return "";
 }
 
-/// One way for versions to travel.
+/// A combination of settings for propagating changes.
 struct Variant {
   const char* name;
   bool push_to_behind;
@@ -70,8 +70,8 @@
     }
     const StoredObject mark = fake::ObjectOf(kMarksKind, "pasig-4", trial);
     const std::int64_t start_ms = fleet->clock.MonotonicMs();
-    fleet->At(draw(random)).Read(mark);
-    fleet->RunUntilHeld(first, mark, kMostMs);
+    fleet->At(draw(random)).ReceiveFromStore(mark);
+    fleet->RunUntilHeld(first, mark, kMaxWaitMs);
     times.push_back(fleet->clock.MonotonicMs() - start_ms);
     if (frozen == Frozen::kThirdJustNow) {
       ThawAll(fleet);
--- a/src/exchange/bench/cost.cc
+++ b/src/exchange/bench/cost.cc
@@ -12,7 +12,7 @@
 constexpr double kMeanChanges = 35000.0 / 86400.0;
 constexpr double kBurstChanges = 10.0;
 constexpr std::int64_t kWarmUpMs = 20 * kSecondMs;
-constexpr std::int64_t kMostMs = 300 * kSecondMs;
+constexpr std::int64_t kMaxWaitMs = 300 * kSecondMs;
 constexpr std::uint64_t kSeed = 17;
 
 StoredObject TemplateOf(int item, std::int64_t version) {
@@ -32,7 +32,7 @@
   }
 }
 
-/// Gives as many notes as are wanted, as a busy host does.
+/// Provides the maximum number of load notes, as a busy host does.
 class BusyHost final : public LoadSource, public LoadSink {
  public:
   std::vector<EngineLoadNote> NotesFor(std::string_view /*peer*/,
@@ -48,7 +48,7 @@
                std::span<const EngineLoadNote> /*notes*/) override {}
 };
 
-/// One row: a fleet, what it holds and how fast that changes.
+/// Parameters of a row: fleet size, number of objects and rate of changes.
 struct Row {
   int hosts;
   int items;
@@ -65,7 +65,7 @@
         static_cast<double>(kSecondMs * change) / row.changes_per_s);
     fleet->Run(start_ms + due_ms - fleet->clock.MonotonicMs());
     last = TemplateOf(1 + change % row.items, row.items + 1 + change);
-    fleet->At(change % fleet->Size()).Read(last);
+    fleet->At(change % fleet->Size()).ReceiveFromStore(last);
   }
   fleet->Run(start_ms + seconds * kSecondMs - fleet->clock.MonotonicMs());
   return last;
@@ -89,7 +89,7 @@
   const FleetTotals after = TotalsOf(&fleet);
   const std::size_t heap = HeapBytes() - heap_before;
   const std::int64_t end_ms = fleet.clock.MonotonicMs();
-  const bool is_held = fleet.RunUntilHeld(0, last, kMostMs);
+  const bool is_held = fleet.RunUntilHeld(0, last, kMaxWaitMs);
   const double host_seconds = static_cast<double>(row.hosts) * seconds;
   const auto calls = static_cast<double>(after.calls - before.calls);
   std::printf(
@@ -117,7 +117,7 @@
   const std::int64_t start_ms = fleet.clock.MonotonicMs();
   const bool has_all = fleet.RunUntil(
       [&fleet] { return fleet.At(kRestarted).exchanger.HasCaughtUp(); },
-      kMostMs);
+      kMaxWaitMs);
   std::printf("%d,%d,%ld,%.1f,%ld\n", hosts, items,
               has_all ? static_cast<long>(fleet.clock.MonotonicMs() -  // NOLINT
                                           start_ms)
--- a/src/exchange/bench/exchange_bench.cc
+++ b/src/exchange/bench/exchange_bench.cc
@@ -1,4 +1,5 @@
-// What the exchange between hosts costs and how fast it is; not judged in CI.
+// Benchmarks of the cost and speed of the exchange between hosts. CI does not
+// check the results.
 #include <tclap/CmdLine.h>
 
 #include <cstdio>
--- a/src/exchange/bench/fleets.h
+++ b/src/exchange/bench/fleets.h
@@ -14,7 +14,7 @@
 inline constexpr std::int64_t kNearMs = 1;
 inline constexpr std::int64_t kFarMs = 60;
 
-/// @brief Zones and regions as a fleet of this size has them.
+/// @brief Typical numbers of zones and regions for a fleet of this size.
 inline fake::FleetShape ShapeOf(int hosts) {
   if (hosts <= 9) {
     return {hosts, 3, 1};
@@ -26,7 +26,7 @@
                       : fake::FleetShape{hosts, 16, 7};
 }
 
-/// @brief Fixed delays by region.
+/// @brief Sets kNearMs within a region and kFarMs between regions.
 inline void SetDelays(fake::FakeFleet* fleet, const fake::FleetShape& shape) {
   const auto region_of = [shape](const std::string& host) {
     return std::stoi(host.substr(host.find('-') + 1)) % shape.zones %
@@ -37,15 +37,15 @@
   });
 }
 
-/// @brief Processor time of this process, in microseconds.
+/// @brief CPU time of this process, in microseconds.
 inline double ProcessorMicros() {
   return static_cast<double>(std::clock()) * 1e6 / CLOCKS_PER_SEC;
 }
 
-/// @brief Sums over all hosts of a fleet.
+/// @brief Totals over all hosts of a fleet.
 struct FleetTotals {
   std::int64_t calls = 0;
-  std::int64_t bytes = 0;  ///< bodies and what HTTP adds
+  std::int64_t bytes = 0;  ///< bodies and protocol headers
   std::int64_t body_bytes = 0;
   std::int64_t failures = 0;
 };
--- a/src/exchange/bench/wire.cc
+++ b/src/exchange/bench/wire.cc
@@ -24,10 +24,10 @@
 constexpr int kMsPerSecond = 1000;
 constexpr std::array<std::string_view, 2> kKinds = {kMarksKind, kTemplatesKind};
 
-/// Passes connections on to a host and counts what goes through.
-class Relay final : public QTcpServer {
+/// TCP proxy to a host that counts connections and bytes.
+class CountingProxy final : public QTcpServer {
  public:
-  explicit Relay(std::uint16_t target) : target_port(target) {
+  explicit CountingProxy(std::uint16_t target) : target_port(target) {
     QObject::connect(this, &QTcpServer::newConnection, this,
                      [this] { this->Accept(); });
     this->listen(QHostAddress::LocalHost, 0);
@@ -61,7 +61,7 @@
   std::int64_t connections = 0;
 };
 
-/// One host with the whole exchange on sockets.
+/// One host with the real exchange over TCP.
 class WireHost {
  public:
   WireHost(int number, const SystemClock& clock, QtScheduler& scheduler)
@@ -105,12 +105,12 @@
   return micros(usage.ru_utime) + micros(usage.ru_stime);
 }
 
-/// All hosts in this process.
+/// The hosts, all in this process.
 struct WireFleet {
   SystemClock clock;
   QtScheduler scheduler;
   std::vector<std::unique_ptr<WireHost>> hosts;
-  std::vector<std::unique_ptr<Relay>> relays;
+  std::vector<std::unique_ptr<CountingProxy>> proxies;
 };
 
 void Build(WireFleet* fleet, int hosts, int items, bool with_relay) {
@@ -128,8 +128,8 @@
     host.view.ApplyList(kTemplatesKind, 0, all, {});
     std::uint16_t port = host.port;
     if (with_relay) {
-      fleet->relays.push_back(std::make_unique<Relay>(port));
-      port = fleet->relays.back()->serverPort();
+      fleet->proxies.push_back(std::make_unique<CountingProxy>(port));
+      port = fleet->proxies.back()->serverPort();
     }
     entries.push_back(host.Entry(number, port));
   }
@@ -166,9 +166,9 @@
   }
   std::int64_t wire_bytes = 0;
   std::int64_t connections = 0;
-  for (const auto& relay : fleet.relays) {
-    wire_bytes += relay->Bytes();
-    connections += relay->Connections();
+  for (const auto& proxy : fleet.proxies) {
+    wire_bytes += proxy->Bytes();
+    connections += proxy->Connections();
   }
   const auto per_call = [calls](auto total) {
     return static_cast<double>(total) / static_cast<double>(calls);
@@ -177,7 +177,7 @@
       "hosts,items,seconds,relay,calls,failures,cpu_us_a_call,"
       "cpu_percent_a_host,body_bytes_a_call,payload_bytes_a_call,"
       "connections_a_call\n");
-  // Each body is counted where it is sent and where it comes.
+  // Each body is counted by the sender and by the receiver, hence the half.
   std::printf("%d,%d,%d,%d,%ld,%ld,%.0f,%.3f,%.0f,%.0f,%.3f\n", hosts, items,
               seconds, with_relay ? 1 : 0, static_cast<long>(calls),  // NOLINT
               static_cast<long>(failures), per_call(micros),          // NOLINT
--- a/src/exchange/blocking_rpc_client.cc
+++ b/src/exchange/blocking_rpc_client.cc
@@ -24,13 +24,13 @@
 
 RpcResult FromException(const jsonrpc::JsonRpcException& error) {
   if (error.GetCode() == jsonrpc::Errors::ERROR_CLIENT_CONNECTOR) {
-    return {RpcEnd::kLost, "", error.GetMessage()};
+    return {RpcOutcome::kConnectionLost, "", error.GetMessage()};
   }
   if (error.GetCode() == jsonrpc::Errors::ERROR_CLIENT_INVALID_RESPONSE ||
       error.GetCode() == jsonrpc::Errors::ERROR_RPC_JSON_PARSE_ERROR) {
-    return {RpcEnd::kMalformed, "", error.GetMessage()};
+    return {RpcOutcome::kMalformed, "", error.GetMessage()};
   }
-  return {RpcEnd::kRefused, Write(error.GetData()), error.GetMessage()};
+  return {RpcOutcome::kPeerError, Write(error.GetData()), error.GetMessage()};
 }
 
 }  // namespace
@@ -49,23 +49,23 @@
 RpcResult BlockingRpcClient::Call(const std::string& url,
                                   const std::string& method,
                                   const std::string& params,
-                                  std::int64_t limit_ms) {
-  this->state->connector.SetTarget(url, limit_ms);
+                                  std::int64_t timeout_ms) {
+  this->state->connector.SetTarget(url, timeout_ms);
   try {
     Json::Value value;
     if (!Parse(params, &value)) {
-      return {RpcEnd::kMalformed, "", "the parameters are not JSON"};
+      return {RpcOutcome::kMalformed, "", "the parameters are not JSON"};
     }
-    return {RpcEnd::kAnswered,
+    return {RpcOutcome::kResult,
             Write(this->state->client.CallMethod(method, value)), ""};
   } catch (const jsonrpc::JsonRpcException& error) {
     if (this->state->connector.TimedOut()) {
-      return {RpcEnd::kSilent, "", error.GetMessage()};
+      return {RpcOutcome::kTimedOut, "", error.GetMessage()};
     }
     return FromException(error);
   } catch (const std::exception& error) {
     // jsoncpp throws on values nested too deeply.
-    return {RpcEnd::kMalformed, "", error.what()};
+    return {RpcOutcome::kMalformed, "", error.what()};
   }
 }
 
--- a/src/exchange/blocking_rpc_client.h
+++ b/src/exchange/blocking_rpc_client.h
@@ -5,30 +5,31 @@
 #include <memory>
 #include <string>
 
-// This header is read by C++14 and by C++20 sources.
+// This header is included by C++14 and by C++20 sources.
 namespace meadowthread {
 namespace detail {
 
 /// @brief How a blocking call ended.
-enum class RpcEnd {
-  kAnswered,   ///< `text` is the result
-  kRefused,    ///< the peer answered an error; `text` is the error's data
-  kLost,       ///< no connection, or it broke
-  kSilent,     ///< the time limit passed
-  kMalformed,  ///< the peer answered something else
+enum class RpcOutcome {
+  kResult,          ///< `text` is the result
+  kPeerError,       ///< the peer returned an error; `text` is its `data`
+  kConnectionLost,  ///< no connection, or it broke
+  kTimedOut,        ///< no response within the timeout
+  kMalformed,       ///< the response, or the parameters, could not be parsed
 };
 
-/// @brief What a blocking call gave.
+/// @brief Result of a blocking call.
 struct RpcResult {
-  RpcEnd end;
+  RpcOutcome outcome;
   std::string text;     ///< JSON text
-  std::string message;  ///< what happened, for a person
+  std::string message;  ///< human-readable description of a failure
 };
 
-/// @brief libjsonrpccpp's client, apart from sources that need a newer C++.
+/// @brief Wraps libjsonrpccpp's client, whose headers need C++14, for sources
+/// in newer C++.
 ///
-/// Each call blocks its thread; one object serves one thread. Connections to
-/// the latest few peers are kept open.
+/// Each call blocks its thread, and an object must be used by one thread only.
+/// Connections to the most recent few peers are kept open.
 class BlockingRpcClient {
  public:
   BlockingRpcClient();
@@ -36,12 +37,12 @@
   BlockingRpcClient(const BlockingRpcClient&) = delete;
   BlockingRpcClient& operator=(const BlockingRpcClient&) = delete;
 
-  /// @brief Calls a method and waits for its answer.
+  /// @brief Calls a method and waits for the response.
   /// @param[in] url of the peer
   /// @param[in] params JSON text of an object
-  /// @param[in] limit_ms the longest wait, above 0
+  /// @param[in] timeout_ms above 0
   RpcResult Call(const std::string& url, const std::string& method,
-                 const std::string& params, std::int64_t limit_ms);
+                 const std::string& params, std::int64_t timeout_ms);
 
  private:
   struct State;
--- a/src/exchange/byte_budget.cc
+++ b/src/exchange/byte_budget.cc
@@ -31,7 +31,7 @@
   const std::int64_t now_ms = this->clock.MonotonicMs();
   const std::int64_t added =
       (now_ms - this->refilled_ms) * this->bytes_per_second / kMsPerSecond;
-  // Time too short for a whole byte counts at the next call.
+  // Time that yields less than one byte is carried over to the next call.
   if (added == 0) {
     return;
   }
--- a/src/exchange/byte_budget.h
+++ b/src/exchange/byte_budget.h
@@ -7,19 +7,19 @@
 
 namespace meadowthread {
 
-/// @brief A token bucket of bytes that may run into debt: what a peer sends
-/// is spent before it can be refused.
+/// @brief A token bucket of bytes whose balance may become negative, as bytes
+/// that a peer sends have been used before they can be refused.
 class ByteBudget {
  public:
-  /// @param[in] bytes_per_second refill
-  /// @param[in] burst_bytes most that is saved up; full at the start
+  /// @param[in] bytes_per_second refill rate
+  /// @param[in] burst_bytes capacity; the bucket starts full
   /// @param[in] clock outlives this
   ByteBudget(std::int64_t bytes_per_second, std::int64_t burst_bytes,
              const Clock& clock);
 
   void Spend(std::int64_t bytes);
 
-  /// @brief Bytes that may be spent now; negative while in debt.
+  /// @brief Bytes that may be spent now; negative after overspending.
   std::int64_t Available();
 
   std::int64_t Burst() const { return this->burst_bytes; }
--- a/src/exchange/datagrams.cc
+++ b/src/exchange/datagrams.cc
@@ -11,22 +11,26 @@
 
 using nlohmann::json;
 
-// What IP and UDP add to each datagram.
+// IP and UDP headers of a datagram.
 constexpr std::int64_t kHeaderBytes = 28;
-// Twice the longest that hosts send. The codec takes a frame of the stack for
-// each byte that opens one more array, so a longer one could use the stack up.
-constexpr qint64 kMostDatagramBytes = 8'192;
+// Twice the longest datagram that hosts send. The CBOR decoder uses a stack
+// frame for each nested array, which takes only one byte to open, so a longer
+// datagram could overflow the stack.
+constexpr qint64 kMaxDatagramBytes = 8'192;
 constexpr std::size_t kFields = 3;
 constexpr double kMsPerSecond = 1000.0;
-// Bytes saved up for a moment in which much changes at once, in seconds' worth.
+// Largest burst, in seconds of the send rate, for moments in which much changes
+// at once.
 constexpr double kBurstSeconds = 2.0;
 
 absl::Status Malformed() {
   ErrorDetail detail;
   detail.id = ErrorId::kPeerMalformed;
   detail.step = "read-datagram";
-  return MakeError(absl::StatusCode::kInvalidArgument, detail,
-                   "the datagram is none of this product's");
+  return MakeError(
+      absl::StatusCode::kInvalidArgument, detail,
+      "the datagram is too long or not a CBOR array of topic, host and "
+      "payload");
 }
 
 QHostAddress AddressOf(std::string_view text) {
@@ -43,15 +47,15 @@
 }
 
 absl::StatusOr<Datagram> DecodeDatagram(std::string_view bytes) {
-  if (bytes.size() > static_cast<std::size_t>(kMostDatagramBytes)) {
+  if (bytes.size() > static_cast<std::size_t>(kMaxDatagramBytes)) {
     return Malformed();
   }
   json value;
   try {
     value = json::from_cbor(bytes, true, false);
   } catch (const json::exception&) {
-    // Asked not to throw, the codec does so all the same where an array claims
-    // to be longer than memory.
+    // Despite allow_exceptions = false, from_cbor throws where an array
+    // declares a length that exceeds memory.
     return Malformed();
   }
   const bool fits = value.is_array() && value.size() == kFields &&
@@ -86,13 +90,13 @@
                      this->socket.errorString().toStdString());
   }
   QObject::connect(&this->socket, &QUdpSocket::readyRead, &this->socket,
-                   [this] { this->Take(); });
+                   [this] { this->ReceivePending(); });
   return absl::OkStatus();
 }
 
-void DatagramHub::SetPeers(std::span<const DatagramPeer> with) {
+void DatagramHub::SetPeers(std::span<const DatagramPeer> new_peers) {
   this->peers.clear();
-  for (const DatagramPeer& peer : with) {
+  for (const DatagramPeer& peer : new_peers) {
     if (peer.name != this->host) {
       this->peers.push_back({peer.name, AddressOf(peer.address), peer.port});
     }
@@ -157,11 +161,11 @@
                EncodeDatagram({std::string(topic), this->host, payload}));
 }
 
-void DatagramHub::Take() {
+void DatagramHub::ReceivePending() {
   while (this->socket.hasPendingDatagrams()) {
     std::string bytes(
         static_cast<std::size_t>(std::clamp<qint64>(
-            this->socket.pendingDatagramSize(), 0, kMostDatagramBytes)),
+            this->socket.pendingDatagramSize(), 0, kMaxDatagramBytes)),
         '\0');
     const qint64 size = this->socket.readDatagram(
         bytes.data(), static_cast<qint64>(bytes.size()));
@@ -176,8 +180,8 @@
       LogLine("datagram-malformed").Add("bytes", size).WriteImportant();
       continue;
     }
-    if (this->heard) {
-      this->heard(read->host);
+    if (this->sender_listener) {
+      this->sender_listener(read->host);
     }
     found->second(read->host, read->payload);
   }
--- a/src/exchange/datagrams.h
+++ b/src/exchange/datagrams.h
@@ -18,69 +18,72 @@
 
 namespace meadowthread {
 
-/// @brief One message between hosts that may be lost, doubled or late.
+/// @brief One UDP message between hosts; may be lost, duplicated or late.
 struct Datagram {
   std::string topic;
-  std::string host;  ///< who sent it
+  std::string host;  ///< the sender
   nlohmann::json payload;
 };
 
-/// @brief The datagram's bytes (CBOR).
+/// @brief Encodes a datagram as CBOR.
 std::string EncodeDatagram(const Datagram& datagram);
 
-/// @brief Reads a datagram; whatever its bytes are, it gives one or an error.
+/// @brief Decodes a datagram; returns an error for malformed bytes and never
+/// throws.
 absl::StatusOr<Datagram> DecodeDatagram(std::string_view bytes);
 
-/// @brief Where another host takes datagrams.
+/// @brief Where another host receives datagrams.
 struct DatagramPeer {
   std::string name;
-  std::string address;  ///< an IP number
+  std::string address;  ///< an IP address
   std::uint16_t port = 0;
 };
 
-/// @brief Sends and takes datagrams, within a bound of bytes.
+/// @brief Sends datagrams within a byte rate limit and passes received ones to
+/// the handler of their topic.
 class DatagramHub {
  public:
   using Handler =
       std::function<void(std::string_view host, const nlohmann::json& payload)>;
 
-  /// @param[in] bytes_per_second sent by this host, headers included
+  /// @param[in] bytes_per_second send rate limit, IP and UDP headers included
   /// @param[in] clock outlives the hub
   DatagramHub(std::string_view host, std::int64_t bytes_per_second,
               std::uint64_t seed, const Clock& clock);
   DatagramHub(const DatagramHub&) = delete;
   DatagramHub& operator=(const DatagramHub&) = delete;
 
-  /// @brief Told of every datagram of a topic; to be set before Start.
+  /// @brief Sets the handler of a topic; to be called before Start.
   void Register(std::string_view topic, const Handler& handler);
 
   absl::Status Start(std::string_view address, std::uint16_t port);
 
   void SetPeers(std::span<const DatagramPeer> peers);
 
-  /// @brief Calls `told` with the sender of each datagram that could be read.
-  void OnHeard(const std::function<void(std::string_view host)>& told) {
-    this->heard = told;
+  /// @brief Calls `listener` with the sender of each valid datagram whose topic
+  /// is registered.
+  void OnHeard(const std::function<void(std::string_view host)>& listener) {
+    this->sender_listener = listener;
   }
 
-  /// @brief Sends to all peers, where the bound allows it now.
+  /// @brief Sends to all peers, unless the rate limit is exhausted.
   /// @return whether it was sent
   bool SendToAll(std::string_view topic, const nlohmann::json& payload);
 
-  /// @brief Sends to some peers drawn at random, whatever the bound says: news
-  /// that others wait for.
+  /// @brief Sends to up to `count` random peers regardless of the rate limit,
+  /// for changes that other hosts wait for.
   void SendToSome(std::string_view topic, const nlohmann::json& payload,
                   std::size_t count);
 
-  /// @brief Sends to one host, whatever the bound says; nothing where it is not
-  /// known.
+  /// @brief Sends to one host regardless of the rate limit; does nothing if the
+  /// host is not a known peer.
   void SendToOne(std::string_view topic, const nlohmann::json& payload,
                  std::string_view host);
 
   std::size_t Peers() const { return this->peers.size(); }
 
  private:
-  void Take();
+  void ReceivePending();
   struct Target {
     std::string name;
     QHostAddress address;
@@ -94,9 +97,9 @@
   std::int64_t bytes_per_second;
   const Clock& clock;
   std::mt19937_64 random;
-  std::vector<Target> peers;  ///< by name
+  std::vector<Target> peers;  ///< sorted by name
   std::map<std::string, Handler, std::less<>> handlers;
-  std::function<void(std::string_view host)> heard;
+  std::function<void(std::string_view host)> sender_listener;
   QUdpSocket socket;
   double allowance = 0.0;
   std::int64_t refilled_ms = 0;
--- a/src/exchange/exchange_budget.h
+++ b/src/exchange/exchange_budget.h
@@ -6,41 +6,42 @@
 
 #include "exchange/byte_budget.h"
 #include "exchange/exchange_settings.h"
-#include "exchange/view_sharer.h"
+#include "exchange/view_synchronizer.h"
 
 namespace meadowthread {
 
-/// @brief The bytes that the exchange may use, both directions, HTTP included.
+/// @brief Limits the bytes of the exchange, in both directions, HTTP included.
 ///
-/// Two buckets whose rates add up to the host's share: one for rounds and news,
-/// one for bulk, so that a host that starts and wants everything can't stop
-/// the news of the hosts that it asks.
+/// Two token buckets whose rates add up to the host's share: a regular one for
+/// rounds and pushed changes, and one for bulk transfers. A starting host that
+/// requests the full state thus can't stop its peers from pushing changes.
 class ExchangeBudget {
  public:
   ExchangeBudget(const ExchangeSettings& settings, const Clock& clock);
 
-  /// @brief Counts one message that was sent or came.
-  /// @param[in] body_bytes without HTTP
+  /// @brief Charges one message that was sent or received.
+  /// @param[in] body_bytes without HTTP overhead, which is added here
   void Spend(std::size_t body_bytes);
 
-  /// @brief Whether a call may be started.
+  /// @brief Whether there are enough bytes to start a call.
   bool AllowsCall();
 
-  /// @brief Whether less than half of the burst is left.
+  /// @brief Whether less than half of the regular burst is left.
   bool IsLow();
 
-  /// @brief What the next request may carry.
+  /// @brief Limits of the items in the next request.
   ItemLimits ForRequest();
 
-  /// @brief What the next answer may carry: whole state goes here, as the
-  /// platform's own list would bring it, and runs the bulk share into debt.
+  /// @brief Limits of the items in the next response. It may carry a full
+  /// state, like a list read from the object store, and so overdraw the bulk
+  /// bucket.
   ItemLimits ForAnswer();
 
  private:
   std::size_t ItemBytes();
 
   ExchangeSettings settings;
-  ByteBudget news;
+  ByteBudget regular;
   ByteBudget bulk;
 };
 
--- a/src/exchange/exchange_message.cc
+++ b/src/exchange/exchange_message.cc
@@ -42,8 +42,8 @@
 // 1. encode //
 ///////////////
 
-// `kind` is left out where it is the view's: most bytes of a quiet exchange
-// are names.
+// `kind` is omitted where it equals the kind of the enclosing view: field names
+// and kinds make up most bytes of an exchange without changes.
 json ItemJson(const StoredObject& item, std::string_view view_kind) {
   json value = {{"name", item.name}, {"version", item.version}};
   if (item.kind != view_kind) {
@@ -66,7 +66,7 @@
   return list;
 }
 
-json ViewJson(const ViewPart& view) {
+json ViewJson(const KindUpdate& view) {
   const KindDigest& digest = view.digest;
   json value = {{"kind", digest.kind},
                 {"revision", digest.revision},
@@ -75,7 +75,7 @@
   if (digest.beyond != 0) {
     value["beyond"] = absl::StrCat(absl::Hex(digest.beyond));
   }
-  if (view.ask_anew) {
+  if (view.full_state_required) {
     value["ask_anew"] = true;
   }
   if (!view.delta.has_value()) {
@@ -211,7 +211,8 @@
   delta.revision = *upto;
   delta.full = BoolOr(value, "full", false);
   delta.cut = BoolOr(value, "cut", false);
-  // A cut delta ends under the revision that was confirmed.
+  // A truncated delta ends below the confirmed revision, so the confirmation
+  // does not cover it.
   if (delta.revision == digest.revision) {
     delta.confirmed_unix_ms = digest.confirmed_unix_ms;
     delta.confirmed_by = digest.confirmed_by;
@@ -225,16 +226,16 @@
   return delta;
 }
 
-absl::StatusOr<ViewPart> ViewFrom(const json& value) {
+absl::StatusOr<KindUpdate> ViewFrom(const json& value) {
   if (!value.is_object()) {
-    return Invalid("views", "holds something else than objects");
+    return Invalid("views", "has an element that is not an object");
   }
   absl::StatusOr<KindDigest> digest = DigestFrom(value);
   if (!digest.ok()) {
     return digest.status();
   }
-  ViewPart view{std::move(*digest), std::nullopt,
-                BoolOr(value, "ask_anew", false)};
+  KindUpdate view{std::move(*digest), std::nullopt,
+                  BoolOr(value, "ask_anew", false)};
   const absl::StatusOr<const json*> items = ListField(value, "items");
   if (!items.ok()) {
     return items.status();
@@ -250,7 +251,7 @@
   return view;
 }
 
-// A hint: one that cannot be read, or is too long, is left out.
+// The outlook is only a hint: an invalid or too long one is dropped.
 std::vector<std::int64_t> OutlookFrom(const json& value) {
   std::vector<std::int64_t> outlook;
   const auto found = value.find("outlook");
@@ -303,7 +304,7 @@
     return views.ok() ? loads.status() : views.status();
   }
   for (const json& part : *views == nullptr ? json::array() : **views) {
-    absl::StatusOr<ViewPart> view = ViewFrom(part);
+    absl::StatusOr<KindUpdate> view = ViewFrom(part);
     if (!view.ok()) {
       return view.status();
     }
@@ -324,7 +325,7 @@
 std::string EncodeExchange(const ExchangeMessage& message) {
   json value = {{"from", message.from}, {"incarnation", message.incarnation}};
   json& views = value["views"] = json::array();
-  for (const ViewPart& view : message.views) {
+  for (const KindUpdate& view : message.views) {
     views.push_back(ViewJson(view));
   }
   if (!message.loads.empty()) {
--- a/src/exchange/exchange_message.h
+++ b/src/exchange/exchange_message.h
@@ -9,43 +9,46 @@
 #include <vector>
 
 #include "absl/status/statusor.h"
+#include "exchange/kind_digest.h"
 #include "exchange/load_note.h"
-#include "exchange/version_messages.h"
 
 namespace meadowthread {
 
-/// @brief One kind in a message: the sender's digest, and what it sends.
-struct ViewPart {
+/// @brief One kind of object in a message: the sender's digest, and objects
+/// that the receiver lacks, if any.
+struct KindUpdate {
   KindDigest digest;
   std::optional<KindDelta> delta;
-  /// Only whole state would bring the receiver up to date, and it is too large
-  /// to be sent unasked: ask with revision 0.
-  bool ask_anew = false;
+  /// Only the full state would bring the receiver up to date, and it is too
+  /// large to send unrequested: the receiver has to request it with revision 0.
+  bool full_state_required = false;
 };
 
-/// @brief `exchange`, both ways (docs/INTERFACES.md, section 7).
+/// @brief Request and response of the method `exchange`
+/// (docs/INTERFACES.md, section 7).
 struct ExchangeMessage {
   std::string from;
   std::int64_t incarnation = 0;
-  std::vector<ViewPart> views;
-  std::vector<EngineLoadNote> loads;  ///< the sender's own
+  std::vector<KindUpdate> views;
+  std::vector<EngineLoadNote> loads;  ///< of the sender itself
 };
 
-/// @brief JSON text of a message.
+/// @brief Encodes a message as JSON text.
 std::string EncodeExchange(const ExchangeMessage& message);
 
-/// @brief Reads a message; an error names the field at fault.
-/// @param[in] peer named in the error
+/// @brief Decodes a message; an error names the invalid field.
+/// @param[in] peer sender to name in errors
 absl::StatusOr<ExchangeMessage> DecodeExchange(std::string_view text,
                                                std::string_view peer);
 
-/// @brief JSON text of `offer`'s parameters.
+/// @brief Encodes the parameters of the method `offer` as JSON text.
 std::string EncodeOffer(std::span<const StoredObject> items);
 
-/// @brief Reads `offer`'s parameters; an error names the field at fault.
+/// @brief Decodes the parameters of `offer`; an error names the invalid field.
 absl::StatusOr<std::vector<StoredObject>> DecodeOffer(std::string_view text);
 
-/// @brief JSON text of `offer`'s answer.
+/// @brief Encodes the response of `offer`.
+/// @param[in] taken number of objects that were new to the host
 std::string EncodeTaken(int taken);
 
 }  // namespace meadowthread
--- a/src/exchange/exchange_source.h
+++ b/src/exchange/exchange_source.h
@@ -6,35 +6,37 @@
 #include <string_view>
 #include <vector>
 
-#include "exchange/version_messages.h"
+#include "exchange/kind_digest.h"
 
 namespace meadowthread {
 
-/// @brief The host's copy of the platform's objects, as the exchange sees it.
+/// @brief Interface of the exchange to the host's copy of the object store.
 ///
-/// Versions only go up: whatever arrives late, doubled or from an older copy
-/// takes nothing back.
+/// Object versions only increase, so data that arrives late, twice or from an
+/// older copy never overwrites a newer version.
 class ExchangeSource {
  public:
   virtual ~ExchangeSource() = default;
 
-  /// @brief One digest a kind, most urgent kind first; `beyond` is not set.
+  /// @brief One digest for each kind, most urgent kind first; `beyond` is not
+  /// set.
   virtual std::vector<KindDigest> Digests() const = 0;
 
-  /// @brief What is known beyond `revision`, cut at the limit where it can be.
+  /// @brief Objects known above `revision`, truncated at `limit_bytes` unless
+  /// the delta is a full state, which can't be truncated.
   virtual KindDelta DeltaSince(std::string_view kind, std::int64_t revision,
                                std::size_t limit_bytes) const = 0;
 
-  /// @brief Takes what a peer knows.
-  /// @param[in] from the peer
-  /// @param[in] digest the peer's, for its freshness
-  /// @param[in] delta may be without items
-  /// @return how many objects are news to this host
+  /// @brief Applies what a peer sent about one kind.
+  /// @param[in] from name of the peer
+  /// @param[in] digest of the peer; tells how recent its copy is
+  /// @param[in] delta may have no items
+  /// @return number of objects that are new to this host
   virtual int Apply(std::string_view from, const KindDigest& digest,
                     const KindDelta& delta) = 0;
 
-  /// @brief Takes single objects that the platform accepted.
-  /// @return how many are news to this host
+  /// @brief Applies single objects that the object store has accepted.
+  /// @return number of objects that are new to this host
   virtual int Offer(std::span<const StoredObject> items) = 0;
 };
 
--- a/src/exchange/exchanger.cc
+++ b/src/exchange/exchanger.cc
@@ -8,9 +8,10 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::int64_t kNextBulkMs = 10;
-constexpr int kNewsRetries = 1;
-// A control server takes bodies of 1 MiB; the rest is JSON-RPC's.
+constexpr std::int64_t kContinueDelayMs = 10;
+constexpr int kPushRetries = 1;
+// The control server accepts bodies of 1 MiB; 1024 bytes are left for the
+// JSON-RPC envelope.
 constexpr std::size_t kMaxRequestBytes = (std::size_t{1} << 20) - 1024;
 
 ErrorDetail DetailFor(ErrorId id, std::string_view peer) {
@@ -21,9 +22,9 @@
   return detail;
 }
 
-std::int64_t CountItems(std::span<const ViewPart> views) {
+std::int64_t CountItems(std::span<const KindUpdate> views) {
   std::int64_t count = 0;
-  for (const ViewPart& view : views) {
+  for (const KindUpdate& view : views) {
     count += view.delta.has_value() ? std::ssize(view.delta->items) : 0;
   }
   return count;
@@ -33,11 +34,12 @@
 
 Exchanger::Exchanger(const HostIdentity& host_identity,
                      const ExchangeSettings& exchange_settings,
-                     std::uint64_t seed, const ExchangeParts& exchange_parts)
+                     std::uint64_t seed,
+                     const ExchangeDependencies& exchange_parts)
     : identity(host_identity),
       settings(exchange_settings),
       parts(exchange_parts),
-      sharer(exchange_parts.source),
+      synchronizer(exchange_parts.source),
       budget(exchange_settings, exchange_parts.clock),
       random(seed) {}
 
@@ -50,7 +52,7 @@
 
 void Exchanger::SetHosts(std::span<const PeerEntry> hosts) {
   this->parts.directory.SetHosts(hosts);
-  this->knowledge.Retain([this](std::string_view name) {
+  this->peer_digests.Retain([this](std::string_view name) {
     return this->parts.directory.IsKnown(name);
   });
 }
@@ -67,13 +69,13 @@
 // 1. rounds //
 ///////////////
 
-// Jitter keeps hosts that were started together from asking together.
+// Jitter keeps hosts that were started together from calling at the same time.
 void Exchanger::ScheduleRound() {
   const double jitter = this->settings.round_jitter;
   std::uniform_real_distribution<double> share(1.0 - jitter, 1.0 + jitter);
   const double delay_ms =
       static_cast<double>(this->settings.round_ms) * share(this->random);
-  this->Later(static_cast<std::int64_t>(delay_ms), [this] {
+  this->RunAfter(static_cast<std::int64_t>(delay_ms), [this] {
     this->RunRound();
     this->ScheduleRound();
   });
@@ -85,24 +87,24 @@
     ++this->stats.rounds_skipped;
     return;
   }
-  const int room = this->settings.max_calls - this->calls_in_progress;
-  // A host that knows nothing yet would be sent everything by each partner.
+  const int free_calls = this->settings.max_calls - this->calls_in_progress;
+  // A host that has just started would be sent the full state by each peer.
   const int partners = this->caught_up ? this->settings.partners : 1;
-  const int count = std::min(partners, room);
+  const int count = std::min(partners, free_calls);
   if (count <= 0) {
     return;
   }
   for (const RpcPeer& peer : this->parts.directory.Choose(count)) {
-    this->Send({peer, CallKind::kRound}, this->DigestsToAsk());
+    this->Send({peer, CallKind::kRound}, this->RequestDigests());
   }
 }
 
-// Revision 0 asks for whole state.
-std::vector<ViewPart> Exchanger::DigestsToAsk() {
+// Revision 0 requests the full state.
+std::vector<KindUpdate> Exchanger::RequestDigests() {
   const std::int64_t now_ms = this->parts.clock.MonotonicMs();
-  std::vector<ViewPart> views = this->sharer.Digests();
-  for (ViewPart& view : views) {
-    if (this->lag.TakeAskAnew(view.digest.kind, now_ms)) {
+  std::vector<KindUpdate> views = this->synchronizer.Digests();
+  for (KindUpdate& view : views) {
+    if (this->lag.TakeFullStateRequest(view.digest.kind, now_ms)) {
       view.digest.revision = 0;
       view.digest.beyond = 0;
     }
@@ -110,100 +112,101 @@
   return views;
 }
 
-/////////////
-// 2. news //
-/////////////
+///////////////////////
+// 2. pushed changes //
+///////////////////////
 
 void Exchanger::NoteChange(std::string_view kind) {
-  this->sharer.NoteChange();
+  this->synchronizer.NoteChange();
   this->changed_kinds.emplace(kind);
-  this->ScheduleNews(this->settings.news_delay_ms);
+  this->SchedulePush(this->settings.push_delay_ms);
 }
 
-void Exchanger::ScheduleNews(std::int64_t delay_ms) {
-  if (this->news_scheduled || this->settings.news_fanout == 0) {
+void Exchanger::SchedulePush(std::int64_t delay_ms) {
+  if (this->push_scheduled || this->settings.news_fanout == 0) {
     return;
   }
-  this->news_scheduled = true;
-  this->Later(delay_ms, [this] {
-    this->news_scheduled = false;
-    this->TellNews();
+  this->push_scheduled = true;
+  this->RunAfter(delay_ms, [this] {
+    this->push_scheduled = false;
+    this->PushChanges();
   });
 }
 
-void Exchanger::TellNews() {
+void Exchanger::PushChanges() {
   if (!this->budget.AllowsCall()) {
-    this->ScheduleNews(this->settings.retry_news_ms);
+    this->SchedulePush(this->settings.push_retry_ms);
     return;
   }
-  // Rounds bring what a smaller fan-out leaves out.
+  // Rounds reach the peers that a smaller fan-out leaves out.
   const int fanout = this->budget.IsLow() ? 1 : this->settings.news_fanout;
-  this->TellNewsTo(fanout, kNewsRetries);
+  this->PushChangesTo(fanout, kPushRetries);
   for (const KindDigest& digest : this->parts.source.Digests()) {
-    this->told_revisions[digest.kind] = digest.revision;
+    this->pushed_revisions[digest.kind] = digest.revision;
   }
   this->changed_kinds.clear();
 }
 
-void Exchanger::TellNewsTo(int partners, int retries) {
-  const int room = this->settings.max_calls - this->calls_in_progress;
-  const int count = std::min(partners, room);
+void Exchanger::PushChangesTo(int partners, int retries) {
+  const int free_calls = this->settings.max_calls - this->calls_in_progress;
+  const int count = std::min(partners, free_calls);
   if (count <= 0) {
     return;
   }
   for (const RpcPeer& peer : this->parts.directory.Choose(count)) {
-    std::vector<ViewPart> views = this->NewsFor(peer.name);
-    // To a peer that never showed its revisions, digests alone are worth it.
-    const bool is_new = !this->knowledge.Knows(peer.name);
+    std::vector<KindUpdate> views = this->ChangesFor(peer.name);
+    // A peer whose digests are unknown is called even without items to send.
+    const bool is_new = !this->peer_digests.Contains(peer.name);
     if (is_new || CountItems(views) > 0) {
-      this->Send({peer, CallKind::kNews, retries}, std::move(views));
+      this->Send({peer, CallKind::kPush, retries}, std::move(views));
     }
   }
 }
 
-// What changed since the last telling joins what most hosts know; a peer that
-// is further behind shows it in its answer. What a peer showed earlier is used
-// only where it says that less is enough: it is old, and the peer has heard
-// from others since. Before the first telling nothing is known to be news, and
-// digests alone are sent.
-std::vector<ViewPart> Exchanger::NewsFor(std::string_view peer) {
-  std::vector<ViewPart> assumed = this->sharer.Digests();
-  for (ViewPart& part : assumed) {
+// Assumes that a peer knows everything up to the last push, as most hosts do,
+// and sends what changed since; a peer that is further behind shows it in its
+// response. The digest that the peer sent last is used only where it shows that
+// fewer objects are enough: it is old, and the peer has heard from others
+// since. Before the first push nothing counts as changed, and only digests are
+// sent.
+std::vector<KindUpdate> Exchanger::ChangesFor(std::string_view peer) {
+  std::vector<KindUpdate> assumed = this->synchronizer.Digests();
+  for (KindUpdate& part : assumed) {
     KindDigest& digest = part.digest;
-    const auto told = this->told_revisions.find(digest.kind);
-    if (told == this->told_revisions.end() ||
+    const auto pushed = this->pushed_revisions.find(digest.kind);
+    if (pushed == this->pushed_revisions.end() ||
         !this->changed_kinds.contains(digest.kind)) {
       continue;
     }
-    const KindDigest* const shown = this->knowledge.Find(peer, digest.kind);
-    if (shown != nullptr && shown->revision >= told->second) {
-      digest = *shown;
+    const KindDigest* const latest = this->peer_digests.Find(peer, digest.kind);
+    if (latest != nullptr && latest->revision >= pushed->second) {
+      digest = *latest;
     } else {
-      digest.revision = told->second;
+      digest.revision = pushed->second;
       digest.beyond = 0;
     }
   }
-  return this->sharer.PartsFor(assumed, this->budget.ForRequest());
+  return this->synchronizer.UpdatesFor(assumed, this->budget.ForRequest());
 }
 
 ///////////////////////////
 // 3. calls and messages //
 ///////////////////////////
 
-void Exchanger::Send(const OutgoingCall& call, std::vector<ViewPart> views) {
+void Exchanger::Send(const OutgoingCall& call, std::vector<KindUpdate> views) {
   std::string message = this->Encode(call.peer.name, views);
   if (message.size() > kMaxRequestBytes) {
-    // The peer would refuse it; in its own rounds it gets any size.
-    views = this->sharer.Digests();
+    // The peer would refuse it. Responses to its own rounds have no such limit.
+    views = this->synchronizer.Digests();
     message = this->Encode(call.peer.name, views);
   }
   this->stats.items_sent += CountItems(views);
-  this->CountOut(message);
+  this->CountSent(message);
   ++this->stats.calls;
   ++this->calls_in_progress;
   this->parts.directory.OnCallStarted(call.peer.name);
   this->parts.channel.Call(call.peer, kExchangeMethod, message,
-                           this->settings.call_limit_ms,
+                           this->settings.call_timeout_ms,
                            this->life.Guarded([this, call](const auto& answer) {
                              this->OnAnswer(call, answer);
                            }));
@@ -220,7 +223,7 @@
   this->budget.Spend(answer->size());
   const absl::StatusOr<ExchangeMessage> message =
       DecodeExchange(*answer, call.peer.name);
-  // Another name: the address went to another host.
+  // Another name means that the address now belongs to another host.
   if (!message.ok() || message->from != call.peer.name) {
     ++this->stats.malformed;
     this->OnFailure(call, ErrorId::kPeerMalformed);
@@ -228,7 +231,7 @@
   }
   const bool restarted =
       this->parts.directory.OnAnswered(call.peer.name, message->incarnation);
-  const ApplyResult result = this->Take(*message, restarted);
+  const ApplyResult result = this->ApplyMessage(*message, restarted);
   this->lag.Compare(this->parts.source.Digests(), message->views,
                     this->parts.clock.MonotonicMs());
   this->caught_up = this->caught_up || result.caught_up;
@@ -237,15 +240,15 @@
 
 void Exchanger::OnFailure(const OutgoingCall& call, ErrorId error) {
   ++this->stats.failures;
-  // A call that this host was too busy to make tells nothing of the peer.
+  // A call that this host was too busy to make says nothing about the peer.
   if (error == ErrorId::kOverloaded) {
     this->parts.directory.OnNotSent(call.peer.name);
     return;
   }
   this->parts.directory.OnFailed(call.peer.name);
-  if (call.kind == CallKind::kNews && call.retries > 0 &&
+  if (call.kind == CallKind::kPush && call.retries > 0 &&
       this->budget.AllowsCall()) {
-    this->TellNewsTo(1, call.retries - 1);
+    this->PushChangesTo(1, call.retries - 1);
   }
 }
 
@@ -254,20 +257,20 @@
                          const ApplyResult& result) {
   if (result.cut && result.taken > 0) {
     const RpcPeer peer = call.peer;
-    this->Later(kNextBulkMs, [this, peer] {
+    this->RunAfter(kContinueDelayMs, [this, peer] {
       if (this->budget.AllowsCall()) {
-        this->Send({peer, CallKind::kRound}, this->sharer.Digests());
+        this->Send({peer, CallKind::kRound}, this->synchronizer.Digests());
       }
     });
     return;
   }
-  // A follow-up isn't followed up: what is still missing comes in a round.
+  // A follow-up call causes no further one: rounds bring what is still missing.
   if (!this->settings.push_to_behind || call.kind == CallKind::kFollowUp ||
       !this->budget.AllowsCall()) {
     return;
   }
-  std::vector<ViewPart> lacked =
-      this->sharer.PartsFor(answer.views, this->budget.ForRequest());
+  std::vector<KindUpdate> lacked =
+      this->synchronizer.UpdatesFor(answer.views, this->budget.ForRequest());
   if (CountItems(lacked) > 0) {
     this->Send({call.peer, CallKind::kFollowUp}, std::move(lacked));
   }
@@ -285,17 +288,17 @@
     ++this->stats.malformed;
     return MakeError(absl::StatusCode::kInvalidArgument,
                      DetailFor(ErrorId::kRejectedByPeer, message->from),
-                     "a host of the same name calls");
+                     "the caller has the same name as this host");
   }
   const bool restarted =
       this->parts.directory.OnHeard(message->from, message->incarnation);
-  this->Take(*message, restarted);
+  this->ApplyMessage(*message, restarted);
   ++this->stats.served;
-  std::vector<ViewPart> views =
-      this->sharer.PartsFor(message->views, this->budget.ForAnswer());
+  std::vector<KindUpdate> views =
+      this->synchronizer.UpdatesFor(message->views, this->budget.ForAnswer());
   this->stats.items_sent += CountItems(views);
   std::string answer = this->Encode(message->from, std::move(views));
-  this->CountOut(answer);
+  this->CountSent(answer);
   return answer;
 }
 
@@ -318,7 +321,7 @@
 }
 
 std::string Exchanger::Encode(std::string_view peer,
-                              std::vector<ViewPart> views) {
+                              std::vector<KindUpdate> views) {
   ExchangeMessage message;
   message.from = this->identity.name;
   message.incarnation = this->identity.incarnation;
@@ -331,22 +334,23 @@
   return EncodeExchange(message);
 }
 
-void Exchanger::CountOut(std::string_view message) {
+void Exchanger::CountSent(std::string_view message) {
   this->stats.bytes_out += std::ssize(message);
   this->budget.Spend(message.size());
 }
 
-ApplyResult Exchanger::Take(const ExchangeMessage& message, bool restarted) {
+ApplyResult Exchanger::ApplyMessage(const ExchangeMessage& message,
+                                    bool restarted) {
   if (restarted) {
-    this->knowledge.Forget(message.from);
+    this->peer_digests.Forget(message.from);
   }
-  ApplyResult result = this->sharer.Apply(message.from, message.views);
+  ApplyResult result = this->synchronizer.Apply(message.from, message.views);
   this->stats.items_taken += result.taken;
   for (const std::string& kind : result.changed_kinds) {
     this->NoteChange(kind);
   }
   if (this->parts.directory.IsKnown(message.from)) {
-    this->knowledge.Learn(message.from, message.views);
+    this->peer_digests.Update(message.from, message.views);
   }
   if (this->load_sink != nullptr && !message.loads.empty()) {
     this->load_sink->OnNotes(message.from, message.loads);
@@ -354,8 +358,8 @@
   return result;
 }
 
-void Exchanger::Later(std::int64_t delay_ms,
-                      const std::function<void()>& task) {
+void Exchanger::RunAfter(std::int64_t delay_ms,
+                         const std::function<void()>& task) {
   this->parts.scheduler.After(delay_ms, this->life.Guarded([task] { task(); }));
 }
 
--- a/src/exchange/exchanger.h
+++ b/src/exchange/exchanger.h
@@ -20,44 +20,44 @@
 #include "exchange/exchange_message.h"
 #include "exchange/exchange_settings.h"
 #include "exchange/exchange_source.h"
-#include "exchange/lag_watch.h"
+#include "exchange/lag_detector.h"
 #include "exchange/load_note.h"
+#include "exchange/peer_digest_cache.h"
 #include "exchange/peer_directory.h"
-#include "exchange/peer_knowledge.h"
 #include "exchange/rpc_channel.h"
-#include "exchange/view_sharer.h"
+#include "exchange/view_synchronizer.h"
 
 namespace meadowthread {
 
-/// @brief The methods' names on the control port.
+/// @brief Names of the JSON-RPC methods on the control port.
 inline constexpr std::string_view kExchangeMethod = "exchange";
 inline constexpr std::string_view kOfferMethod = "offer";
 
-/// @brief Which host this is, and which life of it.
+/// @brief Name of this host and number of its process run.
 struct HostIdentity {
   std::string name;
-  /// Grows with each start; the start's Unix time in ms serves.
+  /// Increases with each start, for example the Unix time of the start in ms.
   std::int64_t incarnation = 0;
 };
 
-/// @brief Counts since the start, for metrics.
+/// @brief Counters since the start, for metrics.
 struct ExchangeStats {
   std::int64_t rounds = 0;
-  std::int64_t rounds_skipped = 0;  ///< for want of bytes
+  std::int64_t rounds_skipped = 0;  ///< because the byte budget was exhausted
   std::int64_t calls = 0;           ///< started by this host
-  std::int64_t failures = 0;        ///< of these
-  std::int64_t served = 0;          ///< answered by this host
-  std::int64_t malformed = 0;       ///< refused, and answers not understood
-  std::int64_t bytes_out = 0;       ///< bodies
+  std::int64_t failures = 0;        ///< of `calls`
+  std::int64_t served = 0;     ///< `exchange` requests answered by this host
+  std::int64_t malformed = 0;  ///< invalid requests and responses
+  std::int64_t bytes_out = 0;  ///< of message bodies
   std::int64_t bytes_in = 0;
-  std::int64_t items_taken = 0;
+  std::int64_t items_taken = 0;  ///< new objects received
   std::int64_t items_sent = 0;
   int peers_alive = 0;
   int peers_suspected = 0;
 };
 
-/// @brief What the exchange works with; all outlive it.
-struct ExchangeParts {
+/// @brief Collaborators of the exchange; all outlive it.
+struct ExchangeDependencies {
   ExchangeSource& source;
   PeerDirectory& directory;
   RpcChannel& channel;
@@ -65,48 +65,51 @@
   const Clock& clock;
 };
 
-/// @brief Keeps the host's copies in step with other hosts'.
+/// @brief Replicates the host's copy of the object store between hosts by
+/// anti-entropy rounds and gossip.
 ///
-/// Each round asks a few partners: digests go out, what this host lacks comes
-/// back, and what the partner lacks is sent after. A change is told a few
-/// partners at once, who tell it on.
+/// Each round calls a few peers: the request carries digests, the response
+/// what this host lacks, and a follow-up call what the peer lacks. A change is
+/// also pushed at once to a few peers, which push it on.
 class Exchanger {
  public:
   Exchanger(const HostIdentity& identity, const ExchangeSettings& settings,
-            std::uint64_t seed, const ExchangeParts& parts);
+            std::uint64_t seed, const ExchangeDependencies& parts);
   Exchanger(const Exchanger&) = delete;
   Exchanger& operator=(const Exchanger&) = delete;
 
-  /// @brief Carries load notes too.
-  /// @param[in] source gives this host's; outlives this
-  /// @param[in] sink is told others'; outlives this
+  /// @brief Sends and receives load notes with the messages.
+  /// @param[in] source of the notes of this host; outlives this
+  /// @param[in] sink receives the notes of other hosts; outlives this
   void CarryLoads(LoadSource* source, LoadSink* sink);
 
   /// @brief Starts the rounds.
   void Start();
 
-  /// @brief Takes the host list.
+  /// @brief Replaces the list of hosts.
   void SetHosts(std::span<const PeerEntry> hosts);
 
-  /// @brief The source learnt something of a kind, from the platform or from
-  /// an operator: it is told on.
+  /// @brief To be called when the source got a change of a kind, from the
+  /// object store or an operator; schedules a push to peers.
   void NoteChange(std::string_view kind);
 
-  /// @brief The method `exchange`: a peer's message in, this host's out.
+  /// @brief Handles the method `exchange`: decodes a peer's message and returns
+  /// the response.
   absl::StatusOr<std::string> Exchange(std::string_view params);
 
-  /// @brief The method `offer`: objects that the platform accepted.
+  /// @brief Handles the method `offer`: objects that the object store has
+  /// accepted.
   absl::StatusOr<std::string> Offer(std::string_view params);
 
-  /// @brief Whether some peer answered and knew nothing that isn't known here:
-  /// a host that starts while the platform is down may serve from then on.
+  /// @brief Whether this host is no longer behind some peer that answered: from
+  /// then on, a host that starts while the object store is down may serve.
   bool HasCaughtUp() const { return this->caught_up; }
 
   ExchangeStats Stats() const;
 
  private:
   /// Why a call was made.
-  enum class CallKind { kRound, kNews, kFollowUp };
+  enum class CallKind { kRound, kPush, kFollowUp };
   struct OutgoingCall {
     RpcPeer peer;
     CallKind kind = CallKind::kRound;
@@ -116,44 +119,44 @@
   // 1. rounds
   void ScheduleRound();
   void RunRound();
-  std::vector<ViewPart> DigestsToAsk();
+  std::vector<KindUpdate> RequestDigests();
 
-  // 2. news
-  void ScheduleNews(std::int64_t delay_ms);
-  void TellNews();
-  void TellNewsTo(int partners, int retries);
-  std::vector<ViewPart> NewsFor(std::string_view peer);
+  // 2. pushed changes
+  void SchedulePush(std::int64_t delay_ms);
+  void PushChanges();
+  void PushChangesTo(int partners, int retries);
+  std::vector<KindUpdate> ChangesFor(std::string_view peer);
 
   // 3. calls and messages
-  void Send(const OutgoingCall& call, std::vector<ViewPart> views);
+  void Send(const OutgoingCall& call, std::vector<KindUpdate> views);
   void OnAnswer(const OutgoingCall& call,
                 const absl::StatusOr<std::string>& answer);
   void OnFailure(const OutgoingCall& call, ErrorId error);
   void FollowUp(const OutgoingCall& call, const ExchangeMessage& answer,
                 const ApplyResult& result);
-  std::string Encode(std::string_view peer, std::vector<ViewPart> views);
-  void CountOut(std::string_view message);
-  ApplyResult Take(const ExchangeMessage& message, bool restarted);
-  void Later(std::int64_t delay_ms, const std::function<void()>& task);
+  std::string Encode(std::string_view peer, std::vector<KindUpdate> views);
+  void CountSent(std::string_view message);
+  ApplyResult ApplyMessage(const ExchangeMessage& message, bool restarted);
+  void RunAfter(std::int64_t delay_ms, const std::function<void()>& task);
 
   HostIdentity identity;
   ExchangeSettings settings;
-  ExchangeParts parts;
-  ViewSharer sharer;
-  LagWatch lag;
-  PeerKnowledge knowledge;
+  ExchangeDependencies parts;
+  ViewSynchronizer synchronizer;
+  LagDetector lag;
+  PeerDigestCache peer_digests;
   ExchangeBudget budget;
   std::mt19937_64 random;
   LoadSource* load_source = nullptr;
   LoadSink* load_sink = nullptr;
-  std::set<std::string, std::less<>> changed_kinds;  ///< not told yet
-  /// The revision of each kind at the last telling.
-  std::map<std::string, std::int64_t, std::less<>> told_revisions;
-  bool news_scheduled = false;
+  std::set<std::string, std::less<>> changed_kinds;  ///< not pushed yet
+  /// The revision of each kind at the last push.
+  std::map<std::string, std::int64_t, std::less<>> pushed_revisions;
+  bool push_scheduled = false;
   bool caught_up = false;
   int calls_in_progress = 0;
   ExchangeStats stats;
-  /// Tasks and answers that come after the end find it gone.
+  /// Keeps tasks and responses from using this object after its destruction.
   Lifetime life;
 };
 
--- a/src/exchange/http_connector.cc
+++ b/src/exchange/http_connector.cc
@@ -6,11 +6,11 @@
 namespace detail {
 namespace {
 
-// Whole state of the views is the longest answer.
+// The longest response is a full state of all kinds.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{32} << 20;
 constexpr long kHttpOk = 200;  // NOLINT: libcurl's type
 
-// Fewer bytes taken than given make libcurl end the transfer.
+// libcurl aborts the transfer if the callback returns fewer bytes than it got.
 std::size_t Append(char* data, std::size_t size, std::size_t count,
                    void* into) {
   std::string& text = *static_cast<std::string*>(into);
@@ -27,7 +27,8 @@
 HttpConnector::HttpConnector() : curl(curl_easy_init()), headers(nullptr) {
   this->headers =
       curl_slist_append(this->headers, "Content-Type: application/json");
-  // No `Expect: 100-continue`: it costs a round trip before longer bodies.
+  // Disables `Expect: 100-continue`, which costs a round trip before longer
+  // bodies.
   this->headers = curl_slist_append(this->headers, "Expect:");
   curl_easy_setopt(this->curl, CURLOPT_HTTPHEADER, this->headers);
   curl_easy_setopt(this->curl, CURLOPT_WRITEFUNCTION, &Append);
@@ -41,10 +42,10 @@
   curl_easy_cleanup(this->curl);
 }
 
-void HttpConnector::SetTarget(const std::string& url, std::int64_t limit_ms) {
+void HttpConnector::SetTarget(const std::string& url, std::int64_t timeout_ms) {
   curl_easy_setopt(this->curl, CURLOPT_URL, url.c_str());
   curl_easy_setopt(this->curl, CURLOPT_TIMEOUT_MS,
-                   static_cast<long>(limit_ms));  // NOLINT: libcurl's type
+                   static_cast<long>(timeout_ms));  // NOLINT: libcurl's type
 }
 
 void HttpConnector::SendRPCMessage(
--- a/src/exchange/http_connector.h
+++ b/src/exchange/http_connector.h
@@ -11,10 +11,10 @@
 namespace meadowthread {
 namespace detail {
 
-/// @brief Carries libjsonrpccpp's client over HTTP by libcurl. C++14 only.
+/// @brief HTTP transport of libjsonrpccpp's client, by libcurl. C++14 only.
 ///
-/// The library's own connector takes answers of any size, goes through proxies
-/// that the environment names, and tells a time-out in words only.
+/// The library's own connector does not limit the response size, uses proxies
+/// from the environment, and reports a timeout only in the message text.
 class HttpConnector : public jsonrpc::IClientConnector {
  public:
   HttpConnector();
@@ -22,10 +22,10 @@
   HttpConnector(const HttpConnector&) = delete;
   HttpConnector& operator=(const HttpConnector&) = delete;
 
-  /// @brief Where the next message goes, and how long it may take.
-  void SetTarget(const std::string& url, std::int64_t limit_ms);
+  /// @brief Sets the URL and the timeout of the next message.
+  void SetTarget(const std::string& url, std::int64_t timeout_ms);
 
-  /// @brief Whether the latest message failed for want of time.
+  /// @brief Whether the latest message timed out.
   bool TimedOut() const { return this->timed_out; }
 
   void SendRPCMessage(const std::string& message,
--- /dev/null
+++ b/src/exchange/kind_digest.h
@@ -0,0 +1,41 @@
+#ifndef MEADOWTHREAD_EXCHANGE_KIND_DIGEST_H_
+#define MEADOWTHREAD_EXCHANGE_KIND_DIGEST_H_
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "store/object_store.h"
+
+namespace meadowthread {
+
+/// @brief Digest of what a host knows of one kind of object.
+struct KindDigest {
+  std::string kind;
+  std::int64_t revision = 0;           ///< all changes up to it are known
+  std::int64_t confirmed_unix_ms = 0;  ///< last object store read
+  std::string confirmed_by;            ///< host that read; empty: none yet
+  /// Hash of the objects known above `revision`; 0: there are none.
+  std::uint64_t beyond = 0;
+
+  friend bool operator==(const KindDigest&, const KindDigest&) = default;
+};
+
+/// @brief Objects of a kind that a host knows above a revision.
+struct KindDelta {
+  std::string kind;
+  std::int64_t since = 0;  ///< starts after this revision
+  /// Items are complete from `since` up to here, but not above.
+  std::int64_t revision = 0;
+  /// Items are all live objects up to `revision`: any other object that the
+  /// receiver holds was deleted.
+  bool full = false;
+  bool cut = false;  ///< truncated at the byte limit
+  std::int64_t confirmed_unix_ms = 0;
+  std::string confirmed_by;
+  std::vector<StoredObject> items;  ///< by ascending version
+};
+
+}  // namespace meadowthread
+
+#endif  // MEADOWTHREAD_EXCHANGE_KIND_DIGEST_H_
--- a/src/exchange/load_datagrams.cc
+++ b/src/exchange/load_datagrams.cc
@@ -13,16 +13,18 @@
 using nlohmann::json;
 
 constexpr char kTopic[] = "loads";
-// How soon a change is told: several that come together go together.
+// Interval at which changes are sent: those within one interval share a
+// datagram.
 constexpr std::int64_t kStepMs = 25;
-// All is told again, twice before peers pass old notes over.
-constexpr std::int64_t kAllAgainMs = 3'000;
-// Notes of a datagram to everybody: the heaviest.
-constexpr std::size_t kMostNotes = 48;
-// What goes into one packet of most networks.
-constexpr std::size_t kNotesTogether = 20;
-// A host has no more engines than this in use.
-constexpr std::size_t kMostEngines = 4'096;
+// Interval at which all notes are sent again: twice within the time after which
+// peers ignore old notes.
+constexpr std::int64_t kFullResendMs = 3'000;
+// Notes in a datagram to every host: those with the most load.
+constexpr std::size_t kMaxNotesPerBroadcast = 48;
+// As many as fit one packet on most networks.
+constexpr std::size_t kMaxNotesPerPacket = 20;
+// Upper bound of the engines that a host uses.
+constexpr std::size_t kMaxEngines = 4'096;
 constexpr std::size_t kNoteFields = 6;
 
 bool ReadNote(const json& value, EngineLoadNote* note) {
@@ -81,7 +83,8 @@
       audience(audience),
       clock(clock),
       scheduler(scheduler) {
-  // As of now: how old a note is must not rest on another host's clock.
+  // Stamped on arrival: the age of a note must not depend on another host's
+  // clock.
   hub.Register(kTopic, [this](std::string_view host, const json& payload) {
     absl::StatusOr<std::vector<EngineLoadNote>> notes =
         LoadsFrom(host, payload);
@@ -96,16 +99,16 @@
   });
 }
 
-void LoadDatagrams::Start() { this->Step(); }
+void LoadDatagrams::Start() { this->SendAndReschedule(); }
 
-// Engines whose work has ended stay among the source's notes for a while, with
-// nothing in flight.
+// The source keeps listing an engine for a while after its work has ended, with
+// nothing in flight, so that the end counts as a change.
 std::vector<EngineLoadNote> LoadDatagrams::Changed(
     const std::vector<EngineLoadNote>& notes) const {
   std::vector<EngineLoadNote> changed;
   for (const EngineLoadNote& note : notes) {
     const bool same = std::any_of(
-        this->told.begin(), this->told.end(),
+        this->sent_notes.begin(), this->sent_notes.end(),
         [&note](const EngineLoadNote& old) {
           return old.engine == note.engine && old.in_flight == note.in_flight &&
                  old.reading_tokens == note.reading_tokens &&
@@ -118,41 +121,45 @@
   return changed;
 }
 
-bool LoadDatagrams::Tell(const std::vector<EngineLoadNote>& notes) {
+bool LoadDatagrams::Send(const std::vector<EngineLoadNote>& notes) {
   if (this->audience.IsEverybody()) {
     return this->hub.SendToAll(kTopic, LoadsJson(notes));
   }
-  this->TellAudience(notes);
+  this->SendToRecipients(notes);
   return true;
 }
 
-void LoadDatagrams::TellAudience(const std::vector<EngineLoadNote>& notes) {
+void LoadDatagrams::SendToRecipients(const std::vector<EngineLoadNote>& notes) {
   std::map<std::string, std::vector<EngineLoadNote>> by_host;
   for (const EngineLoadNote& note : notes) {
     for (const std::string& host : this->audience.HostsFor(note.engine)) {
       by_host[host].push_back(note);
     }
   }
-  for (const auto& [host, told] : by_host) {
-    for (std::size_t from = 0; from < told.size(); from += kNotesTogether) {
-      const auto part = std::span(told).subspan(
-          from, std::min(kNotesTogether, told.size() - from));
+  for (const auto& [host, host_notes] : by_host) {
+    for (std::size_t from = 0; from < host_notes.size();
+         from += kMaxNotesPerPacket) {
+      const auto part = std::span(host_notes)
+                            .subspan(from, std::min(kMaxNotesPerPacket,
+                                                    host_notes.size() - from));
       this->hub.SendToOne(kTopic, LoadsJson({part.begin(), part.end()}), host);
     }
   }
 }
 
-void LoadDatagrams::Step() {
+void LoadDatagrams::SendAndReschedule() {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   std::vector<EngineLoadNote> notes = this->source.NotesFor(
-      "", this->audience.IsEverybody() ? kMostNotes : kMostEngines);
-  const bool all = now_ms - this->all_told_ms >= kAllAgainMs;
-  const std::vector<EngineLoadNote> news = all ? notes : this->Changed(notes);
-  if (!news.empty() && this->Tell(news)) {
-    this->told = std::move(notes);
-    this->all_told_ms = all ? now_ms : this->all_told_ms;
+      "", this->audience.IsEverybody() ? kMaxNotesPerBroadcast : kMaxEngines);
+  const bool all = now_ms - this->all_sent_ms >= kFullResendMs;
+  const std::vector<EngineLoadNote> to_send =
+      all ? notes : this->Changed(notes);
+  if (!to_send.empty() && this->Send(to_send)) {
+    this->sent_notes = std::move(notes);
+    this->all_sent_ms = all ? now_ms : this->all_sent_ms;
   }
-  this->scheduler.After(kStepMs, this->life.Guarded([this] { this->Step(); }));
+  this->scheduler.After(
+      kStepMs, this->life.Guarded([this] { this->SendAndReschedule(); }));
 }
 
 }  // namespace meadowthread
--- a/src/exchange/load_datagrams.h
+++ b/src/exchange/load_datagrams.h
@@ -15,15 +15,15 @@
 
 namespace meadowthread {
 
-/// @brief Notes as they travel.
+/// @brief JSON payload of load notes in a datagram.
 nlohmann::json LoadsJson(const std::vector<EngineLoadNote>& notes);
 
-/// @brief Reads notes; an error where they are none.
+/// @brief Decodes load notes; an error if the payload is malformed.
 absl::StatusOr<std::vector<EngineLoadNote>> LoadsFrom(
     std::string_view host, const nlohmann::json& payload);
 
-/// @brief Tells other hosts what this one has at each engine: what changed at
-/// once, and all of it from time to time, as datagrams may be lost.
+/// @brief Sends the load that this host puts on each engine to other hosts:
+/// changes at once, and all of it periodically, as datagrams may be lost.
 class LoadDatagrams {
  public:
   /// @param[in] hub,source,sink,audience,clock,scheduler outlive this
@@ -35,14 +35,14 @@
 
   void Start();
 
-  /// @brief Tells all of it with the next step: somebody knows nothing.
-  void TellAllSoon() { this->all_told_ms = 0; }
+  /// @brief Sends all notes at the next interval, for a host that has none.
+  void TellAllSoon() { this->all_sent_ms = 0; }
 
  private:
-  void Step();
-  bool Tell(const std::vector<EngineLoadNote>& notes);
-  void TellAudience(const std::vector<EngineLoadNote>& notes);
-  /// @brief The notes that differ from what was told.
+  void SendAndReschedule();
+  bool Send(const std::vector<EngineLoadNote>& notes);
+  void SendToRecipients(const std::vector<EngineLoadNote>& notes);
+  /// @brief The notes that differ from those sent last.
   std::vector<EngineLoadNote> Changed(
       const std::vector<EngineLoadNote>& notes) const;
 
@@ -52,8 +52,8 @@
   const LoadAudience& audience;
   const Clock& clock;
   Scheduler& scheduler;
-  std::vector<EngineLoadNote> told;
-  std::int64_t all_told_ms = 0;
+  std::vector<EngineLoadNote> sent_notes;
+  std::int64_t all_sent_ms = 0;
   Lifetime life;
 };
 
--- a/src/exchange/peer_knowledge.cc
+++ b/src/exchange/peer_digest_cache.cc
@@ -1,36 +1,36 @@
-#include "exchange/peer_knowledge.h"
+#include "exchange/peer_digest_cache.h"
 
 namespace meadowthread {
 
-void PeerKnowledge::Learn(std::string_view peer,
-                          std::span<const ViewPart> views) {
+void PeerDigestCache::Update(std::string_view peer,
+                             std::span<const KindUpdate> views) {
   std::vector<KindDigest>& known = this->digests[std::string(peer)];
   known.clear();
-  for (const ViewPart& view : views) {
+  for (const KindUpdate& view : views) {
     known.push_back(view.digest);
   }
 }
 
-void PeerKnowledge::Forget(std::string_view peer) {
+void PeerDigestCache::Forget(std::string_view peer) {
   const auto found = this->digests.find(peer);
   if (found != this->digests.end()) {
     this->digests.erase(found);
   }
 }
 
-void PeerKnowledge::Retain(
+void PeerDigestCache::Retain(
     const std::function<bool(std::string_view)>& is_kept) {
   std::erase_if(this->digests, [&is_kept](const auto& entry) {
     return !is_kept(entry.first);
   });
 }
 
-bool PeerKnowledge::Knows(std::string_view peer) const {
+bool PeerDigestCache::Contains(std::string_view peer) const {
   return this->digests.contains(peer);
 }
 
-const KindDigest* PeerKnowledge::Find(std::string_view peer,
-                                      std::string_view kind) const {
+const KindDigest* PeerDigestCache::Find(std::string_view peer,
+                                        std::string_view kind) const {
   const auto found = this->digests.find(peer);
   if (found == this->digests.end()) {
     return nullptr;
--- a/src/exchange/peer_directory.cc
+++ b/src/exchange/peer_directory.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr int kMaxBackoffDoublings = 16;
-constexpr double kLeastBackoffShare = 0.5;
+constexpr double kMinBackoffShare = 0.5;
 
 }  // namespace
 
 PeerDirectory::PeerDirectory(std::string_view self_name,
-                             const HostPlace& self_place,
+                             const HostLocation& self_place,
                              const PeerSettings& peer_settings,
                              std::uint64_t seed, const Clock& peer_clock)
     : self(self_name),
@@ -30,7 +30,7 @@
     const auto known = this->peers.find(entry.peer.name);
     Peer peer = known == this->peers.end() ? Peer{} : known->second;
     if (!(peer.entry.peer == entry.peer)) {
-      // Another address: what was learnt of the old one doesn't count.
+      // The history belongs to the old address.
       peer.liveness = PeerLiveness{};
     }
     peer.entry = entry;
@@ -57,8 +57,9 @@
   Candidates alive = this->Find(/*suspected=*/false, /*due_only=*/true);
   while (std::ssize(partners) < count && take(&alive)) {
   }
-  // Too few answer: cut off, or just woken. Nothing better can be done with
-  // the calls, and the end of it is found soon.
+  // Too few peers answer: this host was cut off or has just been resumed. The
+  // calls have no better use, and calling suspects finds out soon when they
+  // answer again.
   Candidates suspects = this->Find(/*suspected=*/true, /*due_only=*/false);
   while (std::ssize(partners) < count && take(&suspects)) {
   }
@@ -103,7 +104,7 @@
   const std::int64_t backoff_ms =
       std::min(this->settings.backoff_max_ms,
                this->settings.backoff_base_ms << doublings);
-  std::uniform_real_distribution<double> share(kLeastBackoffShare, 1.0);
+  std::uniform_real_distribution<double> share(kMinBackoffShare, 1.0);
   peer.liveness.next_try_ms =
       this->clock.MonotonicMs() +
       static_cast<std::int64_t>(static_cast<double>(backoff_ms) *
@@ -116,7 +117,8 @@
       incarnation < found->second.liveness.incarnation) {
     return false;
   }
-  // Its calls reach us; whether ours reach it, one call will tell.
+  // Calls from the peer arrive. Whether calls to it do is not known: one more
+  // failure makes it suspected again.
   PeerLiveness& liveness = found->second.liveness;
   liveness.failures =
       std::min(liveness.failures, this->settings.suspect_after_failures - 1);
@@ -180,8 +182,8 @@
                                                        : Distance::kOtherRegion;
 }
 
-// A distance is drawn first, then a peer: however many peers stand far away,
-// they get only that distance's share.
+// Draws a distance first, then a peer at this distance, so that distant peers
+// get only the share of their distance however many they are.
 const PeerDirectory::Peer* PeerDirectory::Draw(Candidates* candidates) {
   std::array<double, 3> weights = {0, 0, 0};
   const std::array<double, 3> shares = {this->settings.same_zone_weight,
--- a/src/exchange/peer_directory.h
+++ b/src/exchange/peer_directory.h
@@ -14,82 +14,82 @@
 
 namespace meadowthread {
 
-/// @brief Where a host stands.
-struct HostPlace {
+/// @brief Availability zone and region of a host.
+struct HostLocation {
   std::string zone;
   std::string region;
 
-  friend bool operator==(const HostPlace&, const HostPlace&) = default;
+  friend bool operator==(const HostLocation&, const HostLocation&) = default;
 };
 
-/// @brief One entry host of the host list.
+/// @brief One host of the host list.
 struct PeerEntry {
   RpcPeer peer;
-  HostPlace place;
+  HostLocation place;
 };
 
-/// @brief How partners are chosen and failures dealt with.
+/// @brief Settings of peer selection and backoff.
 struct PeerSettings {
-  // Shares of the choices that go to each distance, relative to each other.
+  // Relative weights of the distances in the selection.
   double same_zone_weight = 0.6;
   double same_region_weight = 0.25;
   double other_region_weight = 0.15;
   int suspect_after_failures = 2;
   std::int64_t backoff_base_ms = 1000;
   std::int64_t backoff_max_ms = 10000;
-  /// One choice in this many may go to a suspected peer.
+  /// One selection in this many may go to a suspected peer.
   int choices_per_probe = 8;
 };
 
-/// @brief What is known of a peer's liveness.
+/// @brief What is known about whether a peer is alive.
 struct PeerLiveness {
-  std::int64_t incarnation = 0;  ///< 0: never heard of
+  std::int64_t incarnation = 0;  ///< 0: no message from it yet
   int failures = 0;              ///< since the last success
   std::int64_t next_try_ms = 0;  ///< monotonic
 };
 
-/// @brief Counts of peers.
+/// @brief Number of peers by liveness.
 struct PeerCounts {
   int alive = 0;
   int suspected = 0;
 };
 
-/// @brief The other entry hosts: the host list says who is there, calls find
-/// out who answers. Serves speed only.
+/// @brief Membership of the exchange: the host list tells which hosts exist,
+/// calls tell which of them answer. Affects only speed, not correctness.
 class PeerDirectory {
  public:
-  /// @param[in] self this host's name; it is never its own partner
+  /// @param[in] self this host's name; it is never chosen
   /// @param[in] clock outlives this
-  PeerDirectory(std::string_view self, const HostPlace& place,
+  PeerDirectory(std::string_view self, const HostLocation& place,
                 const PeerSettings& settings, std::uint64_t seed,
                 const Clock& clock);
 
-  /// @brief Takes the host list; peers that stay keep their history.
+  /// @brief Replaces the host list; peers that remain keep their history.
   void SetHosts(std::span<const PeerEntry> hosts);
 
-  /// @brief Up to `count` partners, none twice, none with a call in progress.
+  /// @brief Chooses up to `count` different peers without a call in progress.
   std::vector<RpcPeer> Choose(int count);
 
   void OnCallStarted(std::string_view name);
 
   /// @brief The peer answered a call.
-  /// @return whether it restarted since it was last heard of
+  /// @return whether it has restarted since its last message
   bool OnAnswered(std::string_view name, std::int64_t incarnation);
 
-  /// @brief A call to the peer wasn't made after all.
+  /// @brief A call to the peer was not sent after all.
   void OnNotSent(std::string_view name);
 
   /// @brief A call to the peer failed.
   void OnFailed(std::string_view name);
 
-  /// @brief The peer called. A message of an earlier incarnation tells nothing
-  /// about the present one.
-  /// @return whether it restarted since it was last heard of
+  /// @brief The peer called. A message of an earlier incarnation is ignored, as
+  /// it says nothing about the present one.
+  /// @return whether it has restarted since its last message
   bool OnHeard(std::string_view name, std::int64_t incarnation);
 
   bool IsSuspected(std::string_view name) const;
   bool IsKnown(std::string_view name) const;
-  /// @brief Whether the peer stands in this host's region.
+  /// @brief Whether the peer is in this host's region.
   bool IsInRegion(std::string_view name) const;
   PeerCounts Counts() const;
 
@@ -109,7 +109,7 @@
   const Peer* Draw(Candidates* candidates);
 
   std::string self;
-  HostPlace place;
+  HostLocation place;
   PeerSettings settings;
   const Clock& clock;
   std::mt19937_64 random;
--- a/src/exchange/replicated_source.cc
+++ b/src/exchange/replicated_source.cc
@@ -6,7 +6,7 @@
 namespace meadowthread {
 namespace {
 
-// Where bytes are short, what matters most goes first.
+// Sent first when bytes are scarce, most important first.
 constexpr std::array<std::string_view, 2> kUrgentKinds = {kMarksKind,
                                                           "ownership"};
 
--- a/src/exchange/replicated_source.h
+++ b/src/exchange/replicated_source.h
@@ -8,7 +8,7 @@
 
 namespace meadowthread {
 
-/// @brief The host's ReplicatedView, as the exchange sees it.
+/// @brief Adapts the host's ReplicatedView to the exchange.
 class ReplicatedSource final : public ExchangeSource {
  public:
   /// @param[in] view outlives this
@@ -23,7 +23,7 @@
 
  private:
   ReplicatedView& view;
-  int changed_objects = 0;  ///< since the start, counted by the listener
+  int changed_objects = 0;  ///< total since the start, counted by a listener
 };
 
 }  // namespace meadowthread
--- a/src/exchange/rpc_channel.h
+++ b/src/exchange/rpc_channel.h
@@ -10,32 +10,33 @@
 
 namespace meadowthread {
 
-/// @brief Where an entry host answers control calls.
+/// @brief Where a host answers control calls.
 struct RpcPeer {
   std::string name;
-  std::string address;  ///< an IP number
+  std::string address;  ///< an IP address
   std::uint16_t control_port = 0;
 
   friend bool operator==(const RpcPeer&, const RpcPeer&) = default;
 };
 
-/// @brief Told the result's JSON text, or an error with step and peer.
+/// @brief Receives the JSON text of the result, or an error with step and peer.
 using RpcDone = std::function<void(const absl::StatusOr<std::string>&)>;
 
-/// @brief Calls between entry hosts.
+/// @brief Sends control calls to other hosts.
 ///
-/// A call may arrive twice (a reused connection that died): methods have to be
-/// idempotent.
+/// A call may arrive twice, when a reused connection breaks and the call is
+/// repeated, so methods have to be idempotent.
 class RpcChannel {
  public:
   virtual ~RpcChannel() = default;
 
   /// @brief Calls `method` of `peer`.
   /// @param[in] params JSON text of an object
-  /// @param[in] limit_ms the call's time limit, waiting for its turn included
-  /// @param[in] done called once, later, on the event loop's thread
+  /// @param[in] timeout_ms includes the time in the queue
+  /// @param[in] done called once, never before this returns, on the event
+  /// loop's thread
   virtual void Call(const RpcPeer& peer, std::string_view method,
-                    std::string_view params, std::int64_t limit_ms,
+                    std::string_view params, std::int64_t timeout_ms,
                     const RpcDone& done) = 0;
 };
 
--- a/src/exchange/rpc_client.cc
+++ b/src/exchange/rpc_client.cc
@@ -12,7 +12,7 @@
 
 constexpr char kStep[] = "rpc_call";
 
-/// What a worker needs of a call.
+/// A call as given to a worker thread.
 struct CallTask {
   RpcPeer peer;
   std::string method;
@@ -36,7 +36,7 @@
   return MakeError(code, detail, message);
 }
 
-// One client a worker thread: it keeps connections open between calls.
+// One client per worker thread, which keeps connections open between calls.
 detail::BlockingRpcClient& ThreadClient() {
   thread_local detail::BlockingRpcClient client;
   return client;
@@ -46,22 +46,22 @@
   const std::int64_t left_ms = task.deadline_ms - clock.MonotonicMs();
   if (left_ms <= 0) {
     return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerSilent,
-                   task.peer, "no worker was free within the time limit");
+                   task.peer, "no worker thread was free before the deadline");
   }
   const detail::RpcResult result =
       ThreadClient().Call(UrlOf(task.peer), task.method, task.params, left_ms);
-  switch (result.end) {
-    case detail::RpcEnd::kAnswered:
+  switch (result.outcome) {
+    case detail::RpcOutcome::kResult:
       return result.text;
-    case detail::RpcEnd::kRefused:
+    case detail::RpcOutcome::kPeerError:
       return RpcErrorFromData(result.text, result.message, task.peer.name);
-    case detail::RpcEnd::kMalformed:
+    case detail::RpcOutcome::kMalformed:
       return Failure(absl::StatusCode::kInternal, ErrorId::kPeerMalformed,
                      task.peer, result.message);
-    case detail::RpcEnd::kSilent:
+    case detail::RpcOutcome::kTimedOut:
       return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerSilent,
                      task.peer, result.message);
-    case detail::RpcEnd::kLost:
+    case detail::RpcOutcome::kConnectionLost:
       break;
   }
   return Failure(absl::StatusCode::kUnavailable, ErrorId::kConnectionLost,
@@ -83,7 +83,7 @@
 }
 
 void RpcClient::Call(const RpcPeer& peer, std::string_view method,
-                     std::string_view params, std::int64_t limit_ms,
+                     std::string_view params, std::int64_t timeout_ms,
                      const RpcDone& done) {
   ++this->in_flight;
   if (this->in_flight > this->settings.max_in_flight) {
@@ -93,7 +93,7 @@
     return;
   }
   const CallTask task{peer, std::string(method), std::string(params),
-                      this->clock.MonotonicMs() + limit_ms};
+                      this->clock.MonotonicMs() + timeout_ms};
   this->pool.start(
       [this, task, done] { this->Deliver(done, Run(task, this->clock)); });
 }
--- a/src/exchange/rpc_client.h
+++ b/src/exchange/rpc_client.h
@@ -10,22 +10,23 @@
 
 namespace meadowthread {
 
-/// @brief Bounds of the calls in progress.
+/// @brief Limits of the calls in progress.
 struct RpcClientSettings {
-  int threads = 4;         ///< calls on the wire at once
-  int max_in_flight = 64;  ///< on the wire and waiting for a thread
+  int threads = 4;         ///< concurrent calls on the network
+  int max_in_flight = 64;  ///< on the network or waiting for a thread
 };
 
-/// @brief Calls over HTTP by libjsonrpccpp, on worker threads.
+/// @brief JSON-RPC client over HTTP, by libjsonrpccpp on worker threads.
 class RpcClient final : public RpcChannel {
  public:
-  /// @param[in] clock read from worker threads too; outlives the client
+  /// @param[in] clock also read by worker threads; outlives the client
   RpcClient(const RpcClientSettings& settings, const Clock& clock);
-  /// @brief Waits for calls on the wire; what still waits is dropped untold.
+  /// @brief Waits for calls on the network; drops queued ones without calling
+  /// `done`.
   ~RpcClient() override;
 
   void Call(const RpcPeer& peer, std::string_view method,
-            std::string_view params, std::int64_t limit_ms,
+            std::string_view params, std::int64_t timeout_ms,
             const RpcDone& done) override;
 
   int InFlight() const { return this->in_flight; }
@@ -36,7 +37,7 @@
   RpcClientSettings settings;
   const Clock& clock;
   int in_flight = 0;
-  QObject context;  ///< receives answers on the thread that made the client
+  QObject context;  ///< delivers results on the thread of the client's creation
   QThreadPool pool;
 };
 
--- a/src/exchange/rpc_dispatcher.cc
+++ b/src/exchange/rpc_dispatcher.cc
@@ -65,8 +65,9 @@
 
 }  // namespace
 
-// The library's handler answers within the call. A method that answers later
-// leaves a DeferredCall behind, and its envelope is written when it ends.
+// The library expects the result when its handler returns. To allow
+// asynchronous methods, the handler only stores a DeferredCall; the JSON-RPC
+// envelope is written when the method replies.
 class RpcDispatcher::Methods final
     : public jsonrpc::IProcedureInvokationHandler {
  public:
--- a/src/exchange/rpc_dispatcher.h
+++ b/src/exchange/rpc_dispatcher.h
@@ -10,21 +10,22 @@
 
 namespace meadowthread {
 
-/// @brief A method answered at once: parameters' JSON text to result's.
+/// @brief A synchronous method: takes the JSON text of the parameters, returns
+/// that of the result.
 using RpcHandler =
     std::function<absl::StatusOr<std::string>(std::string_view params)>;
 
-/// @brief Given a method's result, at once or later, once.
+/// @brief Receives the result of a method, to be called once, at once or later.
 using RpcReply = std::function<void(const absl::StatusOr<std::string>&)>;
 
-/// @brief A method answered later.
+/// @brief An asynchronous method.
 using RpcDeferredHandler =
     std::function<void(std::string_view params, const RpcReply& reply)>;
 
-/// @brief Given the text of the whole JSON-RPC answer.
+/// @brief Receives the complete text of a JSON-RPC response.
 using RpcAnswer = std::function<void(std::string_view answer)>;
 
-/// @brief Finds the method of a JSON-RPC 2.0 request, by libjsonrpccpp.
+/// @brief Dispatches JSON-RPC 2.0 requests to methods, by libjsonrpccpp.
 class RpcDispatcher {
  public:
   RpcDispatcher();
@@ -32,15 +33,15 @@
   RpcDispatcher(const RpcDispatcher&) = delete;
   RpcDispatcher& operator=(const RpcDispatcher&) = delete;
 
-  /// @brief Adds a method; a name has one handler.
+  /// @brief Adds a synchronous method; a name has one handler.
   void Register(std::string_view method, const RpcHandler& handler);
 
-  /// @brief Adds a method that answers later.
+  /// @brief Adds an asynchronous method.
   void RegisterDeferred(std::string_view method,
                         const RpcDeferredHandler& handler);
 
-  /// @brief Handles one request; whatever its bytes are, it is answered.
-  /// Batches are refused, so that a body's size bounds its work.
+  /// @brief Handles one request; malformed bytes get an error response. Batches
+  /// are refused, so that the body size limits the work per request.
   /// @param[in] answer called once
   void Handle(std::string_view request, const RpcAnswer& answer);
 
--- a/src/exchange/rpc_error.cc
+++ b/src/exchange/rpc_error.cc
@@ -29,7 +29,7 @@
   }
   const auto internal = static_cast<int>(absl::StatusCode::kInternal);
   const std::int64_t code = IntOr(value, "status", internal);
-  // An error answer is never a success, whatever its data says.
+  // An error response must not become an OK status, whatever its data says.
   const bool known = code > 0 && code <= 16;
   return MakeError(static_cast<absl::StatusCode>(known ? code : internal),
                    detail, message);
--- a/src/exchange/rpc_error.h
+++ b/src/exchange/rpc_error.h
@@ -8,14 +8,14 @@
 
 namespace meadowthread {
 
-/// @brief The `data` of a JSON-RPC error that carries `status` whole.
+/// @brief The `data` of a JSON-RPC error, with the code and detail of `status`.
 std::string RpcErrorData(const absl::Status& status);
 
-/// @brief The status that a peer's error carries; kRejectedByPeer where it
-/// carries none.
+/// @brief The status in a peer's JSON-RPC error; kRejectedByPeer if it has
+/// none.
 /// @param[in] data JSON text of the error's `data`
 /// @param[in] message the error's message
-/// @param[in] peer named where the error names none
+/// @param[in] peer name to use if the error names none
 absl::Status RpcErrorFromData(std::string_view data, std::string_view message,
                               std::string_view peer);
 
--- a/src/exchange/rpc_server.cc
+++ b/src/exchange/rpc_server.cc
@@ -14,9 +14,9 @@
   ServerLimits limits;
   limits.max_body_bytes = settings.max_body_bytes;
   limits.max_header_bytes = settings.max_header_bytes;
-  limits.header_timeout_ms = settings.idle_limit_ms;
-  limits.body_timeout_ms = settings.idle_limit_ms;
-  limits.idle_timeout_ms = settings.idle_limit_ms;
+  limits.header_timeout_ms = settings.idle_timeout_ms;
+  limits.body_timeout_ms = settings.idle_timeout_ms;
+  limits.idle_timeout_ms = settings.idle_timeout_ms;
   limits.max_connections = settings.max_connections;
   return limits;
 }
@@ -57,7 +57,8 @@
     SendEmpty(*writer, http_code::kMethodNotAllowed);
     return;
   }
-  // Shared, as a method may answer later; the caller may be gone by then.
+  // Shared, as an asynchronous method replies after this returns; the caller
+  // may have disconnected by then.
   const std::shared_ptr<ResponseWriter> answers = std::move(writer);
   this->dispatcher.Handle(request.body, [answers](std::string_view answer) {
     WholeResponse response;
--- a/src/exchange/rpc_server.h
+++ b/src/exchange/rpc_server.h
@@ -13,36 +13,36 @@
 
 namespace meadowthread {
 
-/// @brief Bounds of what a control connection may do.
+/// @brief Limits of control connections.
 struct RpcServerSettings {
   std::int64_t max_body_bytes = std::int64_t{1} << 20;
   std::int64_t max_header_bytes = std::int64_t{16} << 10;
-  int idle_limit_ms = 30000;  ///< longest wait for a next whole request
+  int idle_timeout_ms = 30000;  ///< for the next complete request
   std::size_t max_connections = 1024;
 };
 
-/// @brief Answers JSON-RPC on the control port: `POST /rpc`.
+/// @brief JSON-RPC server on the control port: `POST /rpc`.
 class RpcServer final : public HttpService {
  public:
   explicit RpcServer(const RpcServerSettings& settings);
 
-  /// @brief Adds a method answered at once.
+  /// @brief Adds a synchronous method.
   void Register(std::string_view method, const RpcHandler& handler);
 
-  /// @brief Adds a method answered later.
+  /// @brief Adds an asynchronous method.
   void RegisterDeferred(std::string_view method,
                         const RpcDeferredHandler& handler);
 
-  /// @brief Listens.
-  /// @param[in] port 0: any free one
+  /// @brief Starts to listen.
+  /// @param[in] port 0: any free port
   /// @return the port, or kSettingsInvalid
   absl::StatusOr<std::uint16_t> Listen(const QHostAddress& address,
                                        std::uint16_t port);
 
-  /// @brief From now on each connection ends after its present answer.
+  /// @brief Closes each connection after its current response.
   void CloseConnections() { this->server.CloseConnections(); }
 
-  /// @brief Connections whose peers may still get an answer.
+  /// @brief Number of connections whose peers may still get a response.
   std::size_t Owed() const { return this->server.Owed(); }
 
   void Serve(const ServerRequest& request,
--- a/src/exchange/stop_datagrams.h
+++ b/src/exchange/stop_datagrams.h
@@ -14,13 +14,14 @@
 
 namespace meadowthread {
 
-/// @brief How long until so many peers are told again, milliseconds: bounded by
-/// the bytes that it takes.
-std::int64_t StopAgainMs(std::size_t peers);
+/// @brief Interval between announcements of a planned stop to `peers` hosts, in
+/// milliseconds: long enough to limit the bytes per second.
+std::int64_t StopRepeatMs(std::size_t peers);
 
-/// @brief Hosts that stop tell the others for how long they are away.
+/// @brief Announces planned stops of this host to the others and records
+/// theirs: when a stopping host will accept requests again.
 ///
-/// Late, lost or doubled it makes a time to come back worse, and nothing else.
+/// A late, lost or duplicated datagram only makes that time less accurate.
 class StopDatagrams {
  public:
   /// @param[in] hub,clock,scheduler outlive this
@@ -28,29 +29,31 @@
   StopDatagrams(const StopDatagrams&) = delete;
   StopDatagrams& operator=(const StopDatagrams&) = delete;
 
-  /// @brief This host stops: tells so now and again.
-  /// @param[in] back_ms when it takes requests again at the latest, monotonic
+  /// @brief Starts to announce, repeatedly, that this host is stopping.
+  /// @param[in] back_ms latest time at which it accepts requests again,
+  /// monotonic
   void Begin(std::int64_t back_ms);
 
-  /// @brief This host's process ends now.
-  /// @param[in] back_in_ms it takes requests again so much later
+  /// @brief Announces once that this host's process exits now.
+  /// @param[in] back_in_ms time from now until it accepts requests again
   void TellEnd(std::int64_t back_in_ms);
 
-  /// @brief Takes another host's word.
-  /// @param[in] payload [milliseconds until it takes requests again]
-  void Take(std::string_view host, const nlohmann::json& payload);
+  /// @brief Receives another host's announcement.
+  /// @param[in] payload [milliseconds until it accepts requests again]
+  void Receive(std::string_view host, const nlohmann::json& payload);
 
-  /// @brief How long until a host takes requests again, milliseconds; 0: it
-  /// has not told that it stops.
+  /// @brief Milliseconds until a host accepts requests again; 0 if it announced
+  /// no stop or the time has passed.
   std::int64_t BackInMs(std::string_view host) const;
 
  private:
-  void Step();
+  void AnnounceAndReschedule();
 
   DatagramHub& hub;
   const Clock& clock;
   Scheduler& scheduler;
-  std::map<std::string, std::int64_t, std::less<>> back;  ///< monotonic
+  std::map<std::string, std::int64_t, std::less<>>
+      return_times_ms;  ///< monotonic, by host
   std::int64_t own_back_ms = 0;
   Lifetime life;
 };
--- a/src/exchange/tests/exchanger_test.cc
+++ b/src/exchange/tests/exchanger_test.cc
@@ -1,5 +1,5 @@
-// How a fleet comes to know a change: real exchange code, virtual time, a fake
-// network with losses, cuts and frozen hosts.
+// How changes spread over a fleet: real exchange code in virtual time on a fake
+// network with packet loss, partitions and frozen hosts.
 #include "exchange/exchanger.h"
 
 #include <criterion/criterion.h>
@@ -20,7 +20,7 @@
   FakeFleet fleet({50, 6, 2}, {}, 1);
   fleet.Run(kWarmUpMs);
   const StoredObject mark = ObjectOf(kMarksKind, "pasig-4", 7);
-  fleet.At(0).Read(mark);
+  fleet.At(0).ReceiveFromStore(mark);
   cr_assert(fleet.RunUntilHeld(0, mark, kSecondMs));
 }
 
@@ -34,11 +34,11 @@
   fleet.network.SetDelay([](const auto&, const auto&) { return 40; });
   fleet.Run(kWarmUpMs);
   const StoredObject mark = ObjectOf(kMarksKind, "pasig-4", 7);
-  fleet.At(frozen).Read(mark);
+  fleet.At(frozen).ReceiveFromStore(mark);
   cr_assert(fleet.RunUntilHeld(frozen, mark, kInForceMs));
 }
 
-Test(a_change, offered_by_an_operator_is_told_on) {
+Test(a_change, offered_by_an_operator_is_propagated) {
   FakeFleet fleet({9, 3, 1}, {}, 3);
   fleet.Run(kWarmUpMs);
   const StoredObject mark = ObjectOf(kMarksKind, "makati-1", 9);
@@ -48,7 +48,7 @@
   cr_assert(fleet.RunUntilHeld(0, mark, kSecondMs));
 }
 
-Test(a_change, known_to_all_is_sent_no_more) {
+Test(a_change, that_every_host_holds_is_not_sent_again) {
   FakeFleet fleet({9, 3, 1}, {}, 3);
   fleet.Run(kWarmUpMs);
   const StoredObject mark = ObjectOf(kMarksKind, "makati-1", 9);
@@ -68,14 +68,14 @@
   cr_assert(items_sent() == before);
 }
 
-Test(an_older_copy, never_takes_a_version_back) {
+Test(an_older_copy, never_overwrites_a_newer_version) {
   FakeFleet fleet({9, 3, 1}, {}, 4);
   const StoredObject old_template = ObjectOf(kTemplatesKind, "lukot", 3, "old");
   const StoredObject new_template = ObjectOf(kTemplatesKind, "lukot", 8, "new");
   for (int host = 0; host < 8; ++host) {
-    fleet.At(host).Read(new_template);
+    fleet.At(host).ReceiveFromStore(new_template);
   }
-  fleet.At(8).Read(old_template);
+  fleet.At(8).ReceiveFromStore(old_template);
   cr_assert(fleet.RunUntilHeld(0, new_template, kInForceMs));
   const std::string offer =
       EncodeOffer(std::vector<StoredObject>{old_template});
@@ -84,12 +84,13 @@
   cr_assert(fleet.Holding(0, new_template) == 9);
 }
 
-Test(a_restarted_host, learns_all_from_its_peers) {
+Test(a_restarted_host, gets_all_objects_from_its_peers) {
   FakeFleet fleet({9, 3, 1}, {}, 5);
   constexpr int kObjects = 400;
   for (int object = 1; object <= kObjects; ++object) {
-    fleet.At(0).Read(ObjectOf(kTemplatesKind, absl::StrCat("t-", object),
-                              object, std::string(1000, 'x')));
+    fleet.At(0).ReceiveFromStore(ObjectOf(kTemplatesKind,
+                                          absl::StrCat("t-", object), object,
+                                          std::string(1000, 'x')));
   }
   const StoredObject last =
       ObjectOf(kTemplatesKind, absl::StrCat("t-", kObjects), kObjects);
@@ -101,7 +102,7 @@
   cr_assert(fleet.At(5).view.Live(kTemplatesKind).size() == kObjects);
 }
 
-Test(a_restarted_host, that_no_peer_answers_has_not_caught_up) {
+Test(a_restarted_host, without_an_answer_from_any_peer_has_not_caught_up) {
   FakeFleet fleet({3, 3, 1}, {}, 6);
   fleet.network.Freeze("host-1");
   fleet.network.Freeze("host-2");
@@ -109,24 +110,24 @@
   cr_assert(!fleet.At(0).exchanger.HasCaughtUp());
 }
 
-Test(whole_state, goes_unasked_to_no_host_close_behind) {
+Test(full_state, is_not_sent_unrequested_to_a_host_slightly_behind) {
   FakeFleet fleet({2, 1, 1}, {}, 13);
   constexpr int kObjects = 100;
   ObjectList all{kObjects + 50, {}};
   for (int object = 1; object <= kObjects; ++object) {
     all.items.push_back(ObjectOf(kTemplatesKind, absl::StrCat("t-", object),
                                  object, std::string(1000, 'x')));
-    fleet.At(1).Read(all.items.back());
+    fleet.At(1).ReceiveFromStore(all.items.back());
   }
   fleet.At(0).view.ApplyList(kTemplatesKind, 0, all, {});
-  fleet.Run(kAskAnewAfterMs / 2);
+  fleet.Run(kRequestFullStateAfterMs / 2);
   cr_assert(fleet.At(0).exchanger.Stats().items_sent == 0);
-  // No other host helps it on, so that it asks.
+  // There is no other host with a delta, so it requests the full state.
   cr_assert(fleet.RunUntil(
       [&] {
         return fleet.At(1).view.Digest(kTemplatesKind).revision == all.revision;
       },
-      2 * kAskAnewAfterMs));
+      2 * kRequestFullStateAfterMs));
   fleet.Run(20 * kSecondMs);
   cr_assert(fleet.At(0).exchanger.Stats().items_sent == kObjects);
 }
@@ -134,12 +135,12 @@
 Test(an_object_too_large_for_a_request, travels_in_answers) {
   FakeFleet fleet({4, 1, 1}, {}, 14);
   const StoredObject small = ObjectOf(kTemplatesKind, "small", 2);
-  fleet.At(0).Read(small);
+  fleet.At(0).ReceiveFromStore(small);
   cr_assert(fleet.RunUntilHeld(0, small, kInForceMs));
-  // Each quote takes two bytes on the wire.
+  // JSON escapes each quote, which doubles the size on the network.
   const StoredObject large =
       ObjectOf(kTemplatesKind, "large", 5, std::string(900000, '"'));
-  fleet.At(0).Read(large);
+  fleet.At(0).ReceiveFromStore(large);
   cr_assert(fleet.RunUntilHeld(0, large, 60 * kSecondMs));
   cr_assert(fleet.network.LargestRequest() < std::size_t{1} << 20);
 }
@@ -156,8 +157,8 @@
   fleet.Run(120 * kSecondMs);
   const StoredObject left = ObjectOf(kTemplatesKind, "lukot", 20);
   const StoredObject right = ObjectOf(kMarksKind, "laredo-2", 21);
-  fleet.At(0).Read(left);
-  fleet.At(1).Read(right);
+  fleet.At(0).ReceiveFromStore(left);
+  fleet.At(1).ReceiveFromStore(right);
   fleet.Run(10 * kSecondMs);
   cr_assert(fleet.Holding(0, left) == 12 && fleet.Holding(0, right) == 12);
   fleet.network.SetDelay([](const auto&, const auto&) { return 1; });
@@ -191,14 +192,15 @@
   std::int64_t version = 0;
   for (int tick = 0; tick < kSeconds * 10; ++tick) {
     ++version;
-    fleet.At(0).Read(ObjectOf(kTemplatesKind, absl::StrCat("t-", version % 100),
-                              version, std::string(4000, 'x')));
+    fleet.At(0).ReceiveFromStore(ObjectOf(kTemplatesKind,
+                                          absl::StrCat("t-", version % 100),
+                                          version, std::string(4000, 'x')));
     fleet.Run(kSecondMs / 10);
   }
   const std::int64_t rate =
       settings.news_bytes_per_second + settings.bulk_bytes_per_second;
   const std::int64_t burst =
-      settings.news_burst_bytes + settings.bulk_burst_bytes;
+      settings.regular_burst_bytes + settings.bulk_burst_bytes;
   for (int host = 0; host < fleet.Size(); ++host) {
     const ExchangeStats stats = fleet.At(host).exchanger.Stats();
     const std::int64_t messages = 2 * (stats.calls + stats.served);
@@ -233,7 +235,7 @@
   cr_assert(exchanger.Stats().malformed == 7);
 }
 
-Test(a_message, under_a_wrong_name_is_not_taken) {
+Test(a_message, from_an_unexpected_host_name_is_rejected) {
   FakeFleet fleet({3, 1, 1}, {}, 11);
   // The address of host-1 now belongs to host-2.
   fleet.network.Attach("host-1", [&fleet](auto, auto params) {
@@ -280,11 +282,11 @@
   const auto read = DecodeExchange(EncodeExchange(message), "pasig-1");
   cr_assert(read.ok() && read->from == "pasig-1" && read->incarnation == 17);
   cr_assert(read->loads == message.loads);
-  const ViewPart& view = read->views.at(0);
+  const KindUpdate& view = read->views.at(0);
   cr_assert(view.digest == message.views.at(0).digest);
   cr_assert(view.delta->items == delta.items);
   cr_assert(view.delta->since == 4 && view.delta->revision == 9);
-  cr_assert(view.delta->full && view.delta->cut && view.ask_anew);
+  cr_assert(view.delta->full && view.delta->cut && view.full_state_required);
 }
 
 }  // namespace
--- a/src/exchange/tests/fake_fleet.h
+++ b/src/exchange/tests/fake_fleet.h
@@ -17,7 +17,7 @@
                                                            kTemplatesKind};
 inline constexpr std::int64_t kStartMs = 1000000;
 
-/// @brief How hosts of a fake fleet are spread.
+/// @brief Numbers of hosts, zones and regions of a fake fleet.
 struct FleetShape {
   int hosts = 9;
   int zones = 3;
@@ -27,7 +27,7 @@
 /// @brief One host with the real exchange on a fake network.
 class FakeHost {
  public:
-  FakeHost(const std::string& name, const HostPlace& place,
+  FakeHost(const std::string& name, const HostLocation& place,
            std::int64_t incarnation, const ExchangeSettings& settings,
            std::uint64_t seed, FakeNetwork& network, ManualScheduler& scheduler,
            const ManualClock& clock)
@@ -45,8 +45,9 @@
         });
   }
 
-  /// @brief As a watch of the platform brings it, and told on.
-  void Read(const StoredObject& item) {
+  /// @brief Applies an object as a watch of the object store delivers it, and
+  /// reports the change to the exchange.
+  void ReceiveFromStore(const StoredObject& item) {
     const std::int64_t since = this->view.Digest(item.kind).revision;
     this->view.ApplyList(item.kind, since, {item.version, {item}}, {});
     this->exchanger.NoteChange(item.kind);
@@ -64,7 +65,7 @@
   Exchanger exchanger;
 };
 
-/// @brief Hosts that all know each other from one host list.
+/// @brief Hosts that all use the same host list.
 class FakeFleet {
  public:
   FakeFleet(const FleetShape& fleet_shape,
@@ -79,7 +80,7 @@
     }
   }
 
-  /// @brief Starts a host, or starts it anew without anything it knew.
+  /// @brief Starts a host, or restarts it with an empty view.
   void StartHost(int host) {
     const PeerEntry& entry = this->entries[static_cast<std::size_t>(host)];
     auto& slot = this->hosts[static_cast<std::size_t>(host)];
@@ -100,16 +101,16 @@
   }
   int Size() const { return this->shape.hosts; }
 
-  /// @brief Runs what is due within `for_ms`.
+  /// @brief Advances virtual time by `for_ms` and runs the tasks that are due.
   void Run(std::int64_t for_ms) {
     this->RunUntil([] { return false; }, for_ms);
   }
 
-  /// @brief Runs until `condition` holds, at most for `most_ms`.
+  /// @brief Runs until `condition` holds, for at most `max_ms`.
   /// @return whether it holds
   template <class Condition>
-  bool RunUntil(const Condition& condition, std::int64_t most_ms) {
-    const std::int64_t end_ms = this->clock.MonotonicMs() + most_ms;
+  bool RunUntil(const Condition& condition, std::int64_t max_ms) {
+    const std::int64_t end_ms = this->clock.MonotonicMs() + max_ms;
     while (!condition()) {
       if (this->scheduler.RunOne()) {
         continue;
@@ -132,10 +133,10 @@
   }
 
   /// @brief Runs until all hosts from `first` hold this version.
-  bool RunUntilHeld(int first, const StoredObject& item, std::int64_t most_ms) {
+  bool RunUntilHeld(int first, const StoredObject& item, std::int64_t max_ms) {
     const int wanted = this->shape.hosts - first;
     return this->RunUntil([&] { return this->Holding(first, item) == wanted; },
-                          most_ms);
+                          max_ms);
   }
 
   ManualClock clock{kStartMs};
@@ -159,7 +160,7 @@
   std::vector<std::unique_ptr<FakeHost>> hosts;
 };
 
-/// @brief An object of a kind at a version.
+/// @brief Makes an object of a kind at a version.
 inline StoredObject ObjectOf(std::string_view kind, const std::string& name,
                              std::int64_t version,
                              const std::string& value = "{}") {
--- a/src/exchange/tests/fake_network.h
+++ b/src/exchange/tests/fake_network.h
@@ -16,15 +16,15 @@
 
 namespace meadowthread::fake {
 
-/// @brief What a host answers with.
+/// @brief Handles the calls to a host.
 using Serve = std::function<absl::StatusOr<std::string>(
     std::string_view method, std::string_view params)>;
 
-/// @brief Calls between hosts in one process: fixed delays, loss, frozen hosts
-/// and cuts on request.
+/// @brief Delivers calls between hosts of one process, with configurable
+/// delays, loss, frozen hosts and partitions.
 class FakeNetwork {
  public:
-  /// @brief The delay one way between two hosts, in ms; negative: cut.
+  /// @brief One-way delay between two hosts, in ms; negative: partitioned.
   using Delay =
       std::function<std::int64_t(const std::string&, const std::string&)>;
 
@@ -36,7 +36,7 @@
   }
   void SetDelay(const Delay& host_delay) { this->delay = host_delay; }
   void SetLoss(double share) { this->loss = share; }
-  /// @brief A frozen host answers nothing and sends nothing.
+  /// @brief Makes a host answer nothing and send nothing.
   void Freeze(const std::string& host) { this->frozen.insert(host); }
   void Thaw(const std::string& host) { this->frozen.erase(host); }
 
@@ -44,26 +44,26 @@
 
   void Call(const std::string& from, const RpcPeer& peer,
             std::string_view method, std::string_view params,
-            std::int64_t limit_ms, const RpcDone& done) {
+            std::int64_t timeout_ms, const RpcDone& done) {
     this->largest_request = std::max(this->largest_request, params.size());
     const std::int64_t way_ms = this->delay(from, peer.name);
     if (way_ms < 0 || this->frozen.contains(peer.name) ||
         this->frozen.contains(from) || this->IsLost()) {
-      this->Silent(peer, limit_ms, done);
+      this->TimeOut(peer, timeout_ms, done);
       return;
     }
     const std::string name(method);
     const std::string text(params);
     this->scheduler.After(
-        way_ms, [this, peer, name, text, way_ms, limit_ms, done] {
+        way_ms, [this, peer, name, text, way_ms, timeout_ms, done] {
           const auto found = this->hosts.find(peer.name);
           if (found == this->hosts.end() || this->frozen.contains(peer.name)) {
-            this->Silent(peer, limit_ms - way_ms, done);
+            this->TimeOut(peer, timeout_ms - way_ms, done);
             return;
           }
           const absl::StatusOr<std::string> answer = found->second(name, text);
           if (this->IsLost()) {
-            this->Silent(peer, limit_ms - way_ms, done);
+            this->TimeOut(peer, timeout_ms - way_ms, done);
             return;
           }
           this->scheduler.After(way_ms, [done, answer] { done(answer); });
@@ -75,7 +75,8 @@
     return std::bernoulli_distribution(this->loss)(this->random);
   }
 
-  void Silent(const RpcPeer& peer, std::int64_t after_ms, const RpcDone& done) {
+  void TimeOut(const RpcPeer& peer, std::int64_t after_ms,
+               const RpcDone& done) {
     ErrorDetail detail;
     detail.id = ErrorId::kPeerSilent;
     detail.peer = peer.name;
@@ -93,16 +94,16 @@
   std::size_t largest_request = 0;
 };
 
-/// @brief One host's end of the network.
+/// @brief RpcChannel of one host on the fake network.
 class FakeChannel final : public RpcChannel {
  public:
   FakeChannel(FakeNetwork& fake_network, std::string host)
       : network(fake_network), from(std::move(host)) {}
 
   void Call(const RpcPeer& peer, std::string_view method,
-            std::string_view params, std::int64_t limit_ms,
+            std::string_view params, std::int64_t timeout_ms,
             const RpcDone& done) override {
-    this->network.Call(this->from, peer, method, params, limit_ms, done);
+    this->network.Call(this->from, peer, method, params, timeout_ms, done);
   }
 
  private:
--- a/src/exchange/tests/peer_directory_test.cc
+++ b/src/exchange/tests/peer_directory_test.cc
@@ -16,8 +16,8 @@
   return {{name, "127.0.0.1", port}, {zone, region}};
 }
 
-struct Directory {
-  Directory() {
+struct DirectoryFixture {
+  DirectoryFixture() {
     std::vector<PeerEntry> hosts = {EntryOf("self", "z0", "r0")};
     for (int host = 0; host < 5; ++host) {
       hosts.push_back(EntryOf(absl::StrCat("near-", host), "z0", "r0"));
@@ -34,7 +34,7 @@
 };
 
 Test(partners, are_mostly_near_however_many_are_far) {
-  Directory given;
+  DirectoryFixture given;
   std::map<char, int> counts;
   for (int choice = 0; choice < 4000; ++choice) {
     for (const RpcPeer& peer : given.directory.Choose(1)) {
@@ -48,7 +48,7 @@
 }
 
 Test(partners, are_never_chosen_twice_nor_while_a_call_is_in_progress) {
-  Directory given;
+  DirectoryFixture given;
   given.directory.OnCallStarted("near-1");
   const std::vector<RpcPeer> all = given.directory.Choose(500);
   cr_assert(all.size() == 109);
@@ -57,7 +57,7 @@
   }
 }
 
-Test(a_silent_peer, is_left_alone_for_longer_each_time) {
+Test(a_silent_peer, is_chosen_only_for_probes_after_its_backoff) {
   ManualClock clock(kStartMs);
   PeerDirectory directory("self", {"z0", "r0"}, {}, 3, clock);
   const std::vector<PeerEntry> hosts = {EntryOf("a", "z0", "r0"),
@@ -84,7 +84,7 @@
 }
 
 Test(a_restarted_peer, is_a_new_incarnation_and_trusted_again) {
-  Directory given;
+  DirectoryFixture given;
   cr_assert(!given.directory.OnAnswered("mid-1", 100));
   given.directory.OnFailed("mid-1");
   given.directory.OnFailed("mid-1");
@@ -96,7 +96,7 @@
 }
 
 Test(the_host_list, keeps_the_history_of_hosts_that_stay) {
-  Directory given;
+  DirectoryFixture given;
   const std::vector<PeerEntry> hosts = {EntryOf("near-1", "z0", "r0"),
                                         EntryOf("mid-1", "z1", "r0", 7001)};
   for (const char* const name : {"near-1", "mid-1"}) {
--- a/src/exchange/tests/rpc_test.cc
+++ b/src/exchange/tests/rpc_test.cc
@@ -1,5 +1,5 @@
-// Control calls between hosts: real sockets on loopback, and the dispatcher
-// alone for malformed bytes.
+// Control calls between hosts over real sockets on loopback; malformed bytes
+// also go to the dispatcher directly.
 #include <criterion/criterion.h>
 
 #include <QCoreApplication>
@@ -23,7 +23,8 @@
   QCoreApplication application{this->argc, nullptr};
   SystemClock clock;
 
-  // Waits for the event, not for a time.
+  // Returns as soon as the condition holds; kGenerousMs only ends a failed
+  // test.
   template <class Condition>
   bool Until(Condition condition) {
     const std::int64_t end_ms = this->clock.MonotonicMs() + kGenerousMs;
@@ -54,9 +55,9 @@
                                      const RpcPeer& peer,
                                      std::string_view method,
                                      std::string_view params,
-                                     std::int64_t limit_ms) {
+                                     std::int64_t timeout_ms) {
   std::optional<absl::StatusOr<std::string>> result;
-  client.Call(peer, method, params, limit_ms,
+  client.Call(peer, method, params, timeout_ms,
               [&result](const auto& got) { result = got; });
   cr_assert(loop.Until([&result] { return result.has_value(); }));
   return *result;
@@ -75,7 +76,7 @@
   return answer;
 }
 
-// Answers every connection with the same bytes.
+// Answers every request with the same bytes.
 struct RawServer {
   explicit RawServer(const QByteArray& answer, int repeats = 1) {
     QObject::connect(&this->server, &QTcpServer::newConnection, [=, this] {
@@ -105,7 +106,7 @@
   return answer;
 }
 
-Test(a_control_call, brings_back_the_result) {
+Test(a_control_call, returns_the_result) {
   Loop loop;
   RpcServer server{RpcServerSettings{}};
   const RpcPeer peer = Serve(server);
@@ -116,7 +117,7 @@
   cr_assert(client.InFlight() == 0);
 }
 
-Test(a_control_call, brings_back_an_error_with_step_field_and_peer) {
+Test(a_control_call, returns_an_error_with_step_field_and_peer) {
   Loop loop;
   RpcServer server{RpcServerSettings{}};
   const RpcPeer peer = Serve(server);
@@ -128,7 +129,7 @@
   cr_assert(absl::IsInvalidArgument(result.status()));
 }
 
-Test(a_control_call, goes_through_no_proxy_that_the_environment_names) {
+Test(a_control_call, ignores_proxies_from_the_environment) {
   setenv("http_proxy", "http://127.0.0.1:9", 1);
   Loop loop;
   RpcServer server{RpcServerSettings{}};
@@ -154,7 +155,7 @@
   cr_assert(got == R"({"taken":3})");
 }
 
-Test(a_control_call, ends_at_its_limit_where_the_peer_is_silent) {
+Test(a_control_call, times_out_if_the_peer_is_silent) {
   Loop loop;
   QTcpServer silent;
   silent.listen(QHostAddress::LocalHost, 0);
@@ -165,7 +166,7 @@
   cr_assert(DetailOf(result.status()).id == ErrorId::kPeerSilent);
 }
 
-Test(a_control_call, is_refused_where_too_many_are_in_progress) {
+Test(a_control_call, is_refused_if_too_many_are_in_progress) {
   Loop loop;
   QTcpServer silent;
   silent.listen(QHostAddress::LocalHost, 0);
@@ -182,7 +183,7 @@
   cr_assert(ends.back() == ErrorId::kPeerSilent);
 }
 
-Test(a_peers_answer, that_is_no_json_rpc_is_an_error_of_the_peer) {
+Test(a_peers_answer, that_is_not_json_rpc_is_an_error_of_the_peer) {
   Loop loop;
   RpcClient client({}, loop.clock);
   for (const char* const answer :
@@ -225,7 +226,7 @@
                 .find("-32700") != std::string::npos);
 }
 
-Test(malformed_bytes, that_are_no_http_end_the_connection) {
+Test(malformed_bytes, that_are_not_http_end_the_connection) {
   Loop loop;
   RpcServer server{RpcServerSettings{}};
   const RpcPeer peer = Serve(server);
@@ -233,7 +234,7 @@
   cr_assert(answer.startsWith("HTTP/1.1 400"), "%s", answer.constData());
 }
 
-Test(an_oversized_request, is_refused_before_it_is_whole) {
+Test(an_oversized_request, is_refused_before_it_is_complete) {
   Loop loop;
   RpcServerSettings settings;
   settings.max_body_bytes = 4096;
@@ -249,7 +250,7 @@
 Test(an_unfinished_request, is_dropped_after_the_idle_limit) {
   Loop loop;
   RpcServerSettings settings;
-  settings.idle_limit_ms = 50;
+  settings.idle_timeout_ms = 50;
   RpcServer server(settings);
   const RpcPeer peer = Serve(server);
   cr_assert(SendRaw(loop, peer, "POST /rpc HT").startsWith("HTTP/1.1 408"));
--- a/src/exchange/tests/view_datagrams_test.cc
+++ b/src/exchange/tests/view_datagrams_test.cc
@@ -1,4 +1,5 @@
-// Datagrams between hosts: loads, small changes, revisions of long ones.
+// Datagrams between hosts: load notes, small changes, and revisions of changes
+// that are too long for a datagram.
 #include "exchange/view_datagrams.h"
 
 #include <criterion/criterion.h>
@@ -71,7 +72,7 @@
   return {"servers", name, version, std::string(size, 'x'), false};
 }
 
-Test(a_small_change, goes_from_host_to_host_at_once) {
+Test(a_small_change, is_sent_from_host_to_host_at_once) {
   Fixture f;
   const std::array<StoredObject, 1> change = {Object("i-1", 7, 300)};
   f.a.view.ApplyItems(change);
@@ -79,13 +80,13 @@
   cr_assert(f.b.behind == 0);
 }
 
-Test(a_long_change, is_told_by_its_revision_and_read_where_it_does_not_come) {
+Test(a_long_change, is_announced_by_revision_and_reported_if_it_is_missing) {
   Fixture f;
   const std::array<StoredObject, 1> change = {Object("main", 9, 200'000)};
   f.a.view.ApplyItems(change);
   cr_assert(f.Until([&] { return f.b.behind == 1; }));
   cr_assert(f.b.VersionOf("main") == 0 && f.a.behind == 0);
-  // where it has come meanwhile, nobody reads it
+  // A host that has got the change in the meantime is not behind.
   const std::array<StoredObject, 1> next = {Object("main", 10, 200'000)};
   f.a.view.ApplyItems(next);
   f.b.view.ApplyItems(next);
@@ -94,9 +95,10 @@
   cr_assert(f.b.behind == 1);
 }
 
-// Found by fuzzing: the codec throws where it was asked not to, and each of
-// these ended the process.
-Test(bytes_that_are_no_datagram, cannot_end_the_process) {
+// Inputs found by fuzzing that crashed the process: an array with a declared
+// length beyond memory makes from_cbor throw even without exceptions allowed,
+// and deeply nested arrays overflow the stack.
+Test(malformed_datagrams, cannot_crash_the_process) {
   const std::string huge = "\x83\x61h\x61t\x9b\x7f\xff\xff\xff\xff\xff\xff\xff";
   cr_assert(!DecodeDatagram(huge).ok());
   for (const std::size_t depth : {std::size_t{8'192}, std::size_t{60'000}}) {
@@ -104,7 +106,7 @@
   }
 }
 
-Test(bytes_that_are_no_datagram, are_passed_over) {
+Test(malformed_datagrams, are_ignored) {
   Fixture f;
   QUdpSocket stranger;
   for (const std::string& bytes :
--- a/src/exchange/view_datagrams.cc
+++ b/src/exchange/view_datagrams.cc
@@ -14,15 +14,16 @@
 
 constexpr char kTopic[] = "items";
 constexpr char kRevisionTopic[] = "revision";
-// The exchange's own news brings a change of usual size within this.
-constexpr std::int64_t kBehindMs = 150;
-// Peers told by each host to whom a change is news: with four, all but two in a
-// hundred hear of it so; rounds bring the rest.
+// The exchange pushes a change of usual size within this time.
+constexpr std::int64_t kCatchUpGraceMs = 150;
+// Peers to which each host forwards a new change: with four, the datagrams
+// reach all but two in a hundred hosts; rounds of the exchange reach the rest.
 constexpr std::size_t kFanout = 4;
-// Beyond this a change is a whole read, which every host makes for itself.
-constexpr std::size_t kMostItems = 8;
-// What goes into one packet of most networks.
-constexpr std::size_t kMostBytes = 1'200;
+// A change with more items comes from a full read of the object store, which
+// every host does for itself.
+constexpr std::size_t kMaxItems = 8;
+// Fits one packet on most networks.
+constexpr std::size_t kMaxItemBytes = 1'200;
 constexpr std::size_t kItemFields = 5;
 
 std::size_t SizeOf(std::span<const StoredObject> items) {
@@ -71,7 +72,7 @@
 
 ViewDatagrams::ViewDatagrams(std::span<const std::string> kinds,
                              ReplicatedView& view, DatagramHub& hub,
-                             Scheduler& scheduler, Behind behind)
+                             Scheduler& scheduler, BehindCallback behind)
     : kinds(kinds.begin(), kinds.end()),
       view(view),
       hub(hub),
@@ -93,9 +94,10 @@
       LogLine("revision-malformed").Add("host", host).WriteImportant();
       return;
     }
-    this->TakeRevision(payload);
+    this->OnRevision(payload);
   });
-  view.AddListener([this](const ViewChange& change) { this->Tell(change); });
+  view.AddListener(
+      [this](const ViewChange& change) { this->AnnounceChange(change); });
 }
 
 std::int64_t ViewDatagrams::RevisionOf(std::string_view kind) const {
@@ -106,46 +108,48 @@
   return revision;
 }
 
-void ViewDatagrams::Tell(const ViewChange& change) {
-  const bool told = std::find(this->kinds.begin(), this->kinds.end(),
-                              change.kind) != this->kinds.end();
-  if (!told || change.items.size() > kMostItems) {
+void ViewDatagrams::AnnounceChange(const ViewChange& change) {
+  const bool is_sent = std::find(this->kinds.begin(), this->kinds.end(),
+                                 change.kind) != this->kinds.end();
+  if (!is_sent || change.items.size() > kMaxItems) {
     return;
   }
-  if (SizeOf(change.items) <= kMostBytes) {
+  if (SizeOf(change.items) <= kMaxItemBytes) {
     this->hub.SendToSome(kTopic, ItemsJson(change.items), kFanout);
     return;
   }
-  this->TellRevision(std::string(change.kind), this->RevisionOf(change.kind));
+  this->AnnounceRevision(std::string(change.kind),
+                         this->RevisionOf(change.kind));
 }
 
-void ViewDatagrams::TellRevision(const std::string& kind,
-                                 std::int64_t revision) {
-  std::int64_t& told = this->told_revisions[kind];
-  if (revision > told) {
-    told = revision;
+void ViewDatagrams::AnnounceRevision(const std::string& kind,
+                                     std::int64_t revision) {
+  std::int64_t& announced = this->announced_revisions[kind];
+  if (revision > announced) {
+    announced = revision;
     this->hub.SendToSome(kRevisionTopic, json::array({kind, revision}),
                          kFanout);
   }
 }
 
-void ViewDatagrams::TakeRevision(const json& payload) {
+void ViewDatagrams::OnRevision(const json& payload) {
   const std::string kind = payload[0].get<std::string>();
   const auto revision = payload[1].get<std::int64_t>();
   if (this->RevisionOf(kind) >= revision) {
     return;
   }
-  this->TellRevision(kind, revision);
-  this->scheduler.After(kBehindMs, this->life.Guarded([this, kind, revision] {
-    if (this->RevisionOf(kind) < revision) {
-      LogLine("behind")
-          .Add("kind", kind)
-          .Add("own", this->RevisionOf(kind))
-          .Add("told", revision)
-          .WriteImportant();
-      this->behind(kind);
-    }
-  }));
+  this->AnnounceRevision(kind, revision);
+  this->scheduler.After(kCatchUpGraceMs,
+                        this->life.Guarded([this, kind, revision] {
+                          if (this->RevisionOf(kind) < revision) {
+                            LogLine("behind")
+                                .Add("kind", kind)
+                                .Add("own", this->RevisionOf(kind))
+                                .Add("told", revision)
+                                .WriteImportant();
+                            this->behind(kind);
+                          }
+                        }));
 }
 
 }  // namespace meadowthread
--- a/src/exchange/view_datagrams.h
+++ b/src/exchange/view_datagrams.h
@@ -16,45 +16,45 @@
 
 namespace meadowthread {
 
-/// @brief Objects as they travel.
+/// @brief JSON payload of objects in a datagram.
 nlohmann::json ItemsJson(std::span<const StoredObject> items);
 
-/// @brief Reads objects; an error where they are none.
+/// @brief Decodes objects; an error if the payload is malformed.
 absl::StatusOr<std::vector<StoredObject>> ItemsFrom(
     const nlohmann::json& payload);
 
-/// @brief Tells small changes of some kinds from host to host within
-/// milliseconds: each host that did not know one tells a few others.
+/// @brief Gossips small changes of some kinds within milliseconds: each host to
+/// which a change is new sends it to a few others.
 ///
-/// Of a change that is too long for a datagram only its revision is told: a
-/// host that is still behind it a moment later reads the store itself.
+/// For a change that is too long for a datagram, only the revision is sent: a
+/// host that is still behind it shortly afterwards reads the object store.
 ///
-/// Serves speed only: what is lost comes with the exchange's next round, and
-/// versions keep what is old from taking anything back.
+/// Only speeds up replication: the next round of the exchange brings what is
+/// lost, and versions keep old data from overwriting newer data.
 class ViewDatagrams {
  public:
-  using Behind = std::function<void(std::string_view kind)>;
+  using BehindCallback = std::function<void(std::string_view kind)>;
 
-  /// @param[in] kinds that are told
+  /// @param[in] kinds whose changes are sent
   /// @param[in] view,hub,scheduler outlive this
-  /// @param[in] behind called where this host stays behind what it was told
+  /// @param[in] behind called if this host stays behind an announced revision
   ViewDatagrams(std::span<const std::string> kinds, ReplicatedView& view,
-                DatagramHub& hub, Scheduler& scheduler, Behind behind);
+                DatagramHub& hub, Scheduler& scheduler, BehindCallback behind);
   ViewDatagrams(const ViewDatagrams&) = delete;
   ViewDatagrams& operator=(const ViewDatagrams&) = delete;
 
  private:
-  void Tell(const ViewChange& change);
-  void TellRevision(const std::string& kind, std::int64_t revision);
-  void TakeRevision(const nlohmann::json& payload);
+  void AnnounceChange(const ViewChange& change);
+  void AnnounceRevision(const std::string& kind, std::int64_t revision);
+  void OnRevision(const nlohmann::json& payload);
   std::int64_t RevisionOf(std::string_view kind) const;
 
   std::vector<std::string> kinds;
   ReplicatedView& view;
   DatagramHub& hub;
   Scheduler& scheduler;
-  Behind behind;
-  std::map<std::string, std::int64_t, std::less<>> told_revisions;
+  BehindCallback behind;
+  std::map<std::string, std::int64_t, std::less<>> announced_revisions;
   Lifetime life;
 };
 
--- a/src/exchange/view_sharer.cc
+++ b/src/exchange/view_synchronizer.cc
@@ -1,4 +1,4 @@
-#include "exchange/view_sharer.h"
+#include "exchange/view_synchronizer.h"
 
 #include <xxhash.h>
 
@@ -13,20 +13,20 @@
 
 }  // namespace
 
-std::vector<ViewPart> ViewSharer::Digests() {
-  std::vector<ViewPart> parts;
+std::vector<KindUpdate> ViewSynchronizer::Digests() {
+  std::vector<KindUpdate> parts;
   for (KindDigest& digest : this->source.Digests()) {
-    digest.beyond = this->BeyondOf(digest);
-    parts.push_back(ViewPart{std::move(digest), std::nullopt, false});
+    digest.beyond = this->FingerprintBeyond(digest);
+    parts.push_back(KindUpdate{std::move(digest), std::nullopt, false});
   }
   return parts;
 }
 
-std::vector<ViewPart> ViewSharer::PartsFor(std::span<const ViewPart> peer,
-                                           ItemLimits limits) {
-  std::vector<ViewPart> parts = this->Digests();
-  for (ViewPart& part : parts) {
-    const ViewPart* const theirs = detail::FindKind(peer, part.digest.kind);
+std::vector<KindUpdate> ViewSynchronizer::UpdatesFor(
+    std::span<const KindUpdate> peer, ItemLimits limits) {
+  std::vector<KindUpdate> parts = this->Digests();
+  for (KindUpdate& part : parts) {
+    const KindUpdate* const theirs = detail::FindKind(peer, part.digest.kind);
     if (theirs == nullptr || limits.items == 0) {
       continue;
     }
@@ -38,8 +38,9 @@
   return parts;
 }
 
-void ViewSharer::AddDelta(const KindDigest& theirs, const ItemLimits& limits,
-                          ViewPart* part) const {
+void ViewSynchronizer::AddDelta(const KindDigest& theirs,
+                                const ItemLimits& limits,
+                                KindUpdate* part) const {
   const KindDigest& own = part->digest;
   if (theirs.revision == own.revision && theirs.beyond == own.beyond) {
     return;
@@ -49,22 +50,23 @@
   if (delta.items.empty() && delta.revision <= theirs.revision) {
     return;
   }
-  // Whole state comes uncut also where a peer is only a little behind a host
-  // that has just read everything. Such a peer gets its few items elsewhere.
+  // A host that has just read the full state can't build a small delta, even
+  // for a peer that is only slightly behind. Such a peer gets its few items
+  // from other hosts.
   const bool is_new = theirs.revision == 0;
   const std::size_t limit =
       is_new ? limits.whole_state : std::min(limits.items, kSmallStateBytes);
   if (delta.full && detail::SizeOf(delta.items) > limit) {
-    part->ask_anew = !is_new;
+    part->full_state_required = !is_new;
     return;
   }
   part->delta = std::move(delta);
 }
 
-ApplyResult ViewSharer::Apply(std::string_view from,
-                              std::span<const ViewPart> views) {
+ApplyResult ViewSynchronizer::Apply(std::string_view from,
+                                    std::span<const KindUpdate> views) {
   ApplyResult result;
-  for (const ViewPart& view : views) {
+  for (const KindUpdate& view : views) {
     KindDelta nothing;
     nothing.kind = view.digest.kind;
     const KindDelta& delta = view.delta.has_value() ? *view.delta : nothing;
@@ -76,7 +78,7 @@
     }
   }
   for (const KindDigest& digest : this->source.Digests()) {
-    const ViewPart* const theirs = detail::FindKind(views, digest.kind);
+    const KindUpdate* const theirs = detail::FindKind(views, digest.kind);
     const std::int64_t known = theirs == nullptr ? 0 : theirs->digest.revision;
     result.caught_up = result.caught_up && digest.revision >= known;
   }
@@ -86,10 +88,11 @@
   return result;
 }
 
-// Objects known beyond the watermark came as news; without their fingerprint
-// two hosts with the same watermark would send them to and fro each round.
-std::uint64_t ViewSharer::BeyondOf(const KindDigest& digest) {
-  Beyond& beyond = this->beyonds[digest.kind];
+// Objects above the digest's revision were pushed by peers. Without their
+// fingerprint, two hosts at the same revision could not tell that both have
+// them, and would send them to each other in each round.
+std::uint64_t ViewSynchronizer::FingerprintBeyond(const KindDigest& digest) {
+  CachedFingerprint& beyond = this->fingerprints[digest.kind];
   if (beyond.revision == digest.revision && beyond.changes == this->changes) {
     return beyond.fingerprint;
   }
@@ -100,7 +103,7 @@
     fingerprint ^= XXH64(item.name.data(), item.name.size(),
                          static_cast<XXH64_hash_t>(item.version));
   }
-  beyond = Beyond{digest.revision, this->changes, fingerprint};
+  beyond = CachedFingerprint{digest.revision, this->changes, fingerprint};
   return fingerprint;
 }
 
@@ -114,11 +117,11 @@
   return bytes;
 }
 
-const ViewPart* FindKind(std::span<const ViewPart> views,
-                         std::string_view kind) {
+const KindUpdate* FindKind(std::span<const KindUpdate> views,
+                           std::string_view kind) {
   const auto found = std::find_if(
       views.begin(), views.end(),
-      [kind](const ViewPart& view) { return view.digest.kind == kind; });
+      [kind](const KindUpdate& view) { return view.digest.kind == kind; });
   return found == views.end() ? nullptr : &*found;
 }
 
