--- a/src/exchange/byte_budget.h
+++ b/src/exchange/byte_budget.h
@@ -17,6 +17,7 @@
   ByteBudget(std::int64_t bytes_per_second, std::int64_t burst_bytes,
              const Clock& clock);
 
+  /// @brief Takes bytes from the bucket, also if it has fewer.
   void Spend(std::int64_t bytes);
 
   /// @brief Bytes that may be spent now; negative after overspending.
--- a/src/exchange/datagrams.h
+++ b/src/exchange/datagrams.h
@@ -56,8 +56,10 @@
   /// @brief Sets the handler of a topic; to be called before Start.
   void Register(std::string_view topic, const Handler& handler);
 
+  /// @brief Binds the UDP socket and starts to receive.
   absl::Status Start(std::string_view address, std::uint16_t port);
 
+  /// @brief Replaces the peers; an entry for this host itself is skipped.
   void SetPeers(std::span<const DatagramPeer> peers);
 
   /// @brief Calls `listener` with the sender of each valid datagram whose topic
--- a/src/exchange/exchanger.cc
+++ b/src/exchange/exchanger.cc
@@ -88,7 +88,7 @@
     return;
   }
   const int free_calls = this->settings.max_calls - this->calls_in_progress;
-  // A host that has just started would be sent the full state by each peer.
+  // Until this host has caught up, each peer could send it the full state.
   const int partners = this->caught_up ? this->settings.partners : 1;
   const int count = std::min(partners, free_calls);
   if (count <= 0) {
--- a/src/exchange/exchanger.h
+++ b/src/exchange/exchanger.h
@@ -33,7 +33,7 @@
 inline constexpr std::string_view kExchangeMethod = "exchange";
 inline constexpr std::string_view kOfferMethod = "offer";
 
-/// @brief Name of this host and number of its process run.
+/// @brief Name of this host, and a number that identifies its process run.
 struct HostIdentity {
   std::string name;
   /// Increases with each start, for example the Unix time of the start in ms.
@@ -101,7 +101,7 @@
   /// accepted.
   absl::StatusOr<std::string> Offer(std::string_view params);
 
-  /// @brief Whether this host is no longer behind some peer that answered: from
+  /// @brief Whether some peer has answered that knew nothing unknown here. From
   /// then on, a host that starts while the object store is down may serve.
   bool HasCaughtUp() const { return this->caught_up; }
 
--- a/src/exchange/kind_digest.h
+++ b/src/exchange/kind_digest.h
@@ -12,9 +12,10 @@
 /// @brief Digest of what a host knows of one kind of object.
 struct KindDigest {
   std::string kind;
-  std::int64_t revision = 0;           ///< all changes up to it are known
-  std::int64_t confirmed_unix_ms = 0;  ///< last object store read
-  std::string confirmed_by;            ///< host that read; empty: none yet
+  std::int64_t revision = 0;  ///< all changes up to it are known
+  /// When the object store was last read to confirm `revision`.
+  std::int64_t confirmed_unix_ms = 0;
+  std::string confirmed_by;  ///< host that did this read; empty: none yet
   /// Hash of the objects known above `revision`; 0: there are none.
   std::uint64_t beyond = 0;
 
@@ -25,7 +26,8 @@
 struct KindDelta {
   std::string kind;
   std::int64_t since = 0;  ///< starts after this revision
-  /// Items are complete from `since` up to here, but not above.
+  /// Items are complete from `since` up to here; there may be single ones
+  /// above.
   std::int64_t revision = 0;
   /// Items are all live objects up to `revision`: any other object that the
   /// receiver holds was deleted.
--- a/src/exchange/load_datagrams.h
+++ b/src/exchange/load_datagrams.h
@@ -33,6 +33,7 @@
   LoadDatagrams(const LoadDatagrams&) = delete;
   LoadDatagrams& operator=(const LoadDatagrams&) = delete;
 
+  /// @brief Starts the periodic sending.
   void Start();
 
   /// @brief Sends all notes at the next interval, for a host that has none.
--- a/src/exchange/rpc_server.h
+++ b/src/exchange/rpc_server.h
@@ -17,7 +17,7 @@
 struct RpcServerSettings {
   std::int64_t max_body_bytes = std::int64_t{1} << 20;
   std::int64_t max_header_bytes = std::int64_t{16} << 10;
-  int idle_timeout_ms = 30000;  ///< for the next complete request
+  int idle_timeout_ms = 30000;  ///< wait for the next complete request
   std::size_t max_connections = 1024;
 };
 
--- a/src/exchange/view_datagrams.cc
+++ b/src/exchange/view_datagrams.cc
@@ -14,7 +14,8 @@
 
 constexpr char kTopic[] = "items";
 constexpr char kRevisionTopic[] = "revision";
-// The exchange pushes a change of usual size within this time.
+// Wait before this host reports that it is behind an announced revision: the
+// exchange pushes a change of usual size within this time.
 constexpr std::int64_t kCatchUpGraceMs = 150;
 // Peers to which each host forwards a new change: with four, the datagrams
 // reach all but two in a hundred hosts; rounds of the exchange reach the rest.
--- a/src/exchange/view_datagrams.h
+++ b/src/exchange/view_datagrams.h
@@ -33,6 +33,7 @@
 /// lost, and versions keep old data from overwriting newer data.
 class ViewDatagrams {
  public:
+  /// @brief Called with the kind for which this host is behind.
   using BehindCallback = std::function<void(std::string_view kind)>;
 
   /// @param[in] kinds whose changes are sent
--- a/src/exchange/view_synchronizer.h
+++ b/src/exchange/view_synchronizer.h
@@ -18,7 +18,7 @@
 struct ApplyResult {
   std::vector<std::string> changed_kinds;
   int taken = 0;          ///< objects that were new
-  bool cut = false;       ///< the peer truncated a delta
+  bool cut = false;       ///< the peer has more: it truncated a delta
   bool caught_up = true;  ///< no kind is behind the peer
 };
 
@@ -69,10 +69,10 @@
 
 namespace detail {
 
-/// @brief Bytes that items take, about, on the wire.
+/// @brief Approximate size of items in a message, in bytes.
 std::size_t SizeOf(std::span<const StoredObject> items);
 
-/// @brief The part of a kind, or null.
+/// @brief The update of a kind, or null if there is none.
 const KindUpdate* FindKind(std::span<const KindUpdate> views,
                            std::string_view kind);
 
