--- a/src/configuration/bench/catalog_bench.cc
+++ b/src/configuration/bench/catalog_bench.cc
@@ -1,5 +1,5 @@
-// Memory and time of a host's configuration against the number of workspaces
-// and of workspaces a template. Not judged in CI.
+// Measures memory and time of a host's configuration, by the number of
+// workspaces and of workspaces per template. CI doesn't check the results.
 #include <benchmark/benchmark.h>
 #include <glog/logging.h>
 #include <malloc.h>
@@ -75,7 +75,7 @@
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-// Start with everything known: bytes a workspace, and the time it takes.
+// Start-up with a full view: bytes per workspace, and the time it takes.
 void LoadAll(benchmark::State& state) {
   const std::int64_t workspaces = state.range(0);
   double view_bytes = 0;
@@ -95,7 +95,7 @@
   state.counters["total_MB"] = (view_bytes + catalog_bytes) / 1e6;
 }
 
-// One template changes, the others stand.
+// One template changes, the others stay.
 void ApplyChange(benchmark::State& state) {
   const std::int64_t each = state.range(1);
   Host host;
@@ -112,7 +112,7 @@
                              benchmark::Counter::kInvert);
 }
 
-// The part of it that reads YAML.
+// The share of ApplyChange that parses YAML.
 void ParseOne(benchmark::State& state) {
   const std::string yaml = Yaml(0, state.range(0));
   for (auto _ : state) {
@@ -121,7 +121,7 @@
   state.counters["bytes"] = static_cast<double>(yaml.size());
 }
 
-// A request's look-ups.
+// The lookups made for one request: workspace by API key, then service.
 void LookUp(benchmark::State& state) {
   Host host;
   host.Load(state.range(0), 83);
--- a/src/configuration/conditional_change.cc
+++ b/src/configuration/conditional_change.cc
@@ -10,8 +10,8 @@
 namespace meadowthread {
 namespace {
 
-// Backoff stops doubling here, so that the shift can't overflow.
-constexpr int kMostDoublings = 6;
+// Limits the exponential backoff, so that the shift can't overflow.
+constexpr int kMaxDoublings = 6;
 
 bool IsAbsent(const absl::StatusOr<StoredObject>& answer) {
   return !answer.ok() && DetailOf(answer.status()).id == ErrorId::kNotFound;
@@ -21,37 +21,38 @@
 
 ConditionalChange::ConditionalChange(ObjectStore& store, Scheduler& scheduler,
                                      const ChangeOptions& options,
-                                     std::unique_ptr<ChangeSubject> subject,
+                                     std::unique_ptr<ObjectEdit> edit,
                                      const ChangeDone& done)
     : store(store),
       scheduler(scheduler),
       options(options),
-      subject(std::move(subject)),
+      edit(std::move(edit)),
       done(done) {}
 
 void ConditionalChange::Start(std::optional<std::int64_t> base) {
   this->base_version = base;
-  this->ReadFirst();
+  this->ReadCurrent();
 }
 
-void ConditionalChange::ReadFirst() {
-  this->store.Get(this->subject->Kind(), this->subject->Name(),
+void ConditionalChange::ReadCurrent() {
+  this->store.Get(this->edit->Kind(), this->edit->Name(),
                   [self = this->shared_from_this()](const auto& answer) {
-                    self->TakeFirst(answer);
+                    self->OnCurrentRead(answer);
                   });
 }
 
-void ConditionalChange::TakeFirst(const absl::StatusOr<StoredObject>& answer) {
+void ConditionalChange::OnCurrentRead(
+    const absl::StatusOr<StoredObject>& answer) {
   if (!answer.ok() && !IsAbsent(answer)) {
-    this->Again(&ConditionalChange::ReadFirst);
+    this->RetryLater(&ConditionalChange::ReadCurrent);
     return;
   }
   if (answer.ok()) {
-    if (this->FinishIfOurs(*answer)) {
+    if (this->FinishIfApplied(*answer)) {
       return;
     }
-    if (this->IsSame(*answer)) {
-      this->ConfirmSame(*answer);
+    if (this->HasSameContent(*answer)) {
+      this->PrepareVersionOnlyUpdate(*answer);
       this->Write();
       return;
     }
@@ -59,25 +60,25 @@
     this->expected = answer->version;
   }
   if (this->base_version.value_or(0) > this->expected) {
-    // The operator has seen a newer version than this read shows.
-    this->Again(&ConditionalChange::ReadFirst);
+    // This read is stale: the operator has already seen a newer version.
+    this->RetryLater(&ConditionalChange::ReadCurrent);
     return;
   }
-  const StoredObject* standing = answer.ok() ? &*answer : nullptr;
+  const StoredObject* stored = answer.ok() ? &*answer : nullptr;
   if (this->base_version.value_or(this->expected) != this->expected) {
     this->base.reset();
     if (*this->base_version != 0) {
-      // Only the version is known; its text may stand in the history.
+      // Only the version is known; its text may be in the stored history.
       this->base = StoredObject{"", "", *this->base_version, "", false};
     }
-    this->FinishConflict(standing);
+    this->FinishConflict(stored);
     return;
   }
-  this->value = this->subject->NextValue(standing);
+  this->value = this->edit->NextValue(stored);
   if (this->value.size() > kMaxObjectBytes) {
     ChangeResult result;
     result.outcome = ChangeOutcome::kInvalid;
-    result.message = "the text is larger than the object API takes";
+    result.message = "the object would be larger than the object API accepts";
     result.problems.push_back({0, "", result.message});
     this->Finish(result);
     return;
@@ -86,21 +87,21 @@
 }
 
 void ConditionalChange::Write() {
-  this->store.Put(this->subject->Kind(), this->subject->Name(), this->value,
+  this->store.Put(this->edit->Kind(), this->edit->Name(), this->value,
                   this->expected,
                   [self = this->shared_from_this()](const auto& answer) {
-                    self->Written(answer);
+                    self->OnWritten(answer);
                   });
 }
 
-void ConditionalChange::Written(const absl::StatusOr<std::int64_t>& answer) {
+void ConditionalChange::OnWritten(const absl::StatusOr<std::int64_t>& answer) {
   if (answer.ok()) {
     this->FinishApplied(*answer);
     return;
   }
   const ErrorId id = DetailOf(answer.status()).id;
   if (id == ErrorId::kStoreUnavailable) {
-    this->Again(&ConditionalChange::Write);
+    this->RetryLater(&ConditionalChange::Write);
     return;
   }
   if (id == ErrorId::kStoreConflict) {
@@ -108,84 +109,84 @@
     this->ReadBack();
     return;
   }
-  this->may_have_landed = true;
-  this->Again(&ConditionalChange::ReadBack);
+  this->may_have_applied = true;
+  this->RetryLater(&ConditionalChange::ReadBack);
 }
 
 void ConditionalChange::ReadBack() {
-  this->store.Get(this->subject->Kind(), this->subject->Name(),
+  this->store.Get(this->edit->Kind(), this->edit->Name(),
                   [self = this->shared_from_this()](const auto& answer) {
-                    self->TakeBack(answer);
+                    self->OnReadBack(answer);
                   });
 }
 
-void ConditionalChange::TakeBack(const absl::StatusOr<StoredObject>& answer) {
+void ConditionalChange::OnReadBack(const absl::StatusOr<StoredObject>& answer) {
   if (!answer.ok() && !IsAbsent(answer)) {
-    this->Again(&ConditionalChange::ReadBack);
+    this->RetryLater(&ConditionalChange::ReadBack);
     return;
   }
-  if (answer.ok() && this->FinishIfOurs(*answer)) {
+  if (answer.ok() && this->FinishIfApplied(*answer)) {
     return;
   }
-  if (answer.ok() && this->IsSame(*answer)) {
-    this->ConfirmSame(*answer);
-    this->Again(&ConditionalChange::Write);
+  if (answer.ok() && this->HasSameContent(*answer)) {
+    this->PrepareVersionOnlyUpdate(*answer);
+    this->RetryLater(&ConditionalChange::Write);
     return;
   }
   const std::int64_t version = answer.ok() ? answer->version : 0;
   const bool is_stale = answer.ok() && version < this->expected;
   if (is_stale) {
-    this->Again(&ConditionalChange::ReadBack);
+    this->RetryLater(&ConditionalChange::ReadBack);
   } else if (version == this->expected) {
-    // Nothing is seen, but a delayed update may still come. The same update
-    // again decides: whichever takes effect first, the other one's condition
-    // no longer holds.
-    this->Again(&ConditionalChange::Write);
+    // The update is not visible, but a delayed copy may still arrive. Sending
+    // the same update again settles this: whichever copy is applied first, the
+    // condition of the other one fails.
+    this->RetryLater(&ConditionalChange::Write);
   } else {
     this->FinishConflict(answer.ok() ? &*answer : nullptr);
   }
 }
 
-bool ConditionalChange::FinishIfOurs(const StoredObject& standing) {
-  const StandingVerdict verdict = this->subject->Judge(standing);
-  const bool is_before = verdict.standing == Standing::kOursBefore;
-  if (verdict.standing != Standing::kOurs && !is_before) {
+bool ConditionalChange::FinishIfApplied(const StoredObject& stored) {
+  const PresenceResult found = this->edit->FindIn(stored);
+  const bool is_superseded = found.presence == ChangePresence::kSuperseded;
+  if (found.presence != ChangePresence::kCurrent && !is_superseded) {
     return false;
   }
   ChangeResult result;
   result.outcome = ChangeOutcome::kAccepted;
-  result.version = verdict.version;
-  result.object = standing;
+  result.version = found.version;
+  result.object = stored;
   result.message = "accepted";
-  if (is_before) {
+  if (is_superseded) {
     result.superseded = true;
-    result.message = "accepted, and followed by another change";
-    result.difference = this->subject->Explain(nullptr, &standing);
+    result.message = "accepted, then superseded by another change";
+    result.difference = this->edit->Explain(nullptr, &stored);
   }
   this->Finish(result);
   return true;
 }
 
-bool ConditionalChange::IsSame(const StoredObject& standing) const {
-  return this->subject->Judge(standing).standing == Standing::kSame;
+bool ConditionalChange::HasSameContent(const StoredObject& stored) const {
+  return this->edit->FindIn(stored).presence == ChangePresence::kSameContent;
 }
 
-// Reads may be stale: that the same content stands shows only by a conditional
-// update that changes nothing but the version.
-void ConditionalChange::ConfirmSame(const StoredObject& standing) {
-  this->confirms_same = true;
-  this->base = standing;
-  this->expected = standing.version;
-  this->value = standing.value;
+// Reads may be stale, so a read alone doesn't prove that the object has the
+// same content. A conditional update that changes only the version does.
+void ConditionalChange::PrepareVersionOnlyUpdate(const StoredObject& stored) {
+  this->confirms_same_content = true;
+  this->base = stored;
+  this->expected = stored.version;
+  this->value = stored.value;
 }
 
-void ConditionalChange::Again(Step step) {
+void ConditionalChange::RetryLater(Step step) {
   ++this->failures;
   if (this->failures >= this->options.attempts) {
-    this->FinishUnsettled();
+    this->FinishOutOfAttempts();
     return;
   }
-  const int doublings = std::min(this->failures - 1, kMostDoublings);
+  const int doublings = std::min(this->failures - 1, kMaxDoublings);
   this->scheduler.After(
       this->options.first_backoff_ms << doublings,
       [self = this->shared_from_this(), step] { ((*self).*step)(); });
@@ -196,33 +197,34 @@
   result.outcome = ChangeOutcome::kAccepted;
   result.version = version;
   result.message = "accepted";
-  if (this->confirms_same) {
+  if (this->confirms_same_content) {
     result.outcome = ChangeOutcome::kUnchanged;
-    result.message = "the same content stands already";
+    result.message = "the object already has this content";
   }
-  result.object = StoredObject{std::string(this->subject->Kind()),
-                               std::string(this->subject->Name()), version,
+  result.object = StoredObject{std::string(this->edit->Kind()),
+                               std::string(this->edit->Name()), version,
                                this->value, false};
   this->Finish(result);
 }
 
-void ConditionalChange::FinishConflict(const StoredObject* standing) {
+void ConditionalChange::FinishConflict(const StoredObject* stored) {
   ChangeResult result;
   result.outcome = ChangeOutcome::kConflict;
-  result.may_have_been_in_force = this->may_have_landed;
+  result.may_have_been_in_force = this->may_have_applied;
   result.message =
-      "another change stands; look at it and put yours again if still wanted";
+      "another change is in force; review it and submit yours again if it is "
+      "still wanted";
   const StoredObject* from = this->base.has_value() ? &*this->base : nullptr;
-  result.difference = this->subject->Explain(from, standing);
-  if (standing != nullptr) {
-    result.object = *standing;
+  result.difference = this->edit->Explain(from, stored);
+  if (stored != nullptr) {
+    result.object = *stored;
   }
   this->Finish(result);
 }
 
-void ConditionalChange::FinishUnsettled() {
+void ConditionalChange::FinishOutOfAttempts() {
   ChangeResult result;
-  if (this->may_have_landed) {
+  if (this->may_have_applied) {
     result.outcome = ChangeOutcome::kUnknown;
     result.message =
         "it is unknown whether the change takes effect; run the same command "
@@ -230,7 +232,7 @@
         "the change twice";
   } else if (this->has_conflict) {
     result.outcome = ChangeOutcome::kConflict;
-    result.message = "another change stands, and it could not be read";
+    result.message = "another change is in force, and it could not be read";
   } else {
     result.outcome = ChangeOutcome::kNotApplied;
     result.message =
--- a/src/configuration/conditional_change.h
+++ b/src/configuration/conditional_change.h
@@ -8,59 +8,60 @@
 #include <string_view>
 
 #include "base/scheduler.h"
-#include "configuration/change_subject.h"
+#include "configuration/object_edit.h"
 #include "configuration/operator_change.h"
 #include "store/object_store.h"
 
 namespace meadowthread {
 
-/// @brief One change on its way: read, conditional update, and reading back
-/// until its fate is settled or the attempts are used up.
+/// @brief One change in progress: reads the object, writes it by a conditional
+/// update, and reads it back until the outcome is known or the attempts are
+/// used up.
 ///
-/// Lives as long as a call or a timer of its own is awaited.
+/// Keeps itself alive while a store call or a retry timer is pending.
 class ConditionalChange
     : public std::enable_shared_from_this<ConditionalChange> {
  public:
   ConditionalChange(ObjectStore& store, Scheduler& scheduler,
                     const ChangeOptions& options,
-                    std::unique_ptr<ChangeSubject> subject,
-                    const ChangeDone& done);
+                    std::unique_ptr<ObjectEdit> edit, const ChangeDone& done);
 
   /// @brief Starts the change.
-  /// @param[in] base_version what must stand; unset: whatever does
+  /// @param[in] base_version the version that must be stored, 0 for none;
+  /// unset: any version
   void Start(std::optional<std::int64_t> base_version);
 
  private:
   using Step = void (ConditionalChange::*)();
 
-  void ReadFirst();
-  void TakeFirst(const absl::StatusOr<StoredObject>& answer);
+  void ReadCurrent();
+  void OnCurrentRead(const absl::StatusOr<StoredObject>& answer);
   void Write();
-  void Written(const absl::StatusOr<std::int64_t>& answer);
+  void OnWritten(const absl::StatusOr<std::int64_t>& answer);
   void ReadBack();
-  void TakeBack(const absl::StatusOr<StoredObject>& answer);
-  bool FinishIfOurs(const StoredObject& standing);
-  bool IsSame(const StoredObject& standing) const;
-  void ConfirmSame(const StoredObject& standing);
-  void Again(Step step);
+  void OnReadBack(const absl::StatusOr<StoredObject>& answer);
+  bool FinishIfApplied(const StoredObject& stored);
+  bool HasSameContent(const StoredObject& stored) const;
+  void PrepareVersionOnlyUpdate(const StoredObject& stored);
+  void RetryLater(Step step);
   void FinishApplied(std::int64_t version);
-  void FinishConflict(const StoredObject* standing);
-  void FinishUnsettled();
+  void FinishConflict(const StoredObject* stored);
+  void FinishOutOfAttempts();
   void Finish(const ChangeResult& result);
 
   ObjectStore& store;
   Scheduler& scheduler;
   ChangeOptions options;
-  std::unique_ptr<ChangeSubject> subject;
+  std::unique_ptr<ObjectEdit> edit;
   ChangeDone done;
   std::optional<std::int64_t> base_version;
-  std::optional<StoredObject> base;  ///< what stood at the start
+  std::optional<StoredObject> base;  ///< the object that the change is based on
   std::string value;
   std::int64_t expected = 0;
   int failures = 0;
-  bool confirms_same = false;    ///< the update changes no content
-  bool has_conflict = false;     ///< an update met another version
-  bool may_have_landed = false;  ///< an update's fate is unknown
+  bool confirms_same_content = false;  ///< the update changes the version only
+  bool has_conflict = false;      ///< an update was rejected: version mismatch
+  bool may_have_applied = false;  ///< an update's outcome is unknown
 };
 
 }  // namespace meadowthread
--- a/src/configuration/kind_view.cc
+++ b/src/configuration/kind_view.cc
@@ -9,7 +9,7 @@
 namespace meadowthread {
 namespace {
 
-// Roughly what the other fields of an object take on the wire.
+// Approximate encoded size of an object's other fields.
 constexpr std::size_t kItemOverheadBytes = 80;
 
 std::size_t WireBytes(const StoredObject& object) {
@@ -19,30 +19,30 @@
 
 }  // namespace
 
-bool KindView::Take(const StoredObject& object, bool is_shown_live) {
+bool KindView::Take(const StoredObject& object, bool is_from_store) {
   if (object.kind != this->kind) {
     return false;
   }
   const auto found = this->objects.find(object.name);
   if (found == this->objects.end()) {
-    // An object that was deleted long ago, brought back by a host that slept
-    // or by an operator's old copy.
-    if (object.version <= this->floor && !is_shown_live) {
+    // The object was deleted, and its tombstone discarded. A host that was
+    // suspended, or an operator with an old copy, offers it again.
+    if (object.version <= this->floor && !is_from_store) {
       return false;
     }
   } else if (object.version <= found->second.version) {
     return false;
   }
-  // Versions are the store's revisions, so that two objects never share one;
-  // an offer that says otherwise would corrupt the index.
+  // Versions are store revisions, so two objects never have the same one. An
+  // offer that violates this would corrupt the index.
   if (this->by_version.contains(object.version)) {
     return false;
   }
   if (found != this->objects.end()) {
-    this->Forget(object.name);
+    this->Erase(object.name);
   }
-  // Each change of a template would cost its whole history in every exchange;
-  // one earlier version is enough to fall back on.
+  // With the full history, hosts would exchange all of it on each change of a
+  // template. One earlier version is enough as a fallback.
   const auto placed =
       this->kind == kTemplatesKind
           ? this->objects.emplace(object.name, WithoutOldHistory(object)).first
@@ -52,8 +52,9 @@
   return true;
 }
 
-// The floor may come from a peer whose watch had lost an event; what the
-// platform itself shows at or beyond our watermark certainly was not deleted.
+// The floor may come from a peer whose watch lost an event. An object that
+// the store itself returns in a read at or above this watermark certainly
+// exists.
 void KindView::TakeShown(std::int64_t revision,
                          std::span<const StoredObject> items,
                          std::vector<StoredObject>* changed) {
@@ -73,7 +74,8 @@
       changed->push_back(item);
     }
   }
-  // A stale read or an older host's delta says nothing about what is absent.
+  // A stale read, or a delta from a host that is behind, doesn't show which
+  // objects are missing.
   const bool is_stale = revision < this->watermark;
   const bool has_gap = !full && since > this->watermark;
   if (is_stale || has_gap) {
@@ -90,7 +92,7 @@
 
 void KindView::Confirm(std::int64_t revision,
                        const Confirmation& confirmation) {
-  // A later read that shows less is a stale one and confirms nothing.
+  // A later read at a lower revision is stale and confirms nothing.
   if (revision == this->watermark &&
       confirmation.unix_ms > this->confirmed.unix_ms) {
     this->confirmed = confirmation;
@@ -108,8 +110,9 @@
   delta.since = since;
   delta.revision = this->watermark;
   delta.confirmed = this->confirmed;
-  // Under the floor tombstones are missing, so that only the whole state shows
-  // what was deleted; it can't be cut, as absence must mean something.
+  // Tombstones below the floor are discarded, so only the complete state shows
+  // what was deleted. It can't be truncated: the receiver deletes whatever is
+  // missing from it.
   delta.full = since < this->floor;
   std::size_t bytes = 0;
   const std::int64_t after = delta.full ? 0 : since;
@@ -124,8 +127,8 @@
   }
   delta.cut = next != this->by_version.end();
   if (delta.cut && next->first <= this->watermark) {
-    // Whatever stands at or under the last item's version is in the delta:
-    // the receiver goes on from there.
+    // The delta holds every change up to the last item's version; the receiver
+    // continues from there.
     delta.revision = delta.items.back().version;
     delta.confirmed = Confirmation{};
   }
@@ -156,17 +159,18 @@
   }
   std::vector<std::string> absent;
   for (const auto& [name, object] : this->objects) {
-    // Newer than the list: it was offered by somebody who saw it accepted.
+    // An object newer than the list was offered after the store had accepted
+    // it, and stays.
     const bool is_covered = object.version <= revision;
     if (is_covered && !object.deleted && !present.contains(name)) {
       absent.push_back(name);
     }
   }
   for (const std::string& name : absent) {
-    // The deletion's own version is unknown; the list's revision is safe, as
-    // the object certainly does not exist at it.
+    // The version of the deletion is unknown. The list's revision is safe, as
+    // the object certainly doesn't exist at that revision.
     changed->push_back(StoredObject{this->kind, name, revision, "", true});
-    this->Forget(name);
+    this->Erase(name);
   }
 }
 
@@ -176,7 +180,7 @@
     const StoredObject* object = next->second;
     ++next;
     if (object->deleted) {
-      this->Forget(std::string(object->name));
+      this->Erase(std::string(object->name));
     }
   }
   this->floor = std::max(this->floor, revision);
@@ -186,8 +190,8 @@
   if (this->tombstones <= kMaxTombstones) {
     return;
   }
-  // Half at once, so that the scan is paid for by many deletions. A peer that
-  // is further behind gets the whole state instead.
+  // Drops down to half the limit, so that the cost of the scan is spread over
+  // many deletions. A peer that is further behind gets the complete state.
   std::size_t to_drop = this->tombstones - kMaxTombstones / 2;
   std::int64_t last = 0;
   for (const auto& [version, object] : this->by_version) {
@@ -202,7 +206,7 @@
   this->RaiseFloor(last);
 }
 
-void KindView::Forget(const std::string& name) {
+void KindView::Erase(const std::string& name) {
   const auto found = this->objects.find(name);
   this->by_version.erase(found->second.version);
   this->tombstones -= found->second.deleted ? 1 : 0;
--- a/src/configuration/kind_view.h
+++ b/src/configuration/kind_view.h
@@ -12,61 +12,63 @@
 
 namespace meadowthread {
 
-/// @brief Most tombstones kept of one kind.
+/// @brief Maximum number of tombstones kept for one kind.
 inline constexpr std::size_t kMaxTombstones = 4096;
 
-/// @brief One kind's objects: versions only go up.
+/// @brief A host's replica of all objects of one kind. The version of an object
+/// never decreases.
 ///
-/// Two revisions describe what is known. The watermark: everything up to it is
-/// known. The floor, at most the watermark: tombstones at or under it are no
-/// longer kept, so an unknown object at or under it is a deleted one.
+/// Two store revisions describe how complete the replica is. Every change up to
+/// the watermark is known. Tombstones at or below the floor, which is at most
+/// the watermark, are discarded, so an offered object that is unknown here and
+/// whose version is at or below the floor has been deleted.
 class KindView {
  public:
   explicit KindView(std::string_view kind) : kind(kind) {}
 
-  /// @brief Takes an object, unless as new or a newer version is known.
-  /// @return whether it was taken
+  /// @brief Stores an object unless the same or a newer version is known.
+  /// @return whether it was stored
   /// @complexity logarithmic
   bool Take(const StoredObject& object) { return this->Take(object, false); }
 
-  /// @brief Takes what a read of the platform as of `revision` shows, also
-  /// what the floor holds back from others, unless the read is stale.
-  /// @param[out] changed what was taken is appended
+  /// @brief Applies the live objects of a read of the object store at
+  /// `revision`, even those at or below the floor, unless the read is stale.
+  /// @param[out] changed the objects that were stored are appended
   void TakeShown(std::int64_t revision, std::span<const StoredObject> items,
                  std::vector<StoredObject>* changed);
 
-  /// @brief Takes what is whole from `since` to `revision`, if it joins what
-  /// is known and isn't older.
+  /// @brief Applies all changes after `since` up to `revision`. Raises the
+  /// watermark if there is no gap after it and `revision` isn't below it.
   /// @param[in] full items are all live objects up to `revision`
-  /// @param[out] changed what was taken and removed is appended
-  /// @return whether the watermark now stands at `revision`
+  /// @param[out] changed stored and removed objects are appended
+  /// @return whether the watermark is now `revision`
   bool TakeWhole(std::int64_t since, std::int64_t revision, bool full,
                  std::span<const StoredObject> items,
                  std::vector<StoredObject>* changed);
 
-  /// @brief Adopts a confirmation of a read at `revision`, if that is the
-  /// watermark and the confirmation is the latest.
+  /// @brief Records a confirmation of a read at `revision` if that is the
+  /// watermark and no later confirmation is known.
   void Confirm(std::int64_t revision, const Confirmation& confirmation);
 
   ViewDigest Digest() const;
 
-  /// @brief What is known beyond `since`; cut at the byte limit where it can
-  /// be cut. At least one item is given where there is any.
+  /// @brief The changes after `since`, truncated at the byte limit unless the
+  /// delta is full. Holds at least one item if there is any.
   ViewDelta DeltaSince(std::int64_t since, std::size_t limit_bytes) const;
 
-  /// @brief The object with its tombstone, or null where it is unknown.
+  /// @brief The object, which may be a tombstone, or null if it is unknown.
   const StoredObject* Find(std::string_view name) const;
 
   /// @brief All live objects by ascending name.
   std::vector<const StoredObject*> Live() const;
 
  private:
-  bool Take(const StoredObject& object, bool is_shown_live);
+  bool Take(const StoredObject& object, bool is_from_store);
   void RemoveAbsent(std::int64_t revision, std::span<const StoredObject> items,
                     std::vector<StoredObject>* changed);
   void RaiseFloor(std::int64_t revision);
   void LimitTombstones();
-  void Forget(const std::string& name);
+  void Erase(const std::string& name);
 
   std::string kind;
   std::map<std::string, StoredObject, std::less<>> objects;
--- a/src/configuration/marks.h
+++ b/src/configuration/marks.h
@@ -11,20 +11,21 @@
 
 namespace meadowthread {
 
-/// @brief What an operator wants of a host.
+/// @brief The state that an operator has set for a host or availability zone.
 enum class HostMark {
-  kLive,      ///< take work
-  kLeaving,   ///< take no new work
-  kStopping,  ///< take no new work, finish what runs, then end
+  kLive,      ///< accepts new work
+  kLeaving,   ///< accepts no new work
+  kStopping,  ///< accepts no new work, finishes running work, then exits
 };
 
-/// @brief One host's mark, as stored under `marks/{host}`.
+/// @brief The mark of a host, stored under `marks/{host}`, or of an
+/// availability zone, stored under `emptied-zones/{zone}`.
 struct MarkDocument {
   std::string host;
   HostMark mark = HostMark::kLive;
-  /// Streams may be handed to other hosts by the callers' resume tokens.
+  /// Callers may continue their streams on other hosts with resume tokens.
   bool handover = false;
-  std::string operation;  ///< id of the operator's command
+  std::string operation;  ///< unique id of the operator's command
   std::string set_by;
   std::int64_t unix_ms = 0;
 
@@ -34,28 +35,28 @@
 /// @brief The mark's name on the wire: live, leaving or stopping.
 std::string_view HostMarkName(HostMark mark);
 
-/// @brief Reads a mark's name; kFieldInvalid for any other text.
+/// @brief Parses a mark's name; kFieldInvalid for any other text.
 absl::StatusOr<HostMark> ParseHostMark(std::string_view text);
 
-/// @brief The object's value.
+/// @brief Encodes the stored object's value.
 std::string MarkToJson(const MarkDocument& document);
 
-/// @brief Reads an object's value; an error names the field at fault.
+/// @brief Decodes a stored object's value; an error names the invalid field.
 absl::StatusOr<MarkDocument> MarkFromJson(std::string_view text);
 
-/// @brief Looks hosts' marks up in a view.
+/// @brief Looks up the marks of hosts or availability zones in a view.
 class Marks {
  public:
-  /// @param[in] view outlives this
+  /// @param[in] view must outlive this object
   /// @param[in] kind of the marks: of hosts, or of availability zones
   explicit Marks(const ReplicatedView& view, std::string_view kind = kMarksKind)
       : view(view), kind(kind) {}
 
-  /// @brief The host's mark, live where nobody set one. A mark that cannot be
-  /// read counts as leaving: no new work is the harmless side.
+  /// @brief The host's mark; live if none is set. A mark that cannot be read
+  /// counts as leaving, as giving a host no new work is the safe choice.
   MarkDocument MarkOf(std::string_view host) const;
 
-  /// @brief All hosts that are marked leaving or stopping, by name.
+  /// @brief The marks other than live, ordered by host name.
   std::vector<MarkDocument> NotLive() const;
 
  private:
--- a/src/configuration/operator_change.cc
+++ b/src/configuration/operator_change.cc
@@ -5,9 +5,9 @@
 #include <utility>
 
 #include "configuration/conditional_change.h"
-#include "configuration/mark_subject.h"
+#include "configuration/mark_edit.h"
 #include "configuration/template_document.h"
-#include "configuration/template_subject.h"
+#include "configuration/template_edit.h"
 
 namespace meadowthread {
 namespace {
@@ -15,10 +15,10 @@
 constexpr std::array<std::string_view, 6> kOutcomeNames = {
     "accepted", "unchanged", "conflict", "invalid", "not_applied", "unknown"};
 
-ChangeResult Invalid(std::vector<TemplateProblem> problems) {
+ChangeResult InvalidResult(std::vector<TemplateProblem> problems) {
   ChangeResult result;
   result.outcome = ChangeOutcome::kInvalid;
-  result.message = "refused: nothing was written";
+  result.message = "rejected: nothing was written";
   result.problems = std::move(problems);
   return result;
 }
@@ -37,7 +37,7 @@
                                   const ChangeDone& done) {
   ParsedTemplate parsed = ParseTemplate(change.yaml, 0);
   if (!parsed.IsValid()) {
-    done(Invalid(std::move(parsed.problems)));
+    done(InvalidResult(std::move(parsed.problems)));
     return;
   }
   TemplateEntry entry;
@@ -47,7 +47,7 @@
   entry.yaml = change.yaml;
   const auto conditional = std::make_shared<ConditionalChange>(
       this->store, this->scheduler, this->options,
-      std::make_unique<TemplateSubject>(parsed.document.name, entry), done);
+      std::make_unique<TemplateEdit>(parsed.document.name, entry), done);
   conditional->Start(change.base_version);
 }
 
@@ -55,7 +55,7 @@
                               const ChangeDone& done) {
   const auto conditional = std::make_shared<ConditionalChange>(
       this->store, this->scheduler, this->options,
-      std::make_unique<MarkSubject>(mark), done);
+      std::make_unique<MarkEdit>(mark), done);
   conditional->Start(std::nullopt);
 }
 
@@ -63,7 +63,7 @@
                               const ChangeDone& done) {
   const auto conditional = std::make_shared<ConditionalChange>(
       this->store, this->scheduler, this->options,
-      std::make_unique<MarkSubject>(mark, kEmptiedZonesKind), done);
+      std::make_unique<MarkEdit>(mark, kEmptiedZonesKind), done);
   conditional->Start(std::nullopt);
 }
 
--- a/src/configuration/replicated_view.cc
+++ b/src/configuration/replicated_view.cc
@@ -27,7 +27,7 @@
   if (KindView* view = this->KindOf(kind); view != nullptr) {
     std::vector<StoredObject> changed;
     view->TakeShown(list.revision, list.items, &changed);
-    this->Tell(kind, changed);
+    this->NotifyListeners(kind, changed);
   }
   return this->ApplyDelta(delta);
 }
@@ -38,29 +38,29 @@
     return false;
   }
   std::vector<StoredObject> changed;
-  const bool joined = view->TakeWhole(delta.since, delta.revision, delta.full,
-                                      delta.items, &changed);
-  if (joined) {
+  const bool reached_revision = view->TakeWhole(
+      delta.since, delta.revision, delta.full, delta.items, &changed);
+  if (reached_revision) {
     this->Confirm(view, delta.revision, delta.confirmed);
   }
-  this->Tell(delta.kind, changed);
-  return joined;
+  this->NotifyListeners(delta.kind, changed);
+  return reached_revision;
 }
 
 int ReplicatedView::ApplyItems(std::span<const StoredObject> items) {
   std::map<std::string_view, std::vector<StoredObject>> changed;
-  int taken = 0;
+  int stored = 0;
   for (const StoredObject& item : items) {
     KindView* view = this->KindOf(item.kind);
     if (view != nullptr && view->Take(item)) {
       changed[item.kind].push_back(item);
-      ++taken;
+      ++stored;
     }
   }
   for (const auto& [kind, objects] : changed) {
-    this->Tell(kind, objects);
+    this->NotifyListeners(kind, objects);
   }
-  return taken;
+  return stored;
 }
 
 void ReplicatedView::ApplyDigest(const ViewDigest& digest) {
@@ -122,14 +122,15 @@
 
 void ReplicatedView::Confirm(KindView* view, std::int64_t revision,
                              const Confirmation& confirmation) {
-  // A peer whose clock runs ahead would make every view look fresh for ever.
+  // Otherwise a peer whose clock is ahead would make every view look fresh
+  // indefinitely.
   if (confirmation.unix_ms <= this->clock.WallMs() + kMaxClockSkewMs) {
     view->Confirm(revision, confirmation);
   }
 }
 
-void ReplicatedView::Tell(std::string_view kind,
-                          std::span<const StoredObject> changed) {
+void ReplicatedView::NotifyListeners(std::string_view kind,
+                                     std::span<const StoredObject> changed) {
   if (changed.empty()) {
     return;
   }
--- a/src/configuration/replicated_view.h
+++ b/src/configuration/replicated_view.h
@@ -16,68 +16,70 @@
 
 namespace meadowthread {
 
-/// @brief How far a peer's clock may be ahead before what it confirms is not
-/// believed, in milliseconds.
+/// @brief Confirmations dated further ahead of this host's clock than this, in
+/// milliseconds, are ignored.
 inline constexpr std::int64_t kMaxClockSkewMs = 5000;
 
-/// @brief A host's copy of the object API's templates and marks, fed by the
-/// platform, by peers and by operators' offers in any order.
+/// @brief A host's replica of templates, marks and other kinds of the object
+/// store. Updates come from the store, from peers and from operators, in any
+/// order.
 ///
-/// Whatever comes late, doubled or old: an object's version never goes down,
-/// and nothing is taken away but by a newer version or a newer whole read.
+/// Updates may be late, duplicated or stale: the version of an object never
+/// decreases, and an object is removed only by a newer version or by a newer
+/// complete read.
 class ReplicatedView {
  public:
   using Listener = std::function<void(const ViewChange&)>;
 
-  /// @param[in] clock outlives this
-  /// @param[in] kinds what is replicated; other kinds are ignored
+  /// @param[in] clock must outlive this object
+  /// @param[in] kinds the kinds to replicate; others are ignored
   ReplicatedView(const Clock& clock, std::span<const std::string_view> kinds);
 
   /// @brief Calls `listener` after each change, in order of registration. It
-  /// may read the view, but not feed it.
+  /// may read the view, but must not update it.
   void AddListener(const Listener& listener);
 
-  ///////////////////
-  // 1. feeding it //
-  ///////////////////
+  /////////////////
+  // 1. updating //
+  /////////////////
 
-  /// @brief Takes a list or a watch's answer.
-  /// @param[in] since what was asked for; 0: all live objects
+  /// @brief Applies the response to a list or watch call.
+  /// @param[in] since the requested start revision; 0: all live objects
   /// @param[in] confirmation who read, and a time that the read reflects
-  /// @return whether it joined what is known and isn't stale
+  /// @return false if the response is stale or leaves a gap after the watermark
   bool ApplyList(std::string_view kind, std::int64_t since,
                  const ObjectList& list, const Confirmation& confirmation);
 
-  /// @brief Takes a peer's delta; the watermark rises only if the delta is
-  /// whole from ours and the peer's own watermark covers it.
-  /// @return whether the watermark now stands at the delta's revision
+  /// @brief Applies a peer's delta. The watermark rises only if the delta
+  /// leaves no gap after it and reaches a higher revision.
+  /// @return whether the watermark is now the delta's revision
   bool ApplyDelta(const ViewDelta& delta);
 
-  /// @brief Takes single objects: peers' and operators' offers.
-  /// @return how many were taken
+  /// @brief Applies single objects offered by peers or operators.
+  /// @return the number of objects that were newer and have been stored
   int ApplyItems(std::span<const StoredObject> items);
 
-  /// @brief Takes a peer's freshness where its watermark is ours.
+  /// @brief Adopts a peer's confirmation if its watermark equals this one.
   void ApplyDigest(const ViewDigest& digest);
 
-  ////////////////////
-  // 2. reading it  //
-  ////////////////////
+  ////////////////
+  // 2. reading //
+  ////////////////
 
-  /// @brief The live object, or null.
+  /// @brief The live object, or null if it is unknown or deleted.
   const StoredObject* Find(std::string_view kind, std::string_view name) const;
 
-  /// @brief All live objects of a kind by ascending name.
+  /// @brief All live objects of a kind, by ascending name.
   std::vector<const StoredObject*> Live(std::string_view kind) const;
 
-  /// @brief The kind's watermark and freshness.
+  /// @brief The kind's watermark and latest confirmation.
   ViewDigest Digest(std::string_view kind) const;
 
-  /// @brief Of all kinds, by ascending kind.
+  /// @brief The digests of all kinds, by ascending kind.
   std::vector<ViewDigest> Digests() const;
 
-  /// @brief What is known beyond `revision`, ascending, cut at the limit where
-  /// it can be cut.
+  /// @brief The changes after `revision`, by ascending version. Truncated at
+  /// the limit, unless the delta is full.
   ViewDelta DeltaSince(std::string_view kind, std::int64_t revision,
                        std::size_t limit_bytes) const;
 
@@ -86,7 +88,8 @@
   const KindView* KindOf(std::string_view kind) const;
   void Confirm(KindView* view, std::int64_t revision,
                const Confirmation& confirmation);
-  void Tell(std::string_view kind, std::span<const StoredObject> changed);
+  void NotifyListeners(std::string_view kind,
+                       std::span<const StoredObject> changed);
 
   const Clock& clock;
   std::map<std::string, KindView, std::less<>> kinds;
--- a/src/configuration/service_catalog.cc
+++ b/src/configuration/service_catalog.cc
@@ -14,7 +14,7 @@
 namespace meadowthread {
 namespace detail {
 
-std::string NormalPath(std::string_view path) {
+std::string NormalizePath(std::string_view path) {
   const std::string_view plain = path.substr(0, path.find('?'));
   const QByteArray encoded(plain.data(), static_cast<qsizetype>(plain.size()));
   const std::string decoded =
@@ -38,45 +38,45 @@
 }  // namespace detail
 namespace {
 
-// Lowest template name first, so that every host picks the same winner.
-template <class Place>
-void Insert(std::vector<Place>* places, const Place& place) {
-  const auto at = std::find_if(
-      places->begin(), places->end(), [&place](const Place& other) {
-        return other.document->name > place.document->name;
+// Sorted by template name, so that every host picks the same winner.
+template <class ServiceRef>
+void Insert(std::vector<ServiceRef>* refs, const ServiceRef& ref) {
+  const auto at =
+      std::find_if(refs->begin(), refs->end(), [&ref](const ServiceRef& other) {
+        return other.document->name > ref.document->name;
       });
-  places->insert(at, place);
+  refs->insert(at, ref);
 }
 
-template <class Places, class DocumentPtr>
-void Remove(Places* index, const std::string& key,
-            const DocumentPtr& document) {
+template <class Refs, class DocumentPtr>
+void Remove(Refs* index, const std::string& key, const DocumentPtr& document) {
   const auto found = index->find(key);
   if (found == index->end()) {
     return;
   }
-  std::erase_if(found->second, [&document](const auto& place) {
-    return place.document == document;
+  std::erase_if(found->second, [&document](const auto& ref) {
+    return ref.document == document;
   });
   if (found->second.empty()) {
     index->erase(found);
   }
 }
 
-bool Matches(const NotRepeatableCalls& calls, std::string_view service,
+bool Matches(const NonRepeatableCalls& calls, std::string_view service,
              std::string_view method, std::string_view path) {
   const bool is_method = calls.methods.empty() ||
                          std::find(calls.methods.begin(), calls.methods.end(),
                                    method) != calls.methods.end();
   return calls.service == service && is_method &&
-         path.starts_with(detail::NormalPath(calls.path_prefix));
+         path.starts_with(detail::NormalizePath(calls.path_prefix));
 }
 
 std::string Text(std::span<const TemplateProblem> problems) {
   return std::string(TemplateInvalid(problems).message());
 }
 
-// A template under another's name would be in force twice.
+// A template stored under another template's name would be in force twice, so
+// the object's name must match.
 ParsedTemplate ParseAs(std::string_view name, const TemplateEntry& entry) {
   ParsedTemplate parsed = ParseTemplate(entry.yaml, entry.version);
   if (parsed.IsValid() && parsed.document.name != name) {
@@ -94,7 +94,8 @@
   for (const StoredObject* object : view.Live(kTemplatesKind)) {
     this->Update(*object);
   }
-  view.AddListener([this](const ViewChange& change) { this->Follow(change); });
+  view.AddListener(
+      [this](const ViewChange& change) { this->OnViewChange(change); });
 }
 
 void ServiceCatalog::AddListener(const Listener& listener) {
@@ -115,10 +116,10 @@
   if (found == this->by_workspace.end()) {
     return nullptr;
   }
-  for (const Place& place : found->second) {
-    for (const ModelVersion& served : place.Service().models) {
+  for (const ServiceRef& ref : found->second) {
+    for (const ModelVersion& served : ref.Service().models) {
       if (served.model == model) {
-        return ServicePtr(place.document, &place.Service());
+        return ServicePtr(ref.document, &ref.Service());
       }
     }
   }
@@ -130,8 +131,8 @@
   std::vector<ServicePtr> services;
   const auto found = this->by_workspace.find(workspace);
   if (found != this->by_workspace.end()) {
-    for (const Place& place : found->second) {
-      services.emplace_back(place.document, &place.Service());
+    for (const ServiceRef& ref : found->second) {
+      services.emplace_back(ref.document, &ref.Service());
     }
   }
   return services;
@@ -141,13 +142,14 @@
                                 std::string_view service,
                                 std::string_view method,
                                 std::string_view path) const {
-  // Servers differ in how they read odd spellings; one that slipped past the
-  // mark here and was understood there would run twice.
-  const std::string normal = detail::NormalPath(path);
+  // Servers differ in how they interpret unusual spellings of a path. A call
+  // that matches no rule here but reaches the marked resource there could be
+  // run twice.
+  const std::string normal = detail::NormalizePath(path);
   const std::string upper =
       absl::AsciiStrToUpper({method.data(), method.size()});
   for (const ServicePtr& each : this->ServicesOf(workspace)) {
-    for (const NotRepeatableCalls& calls : each->not_repeatable.services) {
+    for (const NonRepeatableCalls& calls : each->not_repeatable.services) {
       if (Matches(calls, service, upper, normal)) {
         return CallRule{true, each->not_repeatable.key_form};
       }
@@ -158,7 +160,7 @@
 
 std::vector<std::string> ServiceCatalog::Workspaces() const {
   std::vector<std::string> names;
-  for (const auto& [workspace, places] : this->by_workspace) {
+  for (const auto& [workspace, refs] : this->by_workspace) {
     names.push_back(workspace);
   }
   return names;
@@ -172,7 +174,7 @@
   return models;
 }
 
-std::vector<TemplateInForce> ServiceCatalog::InForce() const {
+std::vector<TemplateInForce> ServiceCatalog::TemplatesInForce() const {
   std::vector<TemplateInForce> in_force;
   for (const auto& [name, entry] : this->entries) {
     if (entry.document != nullptr) {
@@ -190,7 +192,7 @@
           {name, entry.faulty_version, entry.in_force_version, entry.fault});
     }
   }
-  this->AddClashes(&problems);
+  this->AddConflicts(&problems);
   std::stable_sort(problems.begin(), problems.end(),
                    [](const CatalogProblem& left, const CatalogProblem& right) {
                      return left.template_name < right.template_name;
@@ -198,7 +200,7 @@
   return problems;
 }
 
-void ServiceCatalog::Follow(const ViewChange& change) {
+void ServiceCatalog::OnViewChange(const ViewChange& change) {
   if (change.kind != kTemplatesKind) {
     return;
   }
@@ -245,8 +247,8 @@
   if (!parsed.IsValid()) {
     entry->faulty_version = version;
     entry->fault = Text(parsed.problems);
-    // A host that has just started, or missed some versions, finds the last
-    // valid one in the history; its peers that were there hold the same.
+    // A host that has just started, or missed some versions, falls back to the
+    // last valid one in the history, which its peers have in force too.
     for (const TemplateEntry& earlier : object.history) {
       if (parsed.IsValid() || earlier.version <= entry->in_force_version) {
         break;
@@ -267,13 +269,13 @@
 
 void ServiceCatalog::Index(const DocumentPtr& document) {
   for (std::size_t i = 0; i < document->services.size(); ++i) {
-    const Place place = {document, i};
-    Insert(&this->by_workspace[document->services[i].workspace], place);
+    const ServiceRef ref = {document, i};
+    Insert(&this->by_workspace[document->services[i].workspace], ref);
     for (const ModelVersion& model : document->services[i].models) {
       ++this->model_uses[model];
     }
     for (const std::string& key : document->keys[i].key_sha256) {
-      Insert(&this->by_key[key], place);
+      Insert(&this->by_key[key], ref);
     }
   }
 }
@@ -296,8 +298,8 @@
   }
 }
 
-void ServiceCatalog::AddClashes(std::vector<CatalogProblem>* problems) const {
-  const auto add = [problems](const Place& loser, const Place& winner,
+void ServiceCatalog::AddConflicts(std::vector<CatalogProblem>* problems) const {
+  const auto add = [problems](const ServiceRef& loser, const ServiceRef& winner,
                               std::string_view what) {
     const WorkspaceService& service = loser.Service();
     problems->push_back(
@@ -305,24 +307,24 @@
          service.template_version,
          absl::StrCat(std::string(what), " of workspace '", service.workspace,
                       "' is taken from template '", winner.document->name,
-                      "', whose name is lower")});
+                      "', whose name sorts first")});
   };
-  for (const auto& [workspace, places] : this->by_workspace) {
-    std::map<std::string_view, const Place*> winners;
-    for (const Place& place : places) {
-      for (const ModelVersion& model : place.Service().models) {
-        const auto placed = winners.emplace(model.model, &place);
-        if (!placed.second) {
-          add(place, *placed.first->second,
+  for (const auto& [workspace, refs] : this->by_workspace) {
+    std::map<std::string_view, const ServiceRef*> winners;
+    for (const ServiceRef& ref : refs) {
+      for (const ModelVersion& model : ref.Service().models) {
+        const auto inserted = winners.emplace(model.model, &ref);
+        if (!inserted.second) {
+          add(ref, *inserted.first->second,
               absl::StrCat("model '", model.model, "'"));
         }
       }
     }
   }
-  for (const auto& [key, places] : this->by_key) {
-    for (const Place& place : places) {
-      if (place.Service().workspace != places.front().Service().workspace) {
-        add(place, places.front(), "a key");
+  for (const auto& [key, refs] : this->by_key) {
+    for (const ServiceRef& ref : refs) {
+      if (ref.Service().workspace != refs.front().Service().workspace) {
+        add(ref, refs.front(), "an API key");
       }
     }
   }
--- a/src/configuration/service_reader.cc
+++ b/src/configuration/service_reader.cc
@@ -30,9 +30,11 @@
 
 constexpr std::array<std::string_view, 3> kUrgencyNames = {"urgent", "normal",
                                                            "batch"};
-constexpr std::array<std::string_view, 2> kDeliveries = {"streamed", "whole"};
-constexpr std::array<std::string_view, 3> kClaims = {"none", "keyed", "all"};
-constexpr std::array<std::string_view, 2> kKeyForms = {"timed", "opaque"};
+constexpr std::array<std::string_view, 2> kDeliveryNames = {"streamed",
+                                                            "whole"};
+constexpr std::array<std::string_view, 3> kClaimNames = {"none", "keyed",
+                                                         "all"};
+constexpr std::array<std::string_view, 2> kKeyFormNames = {"timed", "opaque"};
 constexpr std::array<std::string_view, 3> kModelFields = {"model", "adapter",
                                                           "version"};
 constexpr std::array<std::string_view, 3> kNotRepeatableFields = {
@@ -46,7 +48,7 @@
 constexpr double kMaxRate = 1e9;
 constexpr std::int64_t kMaxCount = 1'000'000'000;
 
-// Words stand in the order of the enumeration.
+// `words` must be in the order of the enumerators.
 template <class Enum>
 void ReadEnum(YamlReader& reader, const YamlField& field,
               std::span<const std::string_view> words, Enum* value) {
@@ -92,10 +94,11 @@
   const YamlField list = reader.RequiredMember(root, "models");
   for (const YamlField& item : reader.Items(list)) {
     const ModelVersion model = ReadModel(reader, item);
-    // Callers name only the model, so that it can be served one way only.
+    // Callers select by model name only, so each model may be listed once.
     if (!model.model.empty() && !seen.insert(model.model).second) {
-      reader.ReportFilledIn(reader.Member(item, "model"),
-                            absl::StrCat("'", model.model, "' stands twice"));
+      reader.ReportUnconditionally(
+          reader.Member(item, "model"),
+          absl::StrCat("'", model.model, "' is given twice"));
     }
     models.push_back(model);
   }
@@ -117,24 +120,24 @@
           return absl::ascii_isupper(letter);
         });
     if (!is_method) {
-      reader.Report(item,
-                    absl::StrCat("'", *method, "' is no method such as POST"));
+      reader.Report(item, absl::StrCat("'", *method,
+                                       "' is not an HTTP method such as POST"));
     }
     methods.push_back(*method);
   }
   return methods;
 }
 
-NotRepeatableCalls ReadCalls(YamlReader& reader, const YamlField& field) {
-  NotRepeatableCalls calls;
+NonRepeatableCalls ReadCalls(YamlReader& reader, const YamlField& field) {
+  NonRepeatableCalls calls;
   if (!reader.CheckMap(field, kServiceFields)) {
     return calls;
   }
   const YamlField service = reader.RequiredMember(field, "service");
   calls.service = reader.Text(service).value_or("");
   if (!calls.service.empty() && !IsName(calls.service)) {
-    reader.Report(service,
-                  absl::StrCat("'", calls.service, "' is no service name"));
+    reader.Report(service, absl::StrCat("'", calls.service,
+                                        "' is not a valid service name"));
   }
   calls.methods = ReadMethods(reader, reader.Member(field, "methods"));
   const YamlField prefix = reader.Member(field, "path_prefix");
@@ -145,23 +148,25 @@
   return calls;
 }
 
-NotRepeatable ReadNotRepeatable(YamlReader& reader, const YamlField& field) {
-  NotRepeatable marked;
-  if (!field.IsThere() || !reader.CheckMap(field, kNotRepeatableFields)) {
-    return marked;
+NonRepeatableRequests ReadNotRepeatable(YamlReader& reader,
+                                        const YamlField& field) {
+  NonRepeatableRequests rules;
+  if (!field.IsPresent() || !reader.CheckMap(field, kNotRepeatableFields)) {
+    return rules;
   }
-  ReadEnum(reader, reader.Member(field, "requests"), kClaims, &marked.requests);
-  ReadEnum(reader, reader.Member(field, "key_form"), kKeyForms,
-           &marked.key_form);
+  ReadEnum(reader, reader.Member(field, "requests"), kClaimNames,
+           &rules.requests);
+  ReadEnum(reader, reader.Member(field, "key_form"), kKeyFormNames,
+           &rules.key_form);
   for (const YamlField& item : reader.Items(reader.Member(field, "services"))) {
-    marked.services.push_back(ReadCalls(reader, item));
+    rules.services.push_back(ReadCalls(reader, item));
   }
-  return marked;
+  return rules;
 }
 
 ServiceLimits ReadLimits(YamlReader& reader, const YamlField& field) {
   ServiceLimits limits;
-  if (!field.IsThere() || !reader.CheckMap(field, kLimitFields)) {
+  if (!field.IsPresent() || !reader.CheckMap(field, kLimitFields)) {
     return limits;
   }
   const auto rate = [&](std::string_view name) {
@@ -187,7 +192,7 @@
   service.models = ReadModels(reader, root);
   ReadEnum(reader, reader.Member(root, "urgency"), kUrgencyNames,
            &service.urgency);
-  ReadEnum(reader, reader.Member(root, "delivery"), kDeliveries,
+  ReadEnum(reader, reader.Member(root, "delivery"), kDeliveryNames,
            &service.delivery);
   service.not_repeatable =
       ReadNotRepeatable(reader, reader.Member(root, "not_repeatable"));
--- a/src/configuration/service_reader.h
+++ b/src/configuration/service_reader.h
@@ -8,15 +8,15 @@
 
 namespace meadowthread {
 
-/// @brief Reads what a template says of every workspace, its parameters filled
-/// in from the reader's scope.
+/// @brief Reads the service that a template defines, with parameters
+/// substituted from the reader's scope.
 /// @param[in] root the document
-/// @return without workspace, template and weight
+/// @return the service, with workspace, template and weight not yet set
 WorkspaceService ReadService(YamlReader& reader, const YamlField& root);
 
 namespace detail {
 
-/// @brief Whether a text may name a model, an adapter or a version.
+/// @brief Whether a text is a valid name of a model, an adapter or a version.
 bool IsModelName(std::string_view text);
 
 }  // namespace detail
--- a/src/configuration/template_document.cc
+++ b/src/configuration/template_document.cc
@@ -24,11 +24,11 @@
 constexpr std::array<std::string_view, 4> kWorkspaceFields = {
     "workspace", "key_sha256", "weight", "parameters"};
 constexpr char kNameRule[] = "' may hold only a-z, 0-9 and -, 1 to 63 of them";
-constexpr double kLeastWeight = 0.01;
-constexpr double kMostWeight = 1000;
+constexpr double kMinWeight = 0.01;
+constexpr double kMaxWeight = 1000;
 
-/// Reads a document in two passes: once as it stands, then once for each
-/// workspace with its parameters filled in.
+/// Reads a document once without substituting parameters, then once for each
+/// workspace with its parameters substituted.
 class TemplateReader {
  public:
   explicit TemplateReader(std::int64_t version) : version(version) {}
@@ -45,7 +45,8 @@
   std::int64_t version;
   YamlReader reader{ParameterScope{}};
   std::vector<std::string> declared;
-  WorkspaceService common;  ///< what holds for all, where nothing is declared
+  /// Shared by all workspaces if no parameters are declared.
+  WorkspaceService common;
   std::set<std::string> workspaces;
   std::set<std::string> keys;
   TemplateDocument document;
@@ -88,7 +89,7 @@
       this->reader.Report(
           item, absl::StrCat("'", *name, "' cannot name a parameter"));
     } else if (std::find(names.begin(), names.end(), *name) != names.end()) {
-      this->reader.Report(item, absl::StrCat("'", *name, "' stands twice"));
+      this->reader.Report(item, absl::StrCat("'", *name, "' is given twice"));
     }
     names.push_back(*name);
   }
@@ -97,19 +98,20 @@
 
 void TemplateReader::ReadWorkspace(const YamlField& root,
                                    const YamlField& field) {
-  // Nothing here is filled in: these fields make the difference themselves.
+  // These fields differ by workspace themselves, so parameters are not
+  // substituted in them.
   this->reader.SetScope(ParameterScope{});
   if (!this->reader.CheckMap(field, kWorkspaceFields)) {
     return;
   }
   const YamlField name = this->reader.RequiredMember(field, "workspace");
   ParameterScope scope{this->declared, {}, this->ReadName(name)};
-  if (name.IsThere() && !this->workspaces.insert(scope.workspace).second) {
+  if (name.IsPresent() && !this->workspaces.insert(scope.workspace).second) {
     this->reader.Report(name,
-                        absl::StrCat("'", scope.workspace, "' stands twice"));
+                        absl::StrCat("'", scope.workspace, "' is given twice"));
   }
   const std::optional<double> weight = this->reader.Number(
-      this->reader.Member(field, "weight"), kLeastWeight, kMostWeight);
+      this->reader.Member(field, "weight"), kMinWeight, kMaxWeight);
   this->document.keys.push_back(
       WorkspaceKeys{scope.workspace,
                     this->ReadKeys(this->reader.Member(field, "key_sha256"))});
@@ -126,7 +128,7 @@
 
 void TemplateReader::ReadValues(const YamlField& field, ParameterScope* scope) {
   const YamlField values = this->reader.Member(field, "parameters");
-  if (values.IsThere()) {
+  if (values.IsPresent()) {
     const std::vector<std::string_view> known(this->declared.begin(),
                                               this->declared.end());
     if (!this->reader.CheckMap(values, known)) {
@@ -135,7 +137,7 @@
   }
   for (const std::string& parameter : this->declared) {
     const YamlField value = this->reader.Member(values, parameter);
-    if (!value.IsThere()) {
+    if (!value.IsPresent()) {
       this->reader.Report({field.node, field.path + ".parameters." + parameter},
                           "is missing: the template declares it");
     }
@@ -161,18 +163,19 @@
           return absl::ascii_isxdigit(letter);
         });
     if (!is_digest) {
-      // The value itself is not repeated: it may be the key by mistake.
+      // The message omits the value: it may be the API key itself, given by
+      // mistake.
       this->reader.Report(item, "is not 64 hexadecimal digits of a SHA-256");
     } else if (!this->keys.insert(digest).second) {
-      this->reader.Report(item, "stands twice");
+      this->reader.Report(item, "is given twice");
     }
     digests.push_back(digest);
   }
   return digests;
 }
 
-/// Hears a document and keeps nothing of it.
-class DeafHandler final : public YAML::EventHandler {
+/// Ignores all events of a document.
+class NullEventHandler final : public YAML::EventHandler {
  public:
   void OnDocumentStart(const YAML::Mark& /*mark*/) override {}
   void OnDocumentEnd() override {}
@@ -192,13 +195,14 @@
   void OnMapEnd() override {}
 };
 
-// YAML::LoadAll never returns on a text such as ", a: 1": the parser finds one
-// empty document after another. YAML::Load alone would pass over whatever
-// follows the first. Two steps of the parser tell both.
+// YAML::LoadAll never returns on a text such as ", a: 1", in which the parser
+// finds an endless sequence of empty documents. YAML::Load alone would ignore
+// whatever follows the first document. Parsing at most two documents detects
+// both cases.
 bool IsOneDocument(const std::string& text) {
   std::istringstream stream(text);
   YAML::Parser parser(stream);
-  DeafHandler handler;
+  NullEventHandler handler;
   const bool has_one = parser.HandleNextDocument(handler);
   return has_one && !parser.HandleNextDocument(handler);
 }
@@ -223,11 +227,11 @@
 }
 
 ParsedTemplate ParseTemplate(std::string_view yaml, std::int64_t version) {
-  // yaml-cpp reports by exceptions; they end here.
+  // yaml-cpp reports errors by exceptions; none leaves this function.
   try {
     const std::string text(yaml);
     if (!IsOneDocument(text)) {
-      return OneProblem(0, "a template is exactly one YAML document");
+      return OneProblem(0, "a template must be exactly one YAML document");
     }
     return TemplateReader(version).Read(YAML::Load(text));
   } catch (const YAML::Exception& error) {
--- a/src/configuration/template_document.h
+++ b/src/configuration/template_document.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread {
 
-/// @brief The keys that tell a workspace's callers, as SHA-256 in hex.
+/// @brief The API keys of a workspace, as SHA-256 digests in hexadecimal.
 struct WorkspaceKeys {
   std::string workspace;
   std::vector<std::string> key_sha256;  ///< 64 lower-case digits each
@@ -19,27 +19,28 @@
   friend bool operator==(const WorkspaceKeys&, const WorkspaceKeys&) = default;
 };
 
-/// @brief A template with its parameters filled in for each workspace.
+/// @brief A template with its parameters substituted for each workspace.
 struct TemplateDocument {
   std::string name;
-  std::vector<WorkspaceService> services;  ///< one a workspace, as written
-  std::vector<WorkspaceKeys> keys;         ///< one a workspace, as written
+  std::vector<WorkspaceService> services;  ///< one per workspace, in file order
+  std::vector<WorkspaceKeys> keys;         ///< one per workspace, in file order
 };
 
-/// @brief A template that was read, valid or not.
+/// @brief Result of parsing a template, valid or not.
 struct ParsedTemplate {
-  TemplateDocument document;  ///< in force only where there is no problem
-  std::vector<TemplateProblem> problems;  ///< all of them, by line
+  TemplateDocument document;              ///< usable only if IsValid()
+  std::vector<TemplateProblem> problems;  ///< sorted by line
 
   bool IsValid() const { return this->problems.empty(); }
 };
 
-/// @brief Reads and checks an operator's template.
+/// @brief Parses and validates an operator's template.
 /// @param[in] yaml the text, as in docs/OPERATING.md
-/// @param[in] version the object's version, 0 where not yet stored
+/// @param[in] version the object's version, 0 if not yet stored
 ParsedTemplate ParseTemplate(std::string_view yaml, std::int64_t version);
 
-/// @brief Whether a name may stand for a template, a workspace, a host.
+/// @brief Whether a text is a valid name of a template, workspace, service,
+/// host or availability zone.
 bool IsName(std::string_view text);
 
 }  // namespace meadowthread
--- a/src/configuration/template_subject.cc
+++ b/src/configuration/template_edit.cc
@@ -1,4 +1,4 @@
-#include "configuration/template_subject.h"
+#include "configuration/template_edit.h"
 
 #include <optional>
 #include <utility>
@@ -11,8 +11,8 @@
 namespace meadowthread {
 namespace {
 
-// An object that cannot be read holds nothing worth keeping; the change then
-// repairs it.
+// An object that cannot be decoded is treated as empty; the change then
+// overwrites it.
 TemplateObject ReadOrEmpty(const StoredObject& object) {
   absl::StatusOr<TemplateObject> read =
       TemplateFromJson(object.value, object.version);
@@ -36,48 +36,48 @@
 
 }  // namespace
 
-TemplateSubject::TemplateSubject(std::string_view name, TemplateEntry entry)
+TemplateEdit::TemplateEdit(std::string_view name, TemplateEntry entry)
     : name(name), entry(std::move(entry)) {}
 
-std::string_view TemplateSubject::Kind() const { return kTemplatesKind; }
+std::string_view TemplateEdit::Kind() const { return kTemplatesKind; }
 
-StandingVerdict TemplateSubject::Judge(const StoredObject& standing) const {
-  const TemplateObject object = ReadOrEmpty(standing);
+PresenceResult TemplateEdit::FindIn(const StoredObject& stored) const {
+  const TemplateObject object = ReadOrEmpty(stored);
   if (object.current.operation == this->entry.operation) {
-    return {Standing::kOurs, standing.version};
+    return {ChangePresence::kCurrent, stored.version};
   }
   for (const TemplateEntry& earlier : object.history) {
     if (earlier.operation == this->entry.operation) {
-      return {Standing::kOursBefore, earlier.version};
+      return {ChangePresence::kSuperseded, earlier.version};
     }
   }
   if (object.current.yaml == this->entry.yaml) {
-    return {Standing::kSame, standing.version};
+    return {ChangePresence::kSameContent, stored.version};
   }
-  return {Standing::kOther, 0};
+  return {ChangePresence::kAbsent, 0};
 }
 
-std::string TemplateSubject::NextValue(const StoredObject* standing) const {
+std::string TemplateEdit::NextValue(const StoredObject* stored) const {
   TemplateObject next;
   next.current = this->entry;
-  if (standing != nullptr) {
-    next = NextTemplateObject(ReadOrEmpty(*standing), this->entry,
-                              kMaxObjectBytes);
+  if (stored != nullptr) {
+    next =
+        NextTemplateObject(ReadOrEmpty(*stored), this->entry, kMaxObjectBytes);
   }
   return TemplateToJson(next);
 }
 
-std::string TemplateSubject::Explain(const StoredObject* base,
-                                     const StoredObject* standing) const {
-  if (standing == nullptr) {
+std::string TemplateEdit::Explain(const StoredObject* base,
+                                  const StoredObject* stored) const {
+  if (stored == nullptr) {
     return "the template was removed\n";
   }
-  const TemplateObject object = ReadOrEmpty(*standing);
+  const TemplateObject object = ReadOrEmpty(*stored);
   std::string text =
       absl::StrCat(object.current.author, " changed it to version ",
-                   standing->version, " at ", object.current.unix_ms, ":\n");
-  // Best is the difference to what this operator worked from. Where that is no
-  // longer known, the two rivals are shown side by side.
+                   stored->version, " at ", object.current.unix_ms, ":\n");
+  // Shows what the other operator changed in the version that this operator
+  // edited. If that version is no longer known, compares the two new versions.
   std::optional<TemplateEntry> before;
   if (base != nullptr) {
     before = base->value.empty() ? EntryAt(object, base->version)
--- a/src/configuration/template_object.cc
+++ b/src/configuration/template_object.cc
@@ -58,7 +58,7 @@
     return object;
   }
   for (const json& item : *history) {
-    // History is a help, so that a faulty item costs only itself.
+    // The history is optional, so an invalid entry is skipped.
     absl::StatusOr<TemplateEntry> entry = EntryFromJson(item);
     if (entry.ok()) {
       object.history.push_back(*std::move(entry));
@@ -67,14 +67,14 @@
   return object;
 }
 
-TemplateObject NextTemplateObject(const TemplateObject& standing,
+TemplateObject NextTemplateObject(const TemplateObject& stored,
                                   const TemplateEntry& next,
                                   std::size_t limit_bytes) {
   TemplateObject object;
   object.current = next;
-  object.history.push_back(standing.current);
-  object.history.insert(object.history.end(), standing.history.begin(),
-                        standing.history.end());
+  object.history.push_back(stored.current);
+  object.history.insert(object.history.end(), stored.history.begin(),
+                        stored.history.end());
   if (object.history.size() > kMaxHistory) {
     object.history.resize(kMaxHistory);
   }
--- a/src/configuration/template_problem.h
+++ b/src/configuration/template_problem.h
@@ -9,21 +9,22 @@
 
 namespace meadowthread {
 
-/// @brief One fault of a template, for the person who wrote it.
+/// @brief One error in a template, for the person who wrote it.
 struct TemplateProblem {
   int line = 0;         ///< from 1; 0: the document as a whole
   std::string field;    ///< such as `workspaces[2].weight`
-  std::string message;  ///< what is wrong and what would be right
+  std::string message;  ///< what is wrong and what is expected
 
-  // The linter takes the defaulted comparison for a null pointer's.
+  // clang-tidy mistakes the defaulted comparison for one with a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const TemplateProblem&) const = default;
 };
 
-/// @brief The problem as one line: `line 3: models[0].model: is missing`.
+/// @brief Formats a problem as one line: `line 3: models[0].model: is missing`.
 std::string ToText(const TemplateProblem& problem);
 
-/// @brief All problems as one kTemplateInvalid that names the first field.
+/// @brief One kTemplateInvalid error that lists all problems and names the
+/// first field.
 absl::Status TemplateInvalid(std::span<const TemplateProblem> problems);
 
 }  // namespace meadowthread
--- a/src/configuration/tests/marks_test.cc
+++ b/src/configuration/tests/marks_test.cc
@@ -13,7 +13,7 @@
   return MarkDocument{"host-1", HostMark::kLeaving, true, "op-1", "ana", 7};
 }
 
-Test(a_mark, reads_back_as_it_was_written) {
+Test(a_mark, survives_encoding_and_decoding) {
   const absl::StatusOr<MarkDocument> read = MarkFromJson(MarkToJson(Leaving()));
   cr_assert(read.ok() && *read == Leaving());
 }
@@ -29,14 +29,14 @@
   ReplicatedView view(clock, kKinds);
   const Marks marks(view);
   cr_assert(marks.MarkOf("host-1").mark == HostMark::kLive);
-  {  // when a mark is offered
+  {  // a mark is offered
     const StoredObject offer = {"marks", "host-1", 5, MarkToJson(Leaving()),
                                 false};
     view.ApplyItems({&offer, 1});
   }
   cr_assert(marks.MarkOf("host-1") == Leaving());
   cr_assert(marks.NotLive().size() == 1);
-  {  // when it is removed
+  {  // the mark is removed
     const StoredObject removal = {"marks", "host-1", 6, "", true};
     view.ApplyItems({&removal, 1});
   }
@@ -44,7 +44,7 @@
   cr_assert(marks.NotLive().empty());
 }
 
-Test(a_host, whose_mark_cannot_be_read_takes_no_new_work) {
+Test(a_host, whose_mark_cannot_be_read_counts_as_leaving) {
   ManualClock clock(0);
   ReplicatedView view(clock, kKinds);
   const StoredObject offer = {"marks", "host-1", 5, "?", false};
--- a/src/configuration/tests/operator_change_test.cc
+++ b/src/configuration/tests/operator_change_test.cc
@@ -18,7 +18,7 @@
          "\nworkspaces: [{workspace: makati}]\n";
 }
 
-// Reads show an earlier state for as long as a test likes.
+// The next `stale_gets` reads return an earlier state.
 class StaleStore final : public PassingStore {
  public:
   StaleStore() : PassingStore(this->memory) {}
@@ -90,14 +90,14 @@
   }
 };
 
-Test(a_change, is_accepted_once_its_update_took_effect) {
+Test(a_change, is_accepted_when_its_update_is_applied) {
   Fixture f;
   const ChangeResult first = f.Put("op-1", "urgent");
   cr_assert(first.outcome == ChangeOutcome::kAccepted && first.version == 1);
   const ChangeResult second = f.Put("op-2", "batch");
   cr_assert(second.outcome == ChangeOutcome::kAccepted && second.version == 2);
   cr_assert(second.object.version == 2);
-  {  // then the first is in its history
+  {  // the first change is in the history
     const TemplateObject stored = f.Stored();
     cr_assert(stored.current.operation == "op-2");
     cr_assert(stored.history.size() == 1);
@@ -106,7 +106,7 @@
   }
 }
 
-Test(a_change, put_twice_is_one_change) {
+Test(a_change, with_unchanged_content_adds_no_history) {
   Fixture f;
   f.Put("op-1", "urgent");
   const ChangeResult again = f.Put("op-2", "urgent");
@@ -115,7 +115,7 @@
   cr_assert(f.Stored().history.empty());
 }
 
-Test(a_change, that_is_invalid_is_refused_before_anything_is_written) {
+Test(a_change, that_is_invalid_is_rejected_without_a_write) {
   Fixture f;
   const ChangeResult result = f.Put("op-1", "soon");
   cr_assert(result.outcome == ChangeOutcome::kInvalid);
@@ -123,7 +123,7 @@
   cr_assert(f.store.WriteCalls() + f.store.ReadCalls() == 0);
 }
 
-Test(a_change, too_large_to_store_is_refused_too) {
+Test(a_change, too_large_to_store_is_rejected) {
   Fixture f;
   f.Start({Yaml("urgent") + "#" + std::string(1 << 20, 'x'), "", "op", 0, {}});
   f.Run();
@@ -131,7 +131,7 @@
   cr_assert(f.store.WriteCalls() == 0);
 }
 
-Test(a_lost_answer, to_an_update_that_took_effect_reads_as_accepted) {
+Test(a_lost_answer, to_an_applied_update_is_reported_as_accepted) {
   Fixture f;
   f.store.FailWrites({WriteFault::kAnswerLost});
   const ChangeResult result = f.Put("op-1", "urgent");
@@ -139,7 +139,7 @@
   cr_assert(f.store.WriteCalls() == 1);
 }
 
-Test(a_lost_answer, to_an_update_that_never_came_is_settled_by_another) {
+Test(a_lost_answer, to_a_lost_update_is_resolved_by_a_retry) {
   Fixture f;
   f.store.FailWrites({WriteFault::kRequestLost, WriteFault::kRequestLost});
   const ChangeResult result = f.Put("op-1", "urgent");
@@ -147,7 +147,7 @@
   cr_assert(f.store.WriteCalls() == 3);
 }
 
-Test(a_delayed_update, cannot_take_effect_after_the_change_was_settled) {
+Test(a_delayed_update, cannot_be_applied_after_the_change_was_resolved) {
   Fixture f;
   f.store.FailWrites({WriteFault::kDelayed});
   cr_assert(f.Put("op-1", "urgent").outcome == ChangeOutcome::kAccepted);
@@ -156,32 +156,32 @@
   cr_assert(f.Stored().current.operation == "op-2");
 }
 
-Test(a_delayed_update, that_lands_after_the_read_back_is_still_accepted_once) {
+Test(a_delayed_update, applied_after_the_read_back_is_accepted_once) {
   Fixture f;
   f.store.FailWrites({WriteFault::kDelayed});
   f.Start({Yaml("urgent"), "ana", "op-1", 7, {}});
   f.store.Settle();
   f.clock.Advance(100);
   f.scheduler.RunDue();
-  f.store.Settle();  // when it was read back and nothing was seen
+  f.store.Settle();  // the read-back doesn't show the update
   f.store.ReleaseDelayed();
   f.Run();
   cr_assert(f.results.front().outcome == ChangeOutcome::kAccepted);
   cr_assert(f.results.front().version == 1 && f.store.Revision() == 1);
 }
 
-Test(a_change_whose_fate_stays_unknown, says_so_and_is_settled_later) {
+Test(a_change_with_unknown_outcome, is_reported_and_resolved_by_a_rerun) {
   Fixture f;
   f.store.FailWrites(std::vector<WriteFault>(3, WriteFault::kDelayed));
   const ChangeResult result = f.Put("op-1", "urgent");
   cr_assert(result.outcome == ChangeOutcome::kUnknown);
   cr_assert(result.message.find("same operation id") != std::string::npos);
   f.store.ReleaseDelayed();
-  {  // when the command is run again
+  {  // the command is run again
     const ChangeResult again = f.Put("op-1", "urgent");
     cr_assert(again.outcome == ChangeOutcome::kAccepted && again.version == 1);
   }
-  {  // and once more after another change
+  {  // the command is run once more after another change
     f.Put("op-2", "batch");
     const ChangeResult late = f.Put("op-1", "urgent");
     cr_assert(late.outcome == ChangeOutcome::kAccepted && late.version == 1);
@@ -189,7 +189,7 @@
   }
 }
 
-Test(a_change_in_an_outage, is_certainly_not_applied) {
+Test(a_change_in_an_outage, is_reported_as_not_applied) {
   Fixture f;
   f.store.SetDown(true);
   cr_assert(f.Put("op-1", "urgent").outcome == ChangeOutcome::kNotApplied);
@@ -197,7 +197,7 @@
   cr_assert(f.store.Revision() == 0);
 }
 
-Test(a_change_in_an_outage, whose_first_update_was_lost_stays_unknown) {
+Test(a_change_in_an_outage, with_an_unanswered_update_is_unknown) {
   Fixture f;
   f.store.FailWrites({WriteFault::kDelayed});
   f.Start({Yaml("urgent"), "ana", "op-1", 7, {}});
@@ -207,7 +207,7 @@
   cr_assert(f.results.front().outcome == ChangeOutcome::kUnknown);
 }
 
-Test(racing_operators, are_told_who_changed_what) {
+Test(racing_operators, see_who_changed_what) {
   Fixture f;
   f.Put("op-1", "urgent");
   f.results.clear();
@@ -225,7 +225,7 @@
             "%s", lost.difference.c_str());
 }
 
-Test(racing_operators, find_out_that_they_worked_from_an_old_version) {
+Test(racing_operators, get_a_conflict_on_an_outdated_base_version) {
   Fixture f;
   f.Put("op-1", "urgent");
   f.Put("op-2", "batch", 1);
@@ -236,7 +236,7 @@
   cr_assert(f.Put("op-5", "normal", 2).outcome == ChangeOutcome::kAccepted);
 }
 
-Test(racing_operators, learn_that_a_lost_update_may_have_been_in_force) {
+Test(racing_operators, learn_that_an_unanswered_update_may_have_been_in_force) {
   Fixture f;
   f.store.FailWrites({WriteFault::kRequestLost});
   f.Start({Yaml("batch"), "ana", "op-1", 8, {}});
@@ -248,22 +248,22 @@
   cr_assert(f.results[1].may_have_been_in_force);
 }
 
-Test(a_stale_read, never_passes_for_what_stands) {
+Test(a_stale_read, is_never_taken_for_the_current_object) {
   Fixture f;
   f.Put("op-1", "urgent");
   f.stale.earlier = f.stale.memory;
   f.Put("op-2", "batch");
-  {  // when an old version with the same content is read
+  {  // a stale read returns an old version with the same content
     f.stale.stale_gets = 1;
     const ChangeResult lost = f.Put("op-3", "urgent");
     cr_assert(lost.outcome == ChangeOutcome::kConflict);
     cr_assert(f.Stored().current.operation == "op-2");
   }
-  {  // when the operator has seen a newer version than the read shows
+  {  // the operator has seen a newer version than the read returns
     f.stale.stale_gets = 2;
     cr_assert(f.Put("op-4", "normal", 2).outcome == ChangeOutcome::kAccepted);
   }
-  {  // when the read back of a lost answer is stale
+  {  // the answer is lost and the read-back is stale
     f.stale.earlier = f.stale.memory;
     f.store.FailWrites({WriteFault::kAnswerLost});
     f.stale.stale_gets = 2;
@@ -273,7 +273,7 @@
   }
 }
 
-Test(a_mark, is_put_as_a_template_is) {
+Test(a_mark, is_stored_like_a_template) {
   Fixture f;
   cr_assert(f.Mark("op-1", HostMark::kLeaving).version == 1);
   cr_assert(f.Mark("op-2", HostMark::kLeaving).outcome ==
--- a/src/configuration/tests/replicated_view_test.cc
+++ b/src/configuration/tests/replicated_view_test.cc
@@ -20,14 +20,14 @@
           "v" + std::to_string(version), false};
 }
 
-StoredObject GoneAt(std::string_view name, std::int64_t version) {
+StoredObject DeletedAt(std::string_view name, std::int64_t version) {
   return {"templates", std::string(name), version, "", true};
 }
 
 struct Host {
   explicit Host(std::string_view name) : name(name) {
     this->view.AddListener([this](const ViewChange& change) {
-      this->told += static_cast<int>(change.items.size());
+      this->notified += static_cast<int>(change.items.size());
     });
   }
   bool List(std::int64_t since, std::int64_t revision,
@@ -57,30 +57,30 @@
   std::string name;
   ManualClock clock{1000};
   ReplicatedView view{clock, kKinds};
-  int told = 0;
+  int notified = 0;
 };
 
-Test(a_view, takes_what_is_newer_and_tells_of_it) {
+Test(a_view, applies_newer_versions_and_notifies_listeners) {
   Host host("a");
   cr_assert(host.List(0, 5, {At("x", 3), At("y", 5)}));
-  cr_assert(host.told == 2 && host.Revision() == 5);
-  cr_assert(host.List(5, 8, {At("x", 7), GoneAt("y", 8)}));
+  cr_assert(host.notified == 2 && host.Revision() == 5);
+  cr_assert(host.List(5, 8, {At("x", 7), DeletedAt("y", 8)}));
   cr_assert(host.VersionOf("x") == 7 && host.VersionOf("y") == 0);
-  cr_assert(host.told == 4);
+  cr_assert(host.notified == 4);
 }
 
-Test(a_view, is_not_reduced_by_a_stale_read) {
+Test(a_view, ignores_a_stale_read) {
   Host host("a");
   host.List(0, 9, {At("x", 7), At("y", 8)});
   host.clock.Advance(1000);
   cr_assert(!host.List(0, 6, {At("x", 4)}));
-  cr_assert(!host.List(3, 6, {At("x", 4), GoneAt("y", 5)}));
+  cr_assert(!host.List(3, 6, {At("x", 4), DeletedAt("y", 5)}));
   cr_assert(host.VersionOf("x") == 7 && host.VersionOf("y") == 8);
   cr_assert(host.Revision() == 9);
   cr_assert(host.Confirmed().unix_ms == 1000);
 }
 
-Test(a_view, does_not_pass_over_a_gap) {
+Test(a_view, keeps_its_watermark_if_there_is_a_gap) {
   Host host("a");
   host.List(0, 5, {At("x", 3)});
   cr_assert(!host.List(7, 9, {At("x", 8)}));
@@ -88,7 +88,7 @@
   cr_assert(host.Revision() == 5);
 }
 
-Test(a_view, forgets_what_a_whole_read_lacks_but_not_a_newer_offer) {
+Test(a_view, removes_objects_missing_in_a_full_list_but_not_newer_offers) {
   Host host("a");
   host.List(0, 5, {At("x", 3)});
   host.Offer(At("z", 11));
@@ -97,50 +97,51 @@
   cr_assert(host.VersionOf("z") == 11);
 }
 
-Test(a_view, repairs_a_lost_watch_event_by_reading_from_further_back) {
+Test(a_view, repairs_a_lost_watch_event_by_a_list_from_an_older_revision) {
   Host host("a");
   host.List(0, 5, {At("x", 3)});
-  {  // given a watch that lost x at 6 and the removal of y
+  {  // a watch that lost events: the change of x and the deletion of y
     host.Offer(At("y", 6));
     host.List(5, 9, {});
   }
-  cr_assert(host.List(5, 10, {At("x", 7), GoneAt("y", 8)}));
+  cr_assert(host.List(5, 10, {At("x", 7), DeletedAt("y", 8)}));
   cr_assert(host.VersionOf("x") == 7 && host.VersionOf("y") == 0);
 }
 
-Test(a_view, takes_from_the_platform_what_its_peer_missed) {
-  // given a peer whose watch lost an event, and who taught a restarted host
+Test(a_view, accepts_from_the_store_what_its_peer_missed) {
+  // The watch of a peer lost an event, and a restarted host learned its state
+  // from that peer.
   Host peer("peer");
   Host restarted("restarted");
   peer.List(0, 50, {});
-  peer.List(50, 120, {});  // "x" was put at 100
+  peer.List(50, 120, {});  // lost: "x" was stored at revision 100
   restarted.LearnFrom(peer);
   cr_assert(restarted.Revision() == 120);
   {
-    // when a stale read shows it, it may be one that was deleted since
+    // A stale read returns the object: it may have been deleted since.
     restarted.List(0, 110, {At("x", 100)});
     cr_assert(restarted.VersionOf("x") == 0);
   }
   {
-    // when a fresh read shows it, then it is there, whatever the peer knew
+    // A current read returns the object: it exists, whatever the peer knew.
     restarted.List(0, 130, {At("x", 100)});
     cr_assert(restarted.VersionOf("x") == 100);
   }
 }
 
-Test(an_older_copy_offered, never_reverts_a_newer_one) {
+Test(an_offer, never_replaces_a_newer_version) {
   Host host("a");
   host.List(0, 9, {At("x", 7)});
   cr_assert(host.Offer(At("x", 6)) == 0 && host.Offer(At("x", 7)) == 0);
   cr_assert(host.VersionOf("x") == 7);
 }
 
-Test(an_older_copy_offered, never_brings_back_a_deleted_object) {
+Test(an_offer, never_restores_a_deleted_object) {
   Host host("a");
   host.List(0, 5, {At("x", 3)});
-  host.List(5, 9, {GoneAt("x", 8)});
+  host.List(5, 9, {DeletedAt("x", 8)});
   cr_assert(host.Offer(At("x", 3)) == 0);
-  {  // when the tombstone is no longer kept
+  {  // the tombstone is discarded
     host.List(0, 10, {});
     cr_assert(host.view.DeltaSince("templates", 0, kNoLimit).items.empty());
   }
@@ -149,7 +150,7 @@
   cr_assert(host.Offer(At("x", 11)) == 1);
 }
 
-Test(an_older_copy_offered, of_another_kind_or_a_doubled_version_is_ignored) {
+Test(an_offer, of_another_kind_or_with_a_duplicate_version_is_ignored) {
   Host host("a");
   host.Offer(At("x", 3));
   cr_assert(host.Offer(At("y", 3)) == 0);
@@ -159,7 +160,7 @@
   cr_assert(host.Offer(At("y", 0)) == 0 && host.Offer(At("y", -1)) == 0);
 }
 
-Test(a_host_that_restarts_in_an_outage, learns_everything_from_a_peer) {
+Test(a_host_restarted_in_a_store_outage, gets_the_full_state_from_a_peer) {
   Host peer("a");
   peer.List(0, 9, {At("x", 7), At("y", 8)});
   peer.Offer(At("z", 12));
@@ -170,18 +171,18 @@
   cr_assert(host.Confirmed().by == "a" && host.Confirmed().unix_ms == 1000);
 }
 
-Test(a_peer, raises_the_watermark_only_by_a_whole_delta_beyond_ours) {
+Test(a_peer, raises_the_watermark_only_by_a_newer_delta_without_a_gap) {
   Host peer("a");
   peer.List(0, 5, {At("x", 3)});
   peer.List(5, 9, {At("y", 8)});
   Host host("b");
   host.List(0, 5, {At("x", 3)});
-  {  // when the delta starts beyond what is known
+  {  // the delta starts above the watermark
     ViewDelta delta = peer.view.DeltaSince("templates", 8, kNoLimit);
     cr_assert(!host.view.ApplyDelta(delta));
     cr_assert(host.Revision() == 5);
   }
-  {  // when the peer itself is behind
+  {  // the peer itself is behind
     Host old_peer("c");
     old_peer.List(0, 4, {At("x", 2)});
     cr_assert(!host.LearnFrom(old_peer));
@@ -191,7 +192,7 @@
   cr_assert(host.Revision() == 9 && host.VersionOf("y") == 8);
 }
 
-Test(a_peer, tells_of_deletions_even_where_it_kept_no_tombstone) {
+Test(a_peer, passes_on_deletions_whose_tombstones_it_discarded) {
   Host host("b");
   host.List(0, 5, {At("x", 3)});
   Host peer("a");
@@ -200,15 +201,15 @@
   cr_assert(host.VersionOf("x") == 0 && host.VersionOf("y") == 8);
 }
 
-Test(a_delta, that_is_cut_is_gone_on_with_where_it_ended) {
+Test(a_delta, that_is_truncated_is_continued_where_it_ended) {
   Host peer("a");
   peer.clock.Advance(500);
   peer.List(0, 1, {});
-  peer.List(1, 40, {At("a", 10), At("b", 20), GoneAt("c", 30), At("d", 40)});
+  peer.List(1, 40, {At("a", 10), At("b", 20), DeletedAt("c", 30), At("d", 40)});
   Host host("b");
   host.List(0, 1, {});
   host.Offer(At("c", 5));
-  {  // when the limit lets one item through
+  {  // the limit admits one item
     cr_assert(host.LearnFrom(peer, 1));
     cr_assert(host.Revision() == 10 && host.VersionOf("d") == 0);
     cr_assert(host.Confirmed().by == "b");
@@ -220,7 +221,7 @@
   cr_assert(host.VersionOf("d") == 40 && host.Confirmed().by == "a");
 }
 
-Test(tombstones, are_bounded_and_a_host_far_behind_still_learns_of_them) {
+Test(tombstones, are_bounded_and_hosts_far_behind_still_learn_of_deletions) {
   Host peer("a");
   Host host("b");
   std::vector<StoredObject> all;
@@ -229,13 +230,13 @@
   }
   peer.List(0, 10'000, all);
   host.List(0, 10'000, all);
-  std::vector<StoredObject> gone;
-  gone.reserve(all.size());
+  std::vector<StoredObject> deletions;
+  deletions.reserve(all.size());
   for (const StoredObject& object : all) {
-    gone.push_back(GoneAt(object.name, object.version + 10'000));
+    deletions.push_back(DeletedAt(object.name, object.version + 10'000));
   }
-  peer.List(10'000, 20'000, gone);
-  {  // then the oldest are dropped and the whole state is told instead
+  peer.List(10'000, 20'000, deletions);
+  {  // the oldest are discarded, and the complete state is sent instead
     const ViewDelta delta = peer.view.DeltaSince("templates", 10'000, kNoLimit);
     cr_assert(delta.full && delta.items.size() == kMaxTombstones / 2);
   }
@@ -244,7 +245,7 @@
   cr_assert(peer.Offer(all.front()) == 0 && host.Offer(all.front()) == 0);
 }
 
-Test(a_template, is_held_with_its_newest_history_only) {
+Test(a_template, is_kept_with_its_newest_history_entry_only) {
   TemplateObject object;
   object.current.yaml = "now";
   object.history = {{"", "", 0, "before", 2}, {"", "", 0, "long ago", 1}};
@@ -256,7 +257,7 @@
   cr_assert(read->history.front().yaml == "before");
 }
 
-Test(freshness, is_the_latest_read_at_our_watermark) {
+Test(a_confirmation, is_adopted_if_it_is_the_latest_at_the_watermark) {
   Host host("b");
   host.List(0, 9, {});
   host.view.ApplyDigest({"templates", 9, {3000, "c"}});
@@ -267,16 +268,17 @@
   cr_assert(host.Confirmed().by == "c");
 }
 
-Test(freshness, of_a_clock_far_ahead_is_not_believed) {
+Test(a_confirmation, from_a_clock_far_ahead_is_ignored) {
   Host host("b");
   host.List(0, 9, {});
   host.view.ApplyDigest({"templates", 9, {1001 + kMaxClockSkewMs, "c"}});
   cr_assert(host.Confirmed().by == "b");
 }
 
-// A store's history, read at random points, late, doubled and by detours: what
-// a host shows of an object never goes back, and all end at the same state.
-Test(versions, only_ever_grow_under_random_exchanges) {
+// Hosts read a store's history at random revisions, late, repeatedly and by way
+// of peers. The version of an object never decreases on any host, and all hosts
+// converge to the same state.
+Test(versions, never_decrease_under_random_exchanges) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     std::vector<StoredObject> history;
@@ -286,7 +288,7 @@
       hosts.emplace_back(name);
     }
     std::map<std::string, std::int64_t> highest;
-    std::set<std::string> gone;
+    std::set<std::string> deleted;
     const auto state_at = [&](std::int64_t since, std::int64_t revision) {
       std::map<std::string, StoredObject> state;
       for (std::int64_t v = 0; v < revision; ++v) {
@@ -307,7 +309,7 @@
       const std::string name = "x" + std::to_string(random() % 4);
       switch (random() % 5) {
         case 0:
-          history.push_back(random() % 3 == 0 ? GoneAt(name, revision + 1)
+          history.push_back(random() % 3 == 0 ? DeletedAt(name, revision + 1)
                                               : At(name, revision + 1));
           break;
         case 1: {
@@ -335,14 +337,14 @@
           std::int64_t& seen = highest[each.name + "/" + object];
           const std::int64_t now = each.VersionOf(object);
           cr_assert(now == 0 || now >= seen, "seed %u step %d", seed, step);
-          // What was seen to be gone may only come back as something newer.
-          seen = now == 0 && seen > 0 && !gone.contains(each.name + object)
+          // An object seen as deleted may only reappear with a newer version.
+          seen = now == 0 && seen > 0 && !deleted.contains(each.name + object)
                      ? seen + 1
                      : std::max(seen, now);
           if (now == 0) {
-            gone.insert(each.name + object);
+            deleted.insert(each.name + object);
           } else {
-            gone.erase(each.name + object);
+            deleted.erase(each.name + object);
           }
         }
       }
--- a/src/configuration/tests/service_catalog_test.cc
+++ b/src/configuration/tests/service_catalog_test.cc
@@ -56,22 +56,22 @@
   cr_assert(f.catalog.Problems().empty());
 }
 
-Test(a_template_in_force, gives_way_to_its_next_version_and_its_removal) {
+Test(a_template_in_force, is_replaced_by_its_next_version_and_by_its_removal) {
   Fixture f;
   f.Store("report", 3, Yaml("report", "makati", "7"));
   const auto held = f.catalog.Find("makati", "reconcile");
-  {  // when it moves to another workspace
+  {  // it moves to another workspace
     f.Store("report", 5, Yaml("report", "pasig", "8"));
     cr_assert(f.VersionFor("makati") == 0 && f.VersionFor("pasig") == 5);
     cr_assert(f.catalog.WorkspaceOfKey(kKey) == "pasig");
     cr_assert(f.catalog.Models().front().version == "8");
   }
-  {  // when it is removed
+  {  // it is removed
     const StoredObject removal = {"templates", "report", 6, "", true};
     f.view.ApplyItems({&removal, 1});
     cr_assert(f.VersionFor("pasig") == 0 && f.catalog.Models().empty());
     cr_assert(f.catalog.WorkspaceOfKey(kKey).empty());
-    cr_assert(f.catalog.InForce().empty());
+    cr_assert(f.catalog.TemplatesInForce().empty());
   }
   cr_assert(held->workspace == "makati");
 }
@@ -92,7 +92,8 @@
   cr_assert(f.VersionFor("makati") == 6);
 }
 
-Test(an_invalid_template, that_cannot_even_be_read_does_the_same) {
+Test(an_invalid_template,
+     that_cannot_be_decoded_leaves_the_last_valid_version) {
   Fixture f;
   f.Store("report", 3, Yaml("report", "makati", "7"));
   const StoredObject broken = {"templates", "report", 4, "{", false};
@@ -101,7 +102,7 @@
   cr_assert(f.catalog.Problems().front().version == 4);
 }
 
-Test(an_invalid_template, met_by_a_host_that_starts_gives_way_to_its_history) {
+Test(an_invalid_template, falls_back_to_its_history_on_a_host_that_starts) {
   Fixture f;
   TemplateObject object;
   object.current.yaml = "name: report";
@@ -109,29 +110,29 @@
                     {"", "", 0, Yaml("report", "makati", "7"), 3}};
   f.Store("report", 5, object);
   cr_assert(f.VersionFor("makati") == 3);
-  cr_assert(f.catalog.InForce().front().version == 3);
+  cr_assert(f.catalog.TemplatesInForce().front().version == 3);
   cr_assert(f.catalog.Problems().front().version == 5);
-  {  // and so does one that missed a valid version in between
+  {  // a host that missed a valid version uses it from the history
     object.history.insert(object.history.begin(),
                           {"", "", 0, Yaml("report", "makati", "8"), 6});
     f.Store("report", 7, object);
     cr_assert(f.VersionFor("makati") == 6);
   }
-  {  // but not to what is older than what is in force
+  {  // the history never replaces a newer version in force
     object.history.erase(object.history.begin());
     f.Store("report", 8, object);
     cr_assert(f.VersionFor("makati") == 6);
   }
 }
 
-Test(an_invalid_template, is_one_that_names_another) {
+Test(an_invalid_template, is_one_whose_name_differs_from_the_object) {
   Fixture f;
   f.Store("report", 3, Yaml("tags", "makati", "7"));
   cr_assert(f.VersionFor("makati") == 0);
   cr_assert(f.catalog.Problems().size() == 1);
 }
 
-Test(templates_that_clash, are_settled_alike_whatever_their_order) {
+Test(conflicting_templates, are_resolved_the_same_way_in_any_order) {
   for (const bool first : {true, false}) {
     Fixture f;
     f.Store(first ? "a" : "b", 3, Yaml(first ? "a" : "b", "makati", "7"));
@@ -143,7 +144,7 @@
   }
 }
 
-Test(templates_that_clash, over_a_key_give_it_to_the_lowest_name) {
+Test(conflicting_templates, over_a_key_are_resolved_by_the_lowest_name) {
   Fixture f;
   f.Store("b", 3, Yaml("b", "pasig", "7"));
   f.Store("a", 4, Yaml("a", "makati", "7"));
@@ -151,7 +152,7 @@
   cr_assert(f.catalog.Problems().front().template_name == "b");
 }
 
-Test(a_call_that_may_not_be_repeated, is_known_in_any_spelling) {
+Test(a_non_repeatable_call, is_recognized_in_any_spelling_of_its_path) {
   Fixture f;
   f.Store("a", 3, Yaml("a", "makati", "7"));
   for (const char* path :
@@ -166,7 +167,7 @@
   cr_assert(!f.catalog.RuleOf("pasig", "rounds", "POST", "/notes").needs_key);
 }
 
-Test(a_template_object, keeps_its_last_versions_within_the_limit) {
+Test(a_template_object, keeps_its_latest_versions_within_the_size_limit) {
   TemplateObject object;
   for (int i = 1; i <= 12; ++i) {
     const TemplateEntry next = {"op", "ana", i, std::string(100, 'x'), i};
--- a/src/configuration/tests/template_document_test.cc
+++ b/src/configuration/tests/template_document_test.cc
@@ -39,7 +39,7 @@
 
 std::string Report() { return Replaced(kReport, "KEY", kDigest); }
 
-// All problems of the report with one part changed, a line each.
+// All problems of the report template with one part replaced, one per line.
 std::string ProblemsWith(std::string_view old_part, std::string_view new_part) {
   std::string all;
   for (const TemplateProblem& problem :
@@ -55,15 +55,15 @@
   cr_assert(got == expected, "%s", got.c_str());
 }
 
-Test(a_template, is_filled_in_for_each_workspace) {
+Test(a_template, has_its_parameters_substituted_per_workspace) {
   const ParsedTemplate parsed = ParseTemplate(Report(), 12);
   cr_assert(parsed.IsValid());
   cr_assert(parsed.document.name == "daily-report");
   cr_assert(parsed.document.services.size() == 2);
-  {  // then the first has everything
+  {  // the first workspace uses every field
     const WorkspaceService& makati = parsed.document.services[0];
     const ModelVersion model = {"reconcile", "stains", "7"};
-    const NotRepeatableCalls calls = {"rounds", {"POST"}, "/notes"};
+    const NonRepeatableCalls calls = {"rounds", {"POST"}, "/notes"};
     cr_assert(makati.workspace == "makati");
     cr_assert(makati.template_name == "daily-report");
     cr_assert(makati.template_version == 12);
@@ -79,7 +79,7 @@
     cr_assert(makati.weight == 3);
     cr_assert(parsed.document.keys[0].key_sha256.front() == kDigest);
   }
-  {  // and the second its own parameters
+  {  // the second workspace has its own parameters and default values
     const WorkspaceService& pasig = parsed.document.services[1];
     cr_assert(pasig.urgency == Urgency::kBatch);
     cr_assert(pasig.models.front().adapter.empty());
@@ -87,14 +87,14 @@
   }
 }
 
-Test(a_template, needs_only_its_name_models_and_workspaces) {
+Test(a_template, requires_only_name_models_and_workspaces) {
   const ParsedTemplate parsed =
       ParseTemplate("name: a\nmodels: []\nworkspaces: []", 1);
   cr_assert(parsed.IsValid());
   cr_assert(ParseTemplate("{}", 1).problems.size() == 3);
 }
 
-Test(a_faulty_template, names_the_nearest_known_field) {
+Test(an_invalid_template, reports_the_nearest_known_field) {
   AssertProblems("delivery:", "delivry:",
                  "line 6: delivry: is unknown; did you mean 'delivery'?\n");
   AssertProblems("concurrent", "concurent",
@@ -105,7 +105,7 @@
                  "workspace, key_sha256, weight, parameters\n");
 }
 
-Test(a_faulty_template, tells_of_parameters_that_do_not_fit) {
+Test(an_invalid_template, reports_invalid_parameters) {
   AssertProblems("urgency: urgent, adapter", "urgncy: urgent, adapter",
                  "line 14: workspaces[0].parameters.urgency: is missing: the "
                  "template declares it\n"
@@ -121,7 +121,7 @@
                  "line 4: models[0].adapter: '${' is not closed by '}'\n");
 }
 
-Test(a_faulty_template, tells_of_values_that_do_not_fit) {
+Test(an_invalid_template, reports_invalid_values) {
   AssertProblems("requests: keyed", "requests: most",
                  "line 8: not_repeatable.requests: 'most' is none of: none, "
                  "keyed, all\n");
@@ -141,22 +141,22 @@
                  "line 6: delivery: is not a single value\n");
 }
 
-Test(a_faulty_template, tells_of_what_stands_twice) {
+Test(an_invalid_template, reports_duplicates) {
   AssertProblems("delivery: whole", "urgency: normal",
-                 "line 6: urgency: stands twice\n");
+                 "line 6: urgency: is given twice\n");
   AssertProblems("workspace: pasig", "workspace: makati",
-                 "line 18: workspaces[1].workspace: 'makati' stands twice\n");
+                 "line 18: workspaces[1].workspace: 'makati' is given twice\n");
   AssertProblems("models:\n", "models:\n  - {model: reconcile, version: 8}\n",
-                 "line 5: models[1].model: 'reconcile' stands twice\n");
+                 "line 5: models[1].model: 'reconcile' is given twice\n");
 }
 
-Test(a_faulty_template, never_repeats_what_may_be_a_secret) {
+Test(an_invalid_template, never_prints_a_possible_secret) {
   AssertProblems(kDigest, "sk-secret",
                  "line 15: workspaces[0].key_sha256[0]: is not 64 hexadecimal "
                  "digits of a SHA-256\n");
 }
 
-Test(a_faulty_template, tells_everything_at_once) {
+Test(an_invalid_template, reports_all_problems_at_once) {
   const std::string text =
       Replaced(Replaced(Report(), "delivery: whole", "delivery: hole"),
                "weight: 3", "weight: many");
@@ -168,7 +168,7 @@
   cr_assert(DetailOf(status).field == "delivery");
 }
 
-Test(a_text_that_is_no_template, is_refused_without_a_crash) {
+Test(a_malformed_document, is_rejected_without_a_crash) {
   const std::vector<std::string> texts = {
       "",
       "7",
--- a/src/configuration/tests/view_feeder_test.cc
+++ b/src/configuration/tests/view_feeder_test.cc
@@ -15,7 +15,7 @@
 
 constexpr std::array<std::string_view, 1> kKinds = {kTemplatesKind};
 
-// A store whose reads can be made to go wrong.
+// A store whose reads can be made to fail in several ways.
 class FaultyReads final : public PassingStore {
  public:
   FaultyReads() : PassingStore(this->memory) {}
@@ -28,12 +28,12 @@
   void Watch(std::string_view kind, std::int64_t since, std::int64_t wait_ms,
              const ListDone& done) override {
     ++this->watches;
-    if (this->swallows || (this->silences_waits && wait_ms > 0)) {
-      this->swallowed.push_back(done);
+    if (this->drops_watches || (this->drops_waiting_watches && wait_ms > 0)) {
+      this->unanswered.push_back(done);
     } else if (this->malformed) {
       done(StoreError(ErrorId::kStoreMalformed, "watch", kind));
-    } else if (this->gone) {
-      this->gone = false;
+    } else if (this->revision_gone) {
+      this->revision_gone = false;
       done(StoreError(ErrorId::kStoreRevisionGone, "watch", kind));
     } else if (this->loses_events) {
       this->memory.List(kind, since, [done](const auto& answer) {
@@ -45,10 +45,10 @@
   }
 
   MemoryStore memory;
-  std::vector<ListDone> swallowed;
-  bool swallows = false;
-  bool silences_waits = false;  ///< new calls work, those that wait go silent
-  bool gone = false;
+  std::vector<ListDone> unanswered;
+  bool drops_watches = false;
+  bool drops_waiting_watches = false;  ///< only calls that wait get no answer
+  bool revision_gone = false;
   bool malformed = false;
   bool loses_events = false;
   int lists = 0;
@@ -61,13 +61,13 @@
   ManualScheduler scheduler{&this->clock};
   ReplicatedView view{this->clock, kKinds};
   bool is_watcher = true;
-  KindFeeder feeder{kTemplatesKind,
-                    this->store,
-                    this->view,
-                    this->scheduler,
-                    this->clock,
-                    {.host = "a", .seed = 1},
-                    [this] { return this->is_watcher; }};
+  KindFeeder synchronizer{kTemplatesKind,
+                          this->store,
+                          this->view,
+                          this->scheduler,
+                          this->clock,
+                          {.host = "a", .seed = 1},
+                          [this] { return this->is_watcher; }};
 
   void Write(std::string_view name, std::int64_t expected) {
     this->store.Put("templates", name, "x", expected, [](const auto&) {});
@@ -93,7 +93,7 @@
 Test(a_watching_host, lists_once_and_then_follows_changes) {
   Fixture f;
   f.Write("x", 0);
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(50);
   cr_assert(f.VersionOf("x") == 1 && f.store.lists == 1);
   f.Write("x", 1);
@@ -106,7 +106,7 @@
 Test(a_watching_host, repairs_what_watches_lost) {
   Fixture f;
   f.Write("y", 0);
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(50);
   f.store.loses_events = true;
   f.Write("x", 0);
@@ -118,141 +118,147 @@
   cr_assert(f.view.DeltaSince("templates", 1, 1000).full == false);
 }
 
-// Named for the finding on grown lukot, trouble-2: a configuration of 200 KB
-// was too long for the exchange, and hosts that do not watch kept the one
-// before it.
-Test(a_host_that_need_not_watch, reads_at_once_where_it_is_told_to) {
+// A configuration of 200 KB was too large for the exchange between hosts, so
+// hosts that don't watch kept the previous one. Such a host must be able to
+// read the store itself on request.
+Test(a_non_watching_host, reads_the_store_on_request) {
   Fixture f;
   f.Write("x", 0);
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(50);
   f.is_watcher = false;
-  // a view confirmed a moment ago gives no ground to read
+  // The view was confirmed recently, so the host doesn't read.
   f.Run(1'500);
   f.Write("x", 1);
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 1);
-  f.feeder.Hurry();
+  f.synchronizer.Hurry();
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 2);
-  // and once only
+  // The request holds for one read only.
   f.Write("x", 2);
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 2);
 }
 
-Test(a_watching_host, lists_anew_where_its_revision_is_gone) {
+Test(a_watching_host, lists_again_when_its_revision_is_gone) {
   Fixture f;
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(500);
   const int lists = f.store.lists;
-  f.store.gone = true;
+  f.store.revision_gone = true;
   f.Run(2000);
   cr_assert(f.store.lists == lists + 1);
 }
 
-Test(a_watching_host, lists_where_what_it_watches_cannot_be_read) {
+Test(a_watching_host, lists_after_a_malformed_watch_response) {
   Fixture f;
   f.Write("x", 0);
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(500);
   f.store.malformed = true;
   f.Write("x", 1);
   f.Run(5'000);
-  cr_assert(f.VersionOf("x") == 2, "one answer does not stop it for good");
+  cr_assert(f.VersionOf("x") == 2,
+            "a malformed response must not stop the host for good");
   cr_assert(f.store.lists < 10);
 }
 
-Test(a_watching_host, backs_off_in_an_outage_and_says_that_it_stalls) {
+Test(a_watching_host, backs_off_in_an_outage_and_reports_the_stall) {
   Fixture f;
   f.Write("x", 0);
   f.store.memory.SetDown(true);
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(60'000);
-  cr_assert(f.feeder.State().stalled && f.feeder.State().failures > 5);
+  cr_assert(f.synchronizer.State().stalled &&
+            f.synchronizer.State().failures > 5);
   cr_assert(f.store.lists < 20);
   f.store.memory.SetDown(false);
   f.Run(16'000);
   cr_assert(f.VersionOf("x") == 1);
-  cr_assert(!f.feeder.State().stalled && f.feeder.State().failures == 0);
+  cr_assert(!f.synchronizer.State().stalled &&
+            f.synchronizer.State().failures == 0);
 }
 
-Test(a_watching_host, gives_up_a_call_that_is_never_answered) {
+Test(a_watching_host, times_out_a_call_that_is_never_answered) {
   Fixture f;
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(50);
-  f.store.swallows = true;
+  f.store.drops_watches = true;
   f.Run(16'000);
-  cr_assert(f.feeder.State().stalled);
-  f.store.swallows = false;
+  cr_assert(f.synchronizer.State().stalled);
+  f.store.drops_watches = false;
   f.Write("x", 0);
   f.Run(16'000);
-  cr_assert(f.VersionOf("x") == 1 && !f.feeder.State().stalled);
-  {  // when the old call's answer comes after all
+  cr_assert(f.VersionOf("x") == 1 && !f.synchronizer.State().stalled);
+  {  // the old call is answered late
     const StoredObject item = {"templates", "z", 9, "late", false};
-    f.store.swallowed.front()(ObjectList{9, {item}});
+    f.store.unanswered.front()(ObjectList{9, {item}});
     cr_assert(f.VersionOf("z") == 9);
     cr_assert(f.view.Digest("templates").revision == 1);
   }
 }
 
-// The pattern: a connection falls silent, and the store is as before.
-Test(a_watching_host, asks_by_another_connection_when_a_watch_is_overdue) {
+// Failure: a connection stalls while the store itself still works.
+Test(a_watching_host, uses_another_connection_when_a_watch_is_overdue) {
   Fixture f;
-  f.feeder.Start();
-  f.store.silences_waits = true;
+  f.synchronizer.Start();
+  f.store.drops_waiting_watches = true;
   f.Run(500);
   f.Write("x", 0);
   f.Run(10'000);
   cr_assert(f.VersionOf("x") == 0, "its watch may still be answered");
   f.Run(1'000);
-  cr_assert(f.VersionOf("x") == 1 && !f.feeder.State().stalled);
+  cr_assert(f.VersionOf("x") == 1 && !f.synchronizer.State().stalled);
 }
 
-// The pattern: the store is back while a host backs off, and nothing changes.
-Test(a_watching_host, learns_of_the_return_without_waiting_for_news) {
+// Failure: the store recovers while a host backs off, and no object changes, so
+// a watch that waits for changes would not show the recovery.
+Test(a_watching_host, notices_the_recovery_without_waiting_for_changes) {
   Fixture f;
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(50);
   f.store.memory.SetDown(true);
   f.Run(30'000);
-  cr_assert(f.feeder.State().stalled);
+  cr_assert(f.synchronizer.State().stalled);
   f.store.memory.SetDown(false);
   f.Run(15'000);
-  cr_assert(!f.feeder.State().stalled, "within one backoff of ten seconds");
+  cr_assert(!f.synchronizer.State().stalled,
+            "within one backoff of ten seconds");
 }
 
-Test(a_watching_host, is_told_of_stale_reads_and_keeps_what_it_knows) {
+Test(a_watching_host, counts_stale_reads_and_keeps_its_state) {
   Fixture f;
   f.Write("x", 0);
   f.view.ApplyList("templates", 0, {9, {{"templates", "x", 8, "new", false}}},
                    {1, "b"});
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(1000);
-  cr_assert(f.feeder.State().stale_reads > 0 && f.feeder.State().stalled);
+  cr_assert(f.synchronizer.State().stale_reads > 0 &&
+            f.synchronizer.State().stalled);
   cr_assert(f.VersionOf("x") == 8 && f.Confirmed().by == "b");
 }
 
-Test(a_host_that_need_not_watch, reads_only_when_nobody_else_does) {
+Test(a_non_watching_host, reads_only_when_no_other_host_does) {
   Fixture f;
   f.is_watcher = false;
   f.Write("x", 0);
   f.view.ApplyList("templates", 0, {0, {}}, {f.clock.WallMs(), "b"});
-  f.feeder.Start();
+  f.synchronizer.Start();
   f.Run(20'000);
   cr_assert(f.store.lists + f.store.watches == 0);
-  cr_assert(!f.feeder.State().watching);
+  cr_assert(!f.synchronizer.State().watching);
   f.Run(15'000);
   cr_assert(f.store.lists + f.store.watches > 0);
   cr_assert(f.VersionOf("x") == 1 && f.Confirmed().by == "a");
 }
 
-Test(a_feeder_that_is_gone, is_not_called_any_more) {
+Test(a_destroyed_synchronizer, gets_no_more_callbacks) {
   Fixture f;
   {
-    KindFeeder feeder(kTemplatesKind, f.store, f.view, f.scheduler, f.clock,
-                      {.host = "a"}, [] { return true; });
-    feeder.Start();
+    KindFeeder synchronizer(kTemplatesKind, f.store, f.view, f.scheduler,
+                            f.clock, {.host = "a"}, [] { return true; });
+    synchronizer.Start();
   }
   f.Run(30'000);
   cr_assert(f.store.lists == 1 && f.view.Digest("templates").revision == 0);
--- a/src/configuration/text_difference.cc
+++ b/src/configuration/text_difference.cc
@@ -17,11 +17,11 @@
 
 using Lines = std::vector<std::string>;
 
-/// The lines that two texts don't share at their start and end.
+/// The lines between the common prefix and suffix of two texts.
 struct Middle {
   std::span<const std::string> before;
   std::span<const std::string> after;
-  std::size_t start = 0;  ///< lines shared at the start
+  std::size_t start = 0;  ///< lines in the common prefix
 };
 
 Lines SplitLines(std::string_view text) {
@@ -50,8 +50,8 @@
                       "\n");
 }
 
-// Lengths of the longest common subsequences of all pairs of tails.
-std::vector<std::uint32_t> TailLengths(const Middle& middle) {
+// Lengths of the longest common subsequences of all pairs of suffixes.
+std::vector<std::uint32_t> SuffixLcsLengths(const Middle& middle) {
   const std::size_t columns = middle.after.size() + 1;
   std::vector<std::uint32_t> lengths((middle.before.size() + 1) * columns, 0);
   for (std::size_t i = middle.before.size(); i-- > 0;) {
@@ -86,7 +86,7 @@
   if (columns * (middle.before.size() + 1) > kMaxCells) {
     return Replaced(middle);
   }
-  const std::vector<std::uint32_t> lengths = TailLengths(middle);
+  const std::vector<std::uint32_t> lengths = SuffixLcsLengths(middle);
   std::string text;
   std::size_t i = 0;
   std::size_t j = 0;
--- a/src/configuration/text_difference.h
+++ b/src/configuration/text_difference.h
@@ -6,10 +6,10 @@
 
 namespace meadowthread {
 
-/// @brief The lines that differ, `-` those of `before`, `+` those of `after`,
-/// each with its number.
-/// @complexity product of the lines between the common start and end; where
-/// that is too much, that whole part is shown as replaced
+/// @brief Line diff of two texts: `-` marks lines of `before`, `+` lines of
+/// `after`, each with its line number.
+/// @complexity product of the line counts between the common prefix and suffix;
+/// if that is too large, this whole part is shown as replaced
 std::string LineDifference(std::string_view before, std::string_view after);
 
 }  // namespace meadowthread
--- a/src/configuration/view_feeder.cc
+++ b/src/configuration/view_feeder.cc
@@ -10,8 +10,8 @@
 namespace meadowthread {
 namespace {
 
-// Between two lines on objects that are passed over.
-constexpr std::int64_t kPassedOverTellMs = 60'000;
+// Minimum interval between log lines about skipped objects.
+constexpr std::int64_t kSkippedLogIntervalMs = 60'000;
 
 }  // namespace
 
@@ -31,32 +31,33 @@
 }
 
 void KindFeeder::Start() {
-  this->proved_ms = this->clock.MonotonicMs();
-  this->Next();
+  this->listed_ms = this->clock.MonotonicMs();
+  this->ReadNext();
 }
 
-void KindFeeder::Next() {
+void KindFeeder::ReadNext() {
   this->state.watching = this->MustRead();
   if (!this->state.watching) {
     this->SetStalled(false, "not_watching");
-    this->Later(this->Jitter(this->options.idle_ms), [this] { this->Next(); });
+    this->RunAfter(this->Jitter(this->options.idle_ms),
+                   [this] { this->ReadNext(); });
     return;
   }
-  // After a failure a watch that waits for news would leave open whether the
-  // store is back.
+  // After a failure the watch doesn't wait for changes, so that a response
+  // shows at once that the store is back.
   const bool waits = this->state.failures == 0;
-  this->Send(this->Choose(), waits ? this->options.wait_ms : 0);
+  this->Send(this->ChooseReadKind(), waits ? this->options.wait_ms : 0);
 }
 
-// Some hosts watch and tell the others. A host that hears of no fresh read
-// reads for itself: then those that should watch are gone or cut off. And every
-// host repairs from time to time: what a watcher's watch lost below a watermark
-// that peers took over, no peer's delta brings any more.
+// Some hosts watch and pass changes on to the others. A host that learns of no
+// recent read reads the store itself, as the watchers are then gone or
+// unreachable. Every host also lists periodically: if a watch lost an event
+// below a watermark that peers have adopted, no peer's delta will contain it.
 bool KindFeeder::MustRead() const {
-  if (this->clock.MonotonicMs() - this->proved_ms >= this->options.repair_ms) {
+  if (this->clock.MonotonicMs() - this->listed_ms >= this->options.repair_ms) {
     return true;
   }
-  if (this->hurried) {
+  if (this->read_requested) {
     return true;
   }
   const Confirmation confirmed = this->view.Digest(this->kind).confirmed;
@@ -64,16 +65,17 @@
   return this->is_watcher() || age_ms >= this->options.self_watch_ms;
 }
 
-// A host that does not watch looks every `idle_ms` whether it must read.
-void KindFeeder::Hurry() { this->hurried = true; }
+// A host that isn't watching checks this flag every `idle_ms`.
+void KindFeeder::Hurry() { this->read_requested = true; }
 
-KindFeeder::ReadKind KindFeeder::Choose() const {
+KindFeeder::ReadKind KindFeeder::ChooseReadKind() const {
   if (this->must_list) {
-    return ReadKind::kWhole;
+    return ReadKind::kFullList;
   }
-  const std::int64_t since_proof = this->clock.MonotonicMs() - this->proved_ms;
-  return since_proof >= this->options.repair_ms ? ReadKind::kRepair
-                                                : ReadKind::kWatch;
+  const std::int64_t since_list_ms =
+      this->clock.MonotonicMs() - this->listed_ms;
+  return since_list_ms >= this->options.repair_ms ? ReadKind::kRepair
+                                                  : ReadKind::kWatch;
 }
 
 void KindFeeder::Send(ReadKind read_kind, std::int64_t wait_ms) {
@@ -87,17 +89,18 @@
     read.wait_ms = wait_ms;
     read.since = this->view.Digest(this->kind).revision;
   } else if (read_kind == ReadKind::kRepair) {
-    read.since = this->proved_revision;
+    read.since = this->listed_revision;
   }
   const auto done = this->life.Guarded(
       [this, read](const absl::StatusOr<ObjectList>& answer) {
-        this->Answered(read, answer);
+        this->OnAnswer(read, answer);
       });
   if (read.wait_ms > 0) {
-    this->Later(read.wait_ms + this->options.overdue_ms,
-                [this, number = read.number] { this->LookAgain(number); });
+    this->RunAfter(
+        read.wait_ms + this->options.overdue_ms,
+        [this, number = read.number] { this->RepeatOverdueWatch(number); });
   } else {
-    this->GiveUpAfter(this->options.answer_margin_ms);
+    this->TimeOutAfter(this->options.answer_margin_ms);
   }
   if (read_kind == ReadKind::kWatch) {
     this->store.Watch(this->kind, read.since, read.wait_ms, done);
@@ -106,10 +109,10 @@
   }
 }
 
-void KindFeeder::Answered(const Read& read,
+void KindFeeder::OnAnswer(const Read& read,
                           const absl::StatusOr<ObjectList>& answer) {
-  // The answer to a call given up: its items are as good as an offer, and the
-  // next call is on its way already.
+  // This call has timed out and the next one is pending. The items of its late
+  // response are applied like offers, without raising the watermark.
   if (!this->pending || read.number != this->reads) {
     if (answer.ok()) {
       this->view.ApplyItems(answer->items);
@@ -118,12 +121,12 @@
   }
   this->pending = false;
   if (!answer.ok()) {
-    this->Failed(answer.status());
+    this->OnFailure(answer.status());
     return;
   }
   this->state.last_answer_unix_ms = this->clock.WallMs();
-  if (this->answered) {
-    this->answered();
+  if (this->on_answered) {
+    this->on_answered();
   }
   this->Take(read, *answer);
 }
@@ -133,27 +136,29 @@
                                      this->options.host};
   if (!this->view.ApplyList(this->kind, read.since, list, confirmation)) {
     ++this->state.stale_reads;
-    this->Failed(absl::UnavailableError("stale read"));
+    this->OnFailure(absl::UnavailableError("stale read"));
     return;
   }
-  this->NotePassedOver(list.passed_over);
+  this->RecordSkipped(list.passed_over);
   this->state.failures = 0;
-  this->hurried = false;
+  this->read_requested = false;
   this->SetStalled(false, "answered");
   if (read.kind == ReadKind::kWatch) {
     this->malformed = 0;
   } else {
     this->must_list = false;
-    this->proved_revision = list.revision;
-    this->proved_ms = read.sent_ms;
+    this->listed_revision = list.revision;
+    this->listed_ms = read.sent_ms;
   }
   const std::int64_t stagger_ms =
       this->options.stagger_ms ? this->options.stagger_ms() : 0;
-  this->Later(this->options.pace_ms + stagger_ms, [this] { this->Next(); });
+  this->RunAfter(this->options.pace_ms + stagger_ms,
+                 [this] { this->ReadNext(); });
 }
 
-void KindFeeder::Failed(const absl::Status& status) {
-  // A watch from the same revision on would bring what can't be read again.
+void KindFeeder::OnFailure(const absl::Status& status) {
+  // After a malformed response, a watch from the same revision would return the
+  // same malformed objects, so the next call is a list.
   const ErrorId id = DetailOf(status).id;
   const bool is_malformed = id == ErrorId::kStoreMalformed;
   this->malformed += is_malformed ? 1 : 0;
@@ -161,32 +166,33 @@
       this->must_list || is_malformed || id == ErrorId::kStoreRevisionGone;
   ++this->state.failures;
   this->SetStalled(true, absl::StrCat(status.message()));
-  this->Later(this->Backoff(), [this] { this->Next(); });
+  this->RunAfter(this->Backoff(), [this] { this->ReadNext(); });
 }
 
-// Whether the store or the connection is silent shows by another one. What the
-// first call still brings is taken as well.
-void KindFeeder::LookAgain(std::uint64_t number) {
+// A call on another connection shows whether the store or only the connection
+// has stalled. A late response to the first call is still applied.
+void KindFeeder::RepeatOverdueWatch(std::uint64_t number) {
   if (!this->pending || number != this->reads) {
     return;
   }
   LogLine("watch-overdue").Add("kind", this->kind).WriteImportant();
   this->Send(ReadKind::kWatch, 0);
-  this->GiveUpAfter(this->options.answer_margin_ms - this->options.overdue_ms);
+  this->TimeOutAfter(this->options.answer_margin_ms - this->options.overdue_ms);
 }
 
-void KindFeeder::GiveUpAfter(std::int64_t delay_ms) {
-  this->Later(delay_ms, [this, number = this->reads] { this->GiveUp(number); });
+void KindFeeder::TimeOutAfter(std::int64_t delay_ms) {
+  this->RunAfter(delay_ms,
+                 [this, number = this->reads] { this->TimeOut(number); });
 }
 
-// The store should end every call in time; should one be lost, the view must
-// not stand still for ever.
-void KindFeeder::GiveUp(std::uint64_t number) {
+// The store should complete every call in time. If a call is lost, the timeout
+// keeps the view from stalling forever.
+void KindFeeder::TimeOut(std::uint64_t number) {
   if (!this->pending || number != this->reads) {
     return;
   }
   this->pending = false;
-  this->Failed(absl::DeadlineExceededError("no answer"));
+  this->OnFailure(absl::DeadlineExceededError("call timed out"));
 }
 
 void KindFeeder::SetStalled(bool stalled, std::string_view why) {
@@ -200,14 +206,15 @@
   line.WriteImportant();
 }
 
-// Such an object may be rewritten each heartbeat, and comes with every list.
-void KindFeeder::NotePassedOver(std::int64_t count) {
+// The log is rate-limited: a skipped object is returned by every list, and by
+// watches whenever it is rewritten, which may be at each heartbeat.
+void KindFeeder::RecordSkipped(std::int64_t count) {
   this->state.passed_over += count;
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  const bool is_due = this->passed_told_ms < 0 ||
-                      now_ms - this->passed_told_ms >= kPassedOverTellMs;
+  const bool is_due = this->skipped_logged_ms < 0 ||
+                      now_ms - this->skipped_logged_ms >= kSkippedLogIntervalMs;
   if (count > 0 && is_due) {
-    this->passed_told_ms = now_ms;
+    this->skipped_logged_ms = now_ms;
     LogLine("objects-passed-over")
         .Add("kind", this->kind)
         .Add("now", count)
@@ -216,42 +223,44 @@
   }
 }
 
-// When the answer was made is known only between bounds. Of a list: after it
-// was asked for. Of a watch that ran out: after its whole wait.
+// The time of the read is known only as a lower bound. A list was read after it
+// was sent; a watch that ended without changes, after its whole wait time.
 std::int64_t KindFeeder::ConfirmedAt(const Read& read,
                                      const ObjectList& list) const {
   const std::int64_t took_ms = this->clock.MonotonicMs() - read.sent_ms;
-  const bool ran_out = read.kind == ReadKind::kWatch && list.items.empty() &&
-                       took_ms >= read.wait_ms;
-  return read.sent_wall_ms + (ran_out ? read.wait_ms : 0);
+  const bool wait_elapsed = read.kind == ReadKind::kWatch &&
+                            list.items.empty() && took_ms >= read.wait_ms;
+  return read.sent_wall_ms + (wait_elapsed ? read.wait_ms : 0);
 }
 
 std::int64_t KindFeeder::Backoff() {
-  constexpr int kMostDoublings = 20;
-  const int in_row = std::max(this->state.failures, this->malformed);
-  const int doublings = std::min(in_row - 1, kMostDoublings);
+  constexpr int kMaxDoublings = 20;
+  const int consecutive_failures =
+      std::max(this->state.failures, this->malformed);
+  const int doublings = std::min(consecutive_failures - 1, kMaxDoublings);
   const std::int64_t backoff_ms = this->options.first_backoff_ms << doublings;
   return this->Jitter(std::min(backoff_ms, this->options.most_backoff_ms));
 }
 
-// From half to one and a half: hosts that failed together come back apart.
+// From 0.5 to 1.5 times the delay, so that hosts that failed together retry at
+// different times.
 std::int64_t KindFeeder::Jitter(std::int64_t delay_ms) {
   std::uniform_int_distribution<std::int64_t> spread(0, delay_ms);
   return delay_ms / 2 + spread(this->random);
 }
 
-void KindFeeder::Later(std::int64_t delay_ms,
-                       const std::function<void()>& task) {
+void KindFeeder::RunAfter(std::int64_t delay_ms,
+                          const std::function<void()>& task) {
   this->scheduler.After(delay_ms, this->life.Guarded(task));
 }
 
 std::vector<FedKind> FedAlike(std::span<const std::string_view> kinds,
                               const FeederOptions& options) {
-  std::vector<FedKind> fed;
+  std::vector<FedKind> result;
   for (const std::string_view kind : kinds) {
-    fed.push_back({kind, options, {}});
+    result.push_back({kind, options, {}});
   }
-  return fed;
+  return result;
 }
 
 ViewFeeder::ViewFeeder(std::span<const FedKind> kinds, ObjectStore& store,
@@ -259,39 +268,39 @@
                        const Clock& clock,
                        const std::function<bool()>& is_watcher) {
   std::uint64_t number = 0;
-  for (const FedKind& fed : kinds) {
-    FeederOptions own = fed.options;
+  for (const FedKind& config : kinds) {
+    FeederOptions own = config.options;
     own.seed += ++number;
-    this->feeders.push_back(std::make_unique<KindFeeder>(
-        fed.kind, store, view, scheduler, clock, own,
-        fed.is_watcher ? fed.is_watcher : is_watcher));
+    this->synchronizers.push_back(std::make_unique<KindFeeder>(
+        config.kind, store, view, scheduler, clock, own,
+        config.is_watcher ? config.is_watcher : is_watcher));
   }
 }
 
 void ViewFeeder::Start() {
-  for (const std::unique_ptr<KindFeeder>& feeder : this->feeders) {
-    feeder->Start();
+  for (const std::unique_ptr<KindFeeder>& synchronizer : this->synchronizers) {
+    synchronizer->Start();
   }
 }
 
 void ViewFeeder::Hurry(std::string_view kind) {
-  for (const auto& feeder : this->feeders) {
-    if (feeder->State().kind == kind) {
-      feeder->Hurry();
+  for (const auto& synchronizer : this->synchronizers) {
+    if (synchronizer->State().kind == kind) {
+      synchronizer->Hurry();
     }
   }
 }
 
-void ViewFeeder::OnAnswered(const std::function<void()>& told) {
-  for (const auto& feeder : this->feeders) {
-    feeder->OnAnswered(told);
+void ViewFeeder::OnAnswered(const std::function<void()>& callback) {
+  for (const auto& synchronizer : this->synchronizers) {
+    synchronizer->OnAnswered(callback);
   }
 }
 
 std::vector<FeederState> ViewFeeder::States() const {
   std::vector<FeederState> states;
-  for (const std::unique_ptr<KindFeeder>& feeder : this->feeders) {
-    states.push_back(feeder->State());
+  for (const std::unique_ptr<KindFeeder>& synchronizer : this->synchronizers) {
+    states.push_back(synchronizer->State());
   }
   return states;
 }
--- a/src/configuration/view_feeder.h
+++ b/src/configuration/view_feeder.h
@@ -18,69 +18,73 @@
 
 namespace meadowthread {
 
-/// @brief How a host reads the platform; times in milliseconds.
+/// @brief How a host reads the object store; times in milliseconds.
 struct FeederOptions {
-  std::string host;               ///< named in confirmations
-  std::uint64_t seed = 0;         ///< of the jitter; differs between hosts
-  std::int64_t wait_ms = 10'000;  ///< of a watch
-  /// Between a watch's answer and the next one: bounds the calls as changes
-  /// burst.
+  std::string host;        ///< this host's name, given in confirmations
+  std::uint64_t seed = 0;  ///< seed of the jitter; must differ between hosts
+  std::int64_t wait_ms = 10'000;  ///< how long a watch call waits for changes
+  /// Pause between a response and the next call; limits the call rate during
+  /// bursts of changes.
   std::int64_t pace_ms = 200;
-  /// Further delay after a watch's answer; none where not set. Hosts that are
-  /// answered together watch apart again.
+  /// Additional pause after a response; none if unset. Spreads the calls of
+  /// hosts that get their responses at the same time.
   std::function<std::int64_t()> stagger_ms = {};
-  /// Between reads that repair what watches lost.
+  /// Interval of list calls that repair what watches lost.
   std::int64_t repair_ms = 60'000;
   std::int64_t first_backoff_ms = 200;
   std::int64_t most_backoff_ms = 10'000;
-  /// A call without an answer for this long beyond its wait is given up.
+  /// A call times out this long after its wait time.
   std::int64_t answer_margin_ms = 5'000;
-  /// A watch that is overdue by this is asked again without a wait, by another
-  /// connection: its own may have fallen silent.
+  /// A watch that is overdue by this long is repeated without waiting, on
+  /// another connection, as its own connection may have stalled.
   std::int64_t overdue_ms = 1'000;
-  /// A host that need not watch looks this often whether it now must.
+  /// How often a host that isn't watching checks whether it has to read.
   std::int64_t idle_ms = 1'000;
-  /// A view that no host confirmed for this long is read by every host.
+  /// If no host has confirmed the view for this long, every host reads the
+  /// object store itself.
   std::int64_t self_watch_ms = 30'000;
 };
 
-/// @brief How the feeding of one kind goes.
+/// @brief Status of the synchronization of one kind.
 struct FeederState {
   std::string kind;
-  bool watching = false;  ///< reads the platform itself
-  bool stalled = false;   ///< reads it, but the last call brought nothing
-  int failures = 0;       ///< in a row
-  std::int64_t stale_reads = 0;          ///< answers older than what is known
+  bool watching = false;         ///< this host reads the object store itself
+  bool stalled = false;          ///< reads, but the last call failed
+  int failures = 0;              ///< consecutive
+  std::int64_t stale_reads = 0;  ///< responses older than the view
   std::int64_t last_answer_unix_ms = 0;  ///< 0: none yet
-  /// Objects in answers that were passed over, as they name nothing.
+  /// Objects skipped in responses, as their name or version could not be
+  /// parsed.
   std::int64_t passed_over = 0;
 };
 
-/// @brief Keeps one kind of a view fresh from the object API.
+/// @brief Keeps one kind of a view up to date with the object store.
 ///
-/// Lists, then watches from the view's watermark on, and reads again from the
-/// last proved revision from time to time, as watches may lose events.
+/// Lists all objects, then watches from the view's watermark on. As watches may
+/// lose events, periodically lists again from the last listed revision.
 class KindFeeder {
  public:
-  /// @param[in] is_watcher whether this host shall watch now
+  /// @param[in] is_watcher whether this host is to watch now
   KindFeeder(std::string_view kind, ObjectStore& store, ReplicatedView& view,
              Scheduler& scheduler, const Clock& clock,
              const FeederOptions& options, std::function<bool()> is_watcher);
 
-  /// @brief Starts reading; goes on until this is destroyed.
+  /// @brief Starts reading; continues until this object is destroyed.
   void Start();
 
-  /// @brief Something newer is known to be there: this host reads it itself,
-  /// whether or not it is one that watches.
+  /// @brief Makes this host read the object store itself, whether or not it is
+  /// a watcher, as a newer state is known to exist there.
   void Hurry();
 
-  /// @brief Calls `told` at each answer, before it is taken over.
-  void OnAnswered(const std::function<void()>& told) { this->answered = told; }
+  /// @brief Calls `callback` at each successful response, before it is applied.
+  void OnAnswered(const std::function<void()>& callback) {
+    this->on_answered = callback;
+  }
 
   FeederState State() const { return this->state; }
 
  private:
-  enum class ReadKind { kWhole, kRepair, kWatch };
+  enum class ReadKind { kFullList, kRepair, kWatch };
   struct Read {
     ReadKind kind = ReadKind::kWatch;
     std::uint64_t number = 0;
@@ -90,22 +94,22 @@
     std::int64_t sent_ms = 0;
   };
 
-  void Next();
+  void ReadNext();
   bool MustRead() const;
-  ReadKind Choose() const;
+  ReadKind ChooseReadKind() const;
   void Send(ReadKind kind, std::int64_t wait_ms);
-  void Answered(const Read& read, const absl::StatusOr<ObjectList>& answer);
+  void OnAnswer(const Read& read, const absl::StatusOr<ObjectList>& answer);
   void Take(const Read& read, const ObjectList& list);
-  void Failed(const absl::Status& status);
-  void LookAgain(std::uint64_t number);
-  void GiveUpAfter(std::int64_t delay_ms);
-  void GiveUp(std::uint64_t number);
+  void OnFailure(const absl::Status& status);
+  void RepeatOverdueWatch(std::uint64_t number);
+  void TimeOutAfter(std::int64_t delay_ms);
+  void TimeOut(std::uint64_t number);
   void SetStalled(bool stalled, std::string_view why);
-  void NotePassedOver(std::int64_t count);
+  void RecordSkipped(std::int64_t count);
   std::int64_t ConfirmedAt(const Read& read, const ObjectList& list) const;
   std::int64_t Backoff();
   std::int64_t Jitter(std::int64_t delay_ms);
-  void Later(std::int64_t delay_ms, const std::function<void()>& task);
+  void RunAfter(std::int64_t delay_ms, const std::function<void()>& task);
 
   std::string kind;
   ObjectStore& store;
@@ -114,37 +118,40 @@
   const Clock& clock;
   FeederOptions options;
   std::function<bool()> is_watcher;
-  std::function<void()> answered;
+  std::function<void()> on_answered;
   std::mt19937_64 random;
   FeederState state;
-  std::uint64_t reads = 0;  ///< the number of the call awaited, if any
+  std::uint64_t reads = 0;  ///< also the number of the latest call
   bool pending = false;
   bool must_list = true;
-  int malformed = 0;     ///< answers in a row to watches, lists between them
-  bool hurried = false;  ///< until the next answer that is taken
-  std::int64_t proved_revision = 0;  ///< what lists, not watches, have shown
-  std::int64_t proved_ms = 0;
-  std::int64_t passed_told_ms = -1;  ///< monotonic; -1: not yet
+  /// Malformed responses since the last good response to a watch; not reset by
+  /// the lists in between.
+  int malformed = 0;
+  bool read_requested = false;  ///< reset by the next response that is applied
+  std::int64_t listed_revision = 0;  ///< of the last list, not watch
+  std::int64_t listed_ms = 0;
+  std::int64_t skipped_logged_ms = -1;  ///< monotonic; -1: never
   Lifetime life;
 };
 
-/// @brief A kind with the way it is read.
+/// @brief A kind with the options for reading it.
 struct FedKind {
   std::string_view kind;
   FeederOptions options;
-  /// Whether this host shall watch this kind now; not set: as the others.
+  /// Whether this host is to watch this kind now; unset: the rule of the
+  /// ViewFeeder.
   std::function<bool()> is_watcher = {};
 };
 
-/// @brief Several kinds that are read alike.
+/// @brief Gives several kinds the same options.
 std::vector<FedKind> FedAlike(std::span<const std::string_view> kinds,
                               const FeederOptions& options);
 
-/// @brief Keeps a view's kinds fresh.
+/// @brief Keeps all kinds of a view up to date with the object store.
 class ViewFeeder {
  public:
-  /// @param[in] is_watcher whether this host shall watch now; some hosts do,
-  /// and all tell each other
+  /// @param[in] is_watcher whether this host is to watch now; only some hosts
+  /// watch, and they pass changes on to the others
   ViewFeeder(std::span<const FedKind> kinds, ObjectStore& store,
              ReplicatedView& view, Scheduler& scheduler, const Clock& clock,
              const std::function<bool()>& is_watcher);
@@ -155,12 +162,12 @@
   void Hurry(std::string_view kind);
 
   /// @brief As KindFeeder::OnAnswered, for every kind.
-  void OnAnswered(const std::function<void()>& told);
+  void OnAnswered(const std::function<void()>& callback);
 
   std::vector<FeederState> States() const;
 
  private:
-  std::vector<std::unique_ptr<KindFeeder>> feeders;
+  std::vector<std::unique_ptr<KindFeeder>> synchronizers;
 };
 
 }  // namespace meadowthread
--- a/src/configuration/view_messages.h
+++ b/src/configuration/view_messages.h
@@ -14,42 +14,43 @@
 /// @brief The kinds that every host replicates.
 inline constexpr std::string_view kTemplatesKind = "templates";
 inline constexpr std::string_view kMarksKind = "marks";
-/// Marks of availability zones, by their names.
+/// Marks of availability zones, keyed by zone name.
 inline constexpr std::string_view kEmptiedZonesKind = "emptied-zones";
 
-/// @brief That the platform was read, when and by whom.
+/// @brief Records when, and by which host, the object store was last read.
 struct Confirmation {
   std::int64_t unix_ms = 0;  ///< the read reflects this time or a later one
-  std::string by;            ///< the host that read; empty: nobody has yet
+  std::string by;            ///< the host that read; empty: none yet
 
   friend bool operator==(const Confirmation&, const Confirmation&) = default;
 };
 
-/// @brief What a host knows of a kind, in a few bytes.
+/// @brief Compact summary of a host's replica of a kind, for anti-entropy.
 struct ViewDigest {
   std::string kind;
   std::int64_t revision = 0;  ///< the watermark: everything up to it is known
-  Confirmation confirmed;     ///< of a read at that watermark
+  Confirmation confirmed;     ///< of a read at the watermark
 };
 
-/// @brief What one host knows of a kind beyond another's watermark.
+/// @brief The changes of a kind that one host knows beyond another's watermark.
 struct ViewDelta {
   std::string kind;
-  std::int64_t since = 0;  ///< the asker's watermark when it asked
-  /// Items are whole from `since` up to here; items above it are extra.
+  std::int64_t since = 0;  ///< the requester's watermark
+  /// Items include every change after `since` up to here. Items above it may
+  /// have gaps.
   std::int64_t revision = 0;
-  /// Items are all live objects up to `revision`, not just those changed after
-  /// `since`: what the receiver holds beyond them was deleted.
+  /// Items are all live objects up to `revision`, not only those changed after
+  /// `since`. Any other object that the receiver holds was deleted.
   bool full = false;
-  bool cut = false;        ///< more is known: the byte limit cut it off
-  Confirmation confirmed;  ///< unset where the byte limit cut the delta
-  std::vector<StoredObject> items;  ///< ascending versions
+  bool cut = false;  ///< truncated at the byte limit; there are more items
+  Confirmation confirmed;  ///< unset if the truncation lowered `revision`
+  std::vector<StoredObject> items;  ///< by ascending version
 };
 
-/// @brief Told to listeners of a view.
+/// @brief Passed to the listeners of a view.
 struct ViewChange {
   std::string_view kind;
-  std::span<const StoredObject> items;  ///< what changed; removals too
+  std::span<const StoredObject> items;  ///< changed objects, including removals
 };
 
 }  // namespace meadowthread
--- a/src/configuration/workspace_service.h
+++ b/src/configuration/workspace_service.h
@@ -11,42 +11,44 @@
 
 namespace meadowthread {
 
-/// @brief How answers reach the caller.
+/// @brief How responses are delivered to the caller.
 enum class Delivery {
   kStreamed,  ///< token by token
-  kWhole,     ///< once the generation is whole
+  kWhole,     ///< in one response when the generation is complete
 };
 
-/// @brief Which generations need a claim before they are sent.
+/// @brief Which generation requests need a claim before they are sent to an
+/// engine; a claim ensures that a request runs at most once.
 enum class GenerationClaims {
   kNone,
-  kKeyed,  ///< those that carry an Idempotency-Key
-  kAll,    ///< all, and the key is required
+  kKeyed,  ///< those with an Idempotency-Key
+  kAll,    ///< all; requests must carry an Idempotency-Key
 };
 
-/// @brief What an engine must have loaded to serve a workspace.
+/// @brief The model that an engine must have loaded to serve a workspace.
 using ModelVersion = ServedModel;
 
-/// @brief Calls of a plain service that may not be repeated.
-struct NotRepeatableCalls {
+/// @brief Calls to a plain service that must not be repeated.
+struct NonRepeatableCalls {
   std::string service;
   std::vector<std::string> methods;  ///< upper case; empty: all
   std::string path_prefix = "/";     ///< starts with a slash
 
-  friend bool operator==(const NotRepeatableCalls&,
-                         const NotRepeatableCalls&) = default;
+  friend bool operator==(const NonRepeatableCalls&,
+                         const NonRepeatableCalls&) = default;
 };
 
-/// @brief Which requests may never be repeated.
-struct NotRepeatable {
+/// @brief Which requests must never be repeated.
+struct NonRepeatableRequests {
   GenerationClaims requests = GenerationClaims::kNone;
-  std::vector<NotRepeatableCalls> services;
+  std::vector<NonRepeatableCalls> services;
   KeyForm key_form = KeyForm::kTimed;
 
-  friend bool operator==(const NotRepeatable&, const NotRepeatable&) = default;
+  friend bool operator==(const NonRepeatableRequests&,
+                         const NonRepeatableRequests&) = default;
 };
 
-/// @brief Limits of a workspace over all hosts; 0: no limit.
+/// @brief Limits of a workspace, over all hosts together; 0: no limit.
 struct ServiceLimits {
   double requests_per_second = 0;
   double tokens_per_second = 0;
@@ -59,7 +61,8 @@
   friend bool operator==(const ServiceLimits&, const ServiceLimits&) = default;
 };
 
-/// @brief What one template gives one workspace, its parameters filled in.
+/// @brief The service that one template defines for one workspace, with the
+/// parameters substituted.
 struct WorkspaceService {
   std::string workspace;
   std::string template_name;
@@ -67,9 +70,9 @@
   std::vector<ModelVersion> models;
   Urgency urgency = Urgency::kNormal;
   Delivery delivery = Delivery::kStreamed;
-  NotRepeatable not_repeatable;
+  NonRepeatableRequests not_repeatable;
   ServiceLimits limits;
-  double weight = 1;  ///< its share against other workspaces
+  double weight = 1;  ///< relative share among workspaces
 
   friend bool operator==(const WorkspaceService&,
                          const WorkspaceService&) = default;
--- a/src/configuration/yaml_reader.cc
+++ b/src/configuration/yaml_reader.cc
@@ -41,7 +41,7 @@
 }
 
 bool UsesParameter(const YamlField& field) {
-  return field.IsThere() && field.node.IsScalar() &&
+  return field.IsPresent() && field.node.IsScalar() &&
          field.node.Scalar().find("${") != std::string::npos;
 }
 
@@ -59,11 +59,11 @@
     const std::string key = is_text ? member.first.Scalar() : "?";
     const YamlField at = {member.first, MemberPath(field.path, key)};
     if (!is_text) {
-      this->Report(at, "a field's name is not a text");
+      this->Report(at, "a field name is not a string");
     } else if (std::find(known.begin(), known.end(), key) == known.end()) {
       this->Report(at, UnknownKey(key, known));
     } else if (!seen.insert(key).second) {
-      this->Report(at, "stands twice");
+      this->Report(at, "is given twice");
     }
   }
   return true;
@@ -71,7 +71,7 @@
 
 std::vector<YamlField> YamlReader::Items(const YamlField& field) {
   std::vector<YamlField> items;
-  if (!field.IsThere()) {
+  if (!field.IsPresent()) {
     return items;
   }
   if (!field.node.IsSequence()) {
@@ -96,14 +96,14 @@
 YamlField YamlReader::RequiredMember(const YamlField& map,
                                      std::string_view key) {
   YamlField member = this->Member(map, key);
-  if (!member.IsThere()) {
+  if (!member.IsPresent()) {
     this->Report({map.node, member.path}, "is missing");
   }
   return member;
 }
 
 std::optional<std::string> YamlReader::RawText(const YamlField& field) {
-  if (!field.IsThere()) {
+  if (!field.IsPresent()) {
     return std::nullopt;
   }
   if (!field.node.IsScalar()) {
@@ -115,28 +115,28 @@
 
 std::optional<std::string> YamlReader::Text(const YamlField& field) {
   const std::optional<std::string> raw = this->RawText(field);
-  return raw.has_value() ? this->FillIn(field, *raw) : std::nullopt;
+  return raw.has_value() ? this->Substitute(field, *raw) : std::nullopt;
 }
 
-std::optional<double> YamlReader::Number(const YamlField& field, double least,
-                                         double most) {
+std::optional<double> YamlReader::Number(const YamlField& field, double min,
+                                         double max) {
   const std::optional<std::string> text = this->Text(field);
   if (!text.has_value()) {
     return std::nullopt;
   }
   double value = 0;
   const bool is_number = absl::SimpleAtod(*text, &value);
-  if (!is_number || !std::isfinite(value) || value < least || value > most) {
-    this->Report(field, absl::StrCat("'", *text, "' is not a number from ",
-                                     least, " to ", most));
+  if (!is_number || !std::isfinite(value) || value < min || value > max) {
+    this->Report(field, absl::StrCat("'", *text, "' is not a number from ", min,
+                                     " to ", max));
     return std::nullopt;
   }
   return value;
 }
 
 std::optional<std::int64_t> YamlReader::Integer(const YamlField& field,
-                                                std::int64_t least,
-                                                std::int64_t most) {
+                                                std::int64_t min,
+                                                std::int64_t max) {
   const std::optional<std::string> text = this->Text(field);
   if (!text.has_value()) {
     return std::nullopt;
@@ -145,10 +145,10 @@
   const char* end = text->data() + text->size();
   const auto parsed = std::from_chars(text->data(), end, value);
   const bool is_whole = parsed.ec == std::errc() && parsed.ptr == end;
-  if (!is_whole || value < least || value > most) {
-    this->Report(
-        field, absl::StrCat("'", *text, "' is not a whole number from ", least,
-                            " to ", most));
+  if (!is_whole || value < min || value > max) {
+    this->Report(field,
+                 absl::StrCat("'", *text, "' is not a whole number from ", min,
+                              " to ", max));
     return std::nullopt;
   }
   return value;
@@ -179,14 +179,14 @@
   }
 }
 
-void YamlReader::ReportFilledIn(const YamlField& field,
-                                std::string_view message) {
+void YamlReader::ReportUnconditionally(const YamlField& field,
+                                       std::string_view message) {
   this->Add(field, std::string(message));
 }
 
 void YamlReader::Add(const YamlField& field, const std::string& message) {
   TemplateProblem problem;
-  if (field.IsThere()) {
+  if (field.IsPresent()) {
     problem.line = std::max(0, field.node.Mark().line + 1);
   }
   problem.field = field.path;
@@ -201,33 +201,34 @@
   return std::move(this->problems);
 }
 
-std::optional<std::string> YamlReader::FillIn(const YamlField& field,
-                                              std::string_view text) {
-  std::string filled;
+std::optional<std::string> YamlReader::Substitute(const YamlField& field,
+                                                  std::string_view text) {
+  std::string result;
   bool has_all = true;
   std::size_t open = text.find("${");
   while (open != std::string_view::npos) {
     const std::size_t close = text.find('}', open);
     if (close == std::string_view::npos) {
-      this->ReportFilledIn(field, "'${' is not closed by '}'");
+      this->ReportUnconditionally(field, "'${' is not closed by '}'");
       return std::nullopt;
     }
     const std::string_view name = text.substr(open + 2, close - open - 2);
     if (!this->IsDeclared(name)) {
-      // One report is enough: it holds for every workspace.
-      this->ReportFilledIn(field, "parameter '" + std::string(name) +
+      // Reported without naming a workspace, as it applies to all of them.
+      this->ReportUnconditionally(field,
+                                  "parameter '" + std::string(name) +
                                       "' is not declared under 'parameters'");
       has_all = false;
     }
     const auto value = this->scope.values.find(name);
     has_all = has_all && value != this->scope.values.end();
-    filled += text.substr(0, open);
-    filled += has_all ? value->second : "";
+    result += text.substr(0, open);
+    result += has_all ? value->second : "";
     text.remove_prefix(close + 1);
     open = text.find("${");
   }
-  filled += text;
-  return has_all ? std::optional<std::string>(filled) : std::nullopt;
+  result += text;
+  return has_all ? std::optional<std::string>(result) : std::nullopt;
 }
 
 bool YamlReader::IsDeclared(std::string_view parameter) const {
--- a/src/configuration/yaml_reader.h
+++ b/src/configuration/yaml_reader.h
@@ -16,83 +16,83 @@
 
 namespace meadowthread {
 
-/// @brief A template's parameters and, where one workspace is looked at, its
-/// values.
+/// @brief A template's declared parameters and the values that the current
+/// workspace gives them.
 struct ParameterScope {
   std::vector<std::string> declared;
   std::map<std::string, std::string, std::less<>> values;
-  std::string workspace;  ///< empty: no workspace, so nothing is filled in
+  std::string workspace;  ///< empty: none, nothing is substituted
 };
 
-/// @brief A node with its field name.
+/// @brief A YAML node with its path in the document.
 struct YamlField {
   YAML::Node node;
   std::string path;
 
-  bool IsThere() const { return this->node.IsDefined(); }
+  bool IsPresent() const { return this->node.IsDefined(); }
 };
 
-/// @brief Reads YAML fields and gathers all problems, each once.
+/// @brief Reads YAML fields and collects all problems, without duplicates.
 ///
-/// Readers return an empty optional both for what is faulty, which is then
-/// reported, and for what depends on a parameter without a value.
+/// The read functions return an empty optional for an invalid field, which is
+/// reported, and for one that depends on a parameter without a value.
 class YamlReader {
  public:
   explicit YamlReader(ParameterScope scope) : scope(std::move(scope)) {}
 
-  /// @brief Reports that a node is not a map, and keys that are unknown or
-  /// stand twice.
-  /// @return whether it is a map
+  /// @brief Reports a node that is not a map, and unknown or duplicate keys.
+  /// @return whether the node is a map
   bool CheckMap(const YamlField& field,
                 std::span<const std::string_view> known);
 
-  /// @brief Reports a node that is there and not a sequence.
+  /// @brief The items of a sequence; none if the node is missing. Reports a
+  /// node that is not a sequence.
   std::vector<YamlField> Items(const YamlField& field);
 
-  /// @brief A member of a map; not there where the map lacks it.
+  /// @brief A member of a map; undefined if the map doesn't have it.
   YamlField Member(const YamlField& map, std::string_view key) const;
 
-  /// @brief As Member, but reports one that is missing.
+  /// @brief As Member, but reports a missing member.
   YamlField RequiredMember(const YamlField& map, std::string_view key);
 
-  /// @brief A scalar's text as it stands.
+  /// @brief A scalar's text, without parameter substitution.
   std::optional<std::string> RawText(const YamlField& field);
 
-  /// @brief A scalar's text, its parameters filled in.
+  /// @brief A scalar's text with parameters substituted.
   std::optional<std::string> Text(const YamlField& field);
 
-  /// @brief A number within bounds.
-  std::optional<double> Number(const YamlField& field, double least,
-                               double most);
+  /// @brief A number in [min, max].
+  std::optional<double> Number(const YamlField& field, double min, double max);
 
-  /// @brief A whole number within bounds.
-  std::optional<std::int64_t> Integer(const YamlField& field,
-                                      std::int64_t least, std::int64_t most);
+  /// @brief An integer in [min, max].
+  std::optional<std::int64_t> Integer(const YamlField& field, std::int64_t min,
+                                      std::int64_t max);
 
-  /// @brief One of the given words.
-  /// @return its index
+  /// @brief Reads one of the given words.
+  /// @return its index in `words`
   std::optional<std::size_t> OneOf(const YamlField& field,
                                    std::span<const std::string_view> words);
 
-  /// @brief Reports a fault. While a workspace is looked at, only of values
-  /// that depend on its parameters: the others were reported without it.
+  /// @brief Reports a problem. With a workspace in scope, only for fields that
+  /// use parameters: the others were reported in the pass without a workspace.
   void Report(const YamlField& field, std::string_view message);
 
-  /// @brief Reports a fault that shows only once parameters are filled in.
-  void ReportFilledIn(const YamlField& field, std::string_view message);
+  /// @brief Reports a problem whether or not the field uses parameters, such as
+  /// one found only after substitution.
+  void ReportUnconditionally(const YamlField& field, std::string_view message);
 
-  /// @brief Looks at a workspace, or at none.
+  /// @brief Sets the parameters, and the workspace if any, for later reads.
   void SetScope(ParameterScope new_scope) {
     this->scope = std::move(new_scope);
   }
 
-  /// @brief All problems, sorted by line, none twice.
+  /// @brief Moves out all problems, sorted by line and without duplicates.
   std::vector<TemplateProblem> TakeProblems();
 
  private:
   void Add(const YamlField& field, const std::string& message);
-  std::optional<std::string> FillIn(const YamlField& field,
-                                    std::string_view text);
+  std::optional<std::string> Substitute(const YamlField& field,
+                                        std::string_view text);
   bool IsDeclared(std::string_view parameter) const;
 
   ParameterScope scope;
@@ -101,7 +101,7 @@
 
 namespace detail {
 
-/// @brief Joins words as `a, b, c`.
+/// @brief Joins words with commas: `a, b, c`.
 std::string JoinWords(std::span<const std::string_view> words);
 
 }  // namespace detail
--- a/src/settings/relay_settings.cc
+++ b/src/settings/relay_settings.cc
@@ -6,18 +6,18 @@
 namespace meadowthread {
 namespace {
 
-constexpr int kLastPort = 65'535;
-constexpr double kMostGraceS = 3'600.0;
-constexpr int kLeastDescriptors = 64;
-constexpr int kMostDescriptors = 1'048'576;
-constexpr std::int64_t kMostMemoryMb = 1'048'576;
-constexpr std::int64_t kMostBoundMs = 3'600'000;
-constexpr int kMostHosts = 100'000;
-constexpr double kMostTimes = 100.0;
-constexpr double kMostRetries = 1e6;
-// Parts of an engine's memory; beyond the whole is for measuring only.
-constexpr double kLeastMemoryPart = 0.1;
-constexpr double kMostMemoryPart = 1.5;
+constexpr int kMaxPort = 65'535;
+constexpr double kMaxGraceS = 3'600.0;
+constexpr int kMinDescriptors = 64;
+constexpr int kMaxDescriptors = 1'048'576;
+constexpr std::int64_t kMaxMemoryMb = 1'048'576;
+constexpr std::int64_t kMaxBoundMs = 3'600'000;
+constexpr int kMaxHosts = 100'000;
+constexpr double kMaxColdOver = 100.0;
+constexpr double kMaxExtraRetries = 1e6;
+// Shares of an engine's memory; more than 1 is for measurements only.
+constexpr double kMinMemoryShare = 0.1;
+constexpr double kMaxMemoryShare = 1.5;
 
 void ReadHost(YamlSection section, HostSettings* host) {
   section.Name("name", &host->name, Presence::kRequired);
@@ -26,7 +26,7 @@
   section.Finish();
 }
 
-// Every listener stands on the address that callers are given.
+// All listeners use the address given for callers.
 void ReadListen(YamlSection section, HostSettings* host,
                 RelayListenSettings* listen) {
   std::string address;
@@ -34,28 +34,28 @@
   section.Endpoint("ready", &address, &listen->ready_port, Presence::kRequired);
   section.Endpoint("control", &address, &host->control_port,
                    Presence::kRequired);
-  section.Integer("loads_port", 1, kLastPort, &listen->loads_port,
+  section.Integer("loads_port", 1, kMaxPort, &listen->loads_port,
                   Presence::kRequired);
-  section.Integer("metrics_port", 0, kLastPort, &listen->metrics_port);
+  section.Integer("metrics_port", 0, kMaxPort, &listen->metrics_port);
   section.Finish();
 }
 
 void Read(YamlSection section, RelayRetrySettings* retries) {
   section.Number("per_request", 0.0, 1.0, &retries->per_request);
-  section.Number("extra", 0.0, kMostRetries, &retries->extra);
+  section.Number("extra", 0.0, kMaxExtraRetries, &retries->extra);
   section.Finish();
 }
 
 void Read(YamlSection section, RelayBoundSettings* bounds) {
-  section.Number("grace_s", 0.1, kMostGraceS, &bounds->grace_s);
-  section.Integer("descriptors", kLeastDescriptors, kMostDescriptors,
+  section.Number("grace_s", 0.1, kMaxGraceS, &bounds->grace_s);
+  section.Integer("descriptors", kMinDescriptors, kMaxDescriptors,
                   &bounds->descriptors);
-  section.Integer("memory_mb", 16, kMostMemoryMb, &bounds->memory_mb);
-  section.Integer("change_ms", 1, kMostBoundMs, &bounds->change_ms);
-  section.Integer("leaving_ms", 1, kMostBoundMs, &bounds->leaving_ms);
-  section.Integer("emptying_ms", 1, kMostBoundMs, &bounds->emptying_ms);
-  section.Number("cold_over", 1.0, kMostTimes, &bounds->cold_over);
-  section.Integer("settle_ms", 0, kMostBoundMs, &bounds->settle_ms);
+  section.Integer("memory_mb", 16, kMaxMemoryMb, &bounds->memory_mb);
+  section.Integer("change_ms", 1, kMaxBoundMs, &bounds->change_ms);
+  section.Integer("leaving_ms", 1, kMaxBoundMs, &bounds->leaving_ms);
+  section.Integer("emptying_ms", 1, kMaxBoundMs, &bounds->emptying_ms);
+  section.Number("cold_over", 1.0, kMaxColdOver, &bounds->cold_over);
+  section.Integer("settle_ms", 0, kMaxBoundMs, &bounds->settle_ms);
   section.Finish();
 }
 
@@ -66,14 +66,14 @@
   section.Flag("avoids_bad_links", &policy->avoids_bad_links);
   section.Flag("stops_are_told", &policy->stops_are_told);
   section.Flag("staggers_watches", &policy->staggers_watches);
-  section.Number("memory_limit", kLeastMemoryPart, kMostMemoryPart,
+  section.Number("memory_limit", kMinMemoryShare, kMaxMemoryShare,
                  &policy->memory_limit);
-  section.Number("late_work_part", kLeastMemoryPart, kMostMemoryPart,
+  section.Number("late_work_part", kMinMemoryShare, kMaxMemoryShare,
                  &policy->late_work_part);
-  section.Number("short_work_limit", kLeastMemoryPart, kMostMemoryPart,
+  section.Number("short_work_limit", kMinMemoryShare, kMaxMemoryShare,
                  &policy->short_work_limit);
   section.Flag("guards_warm", &policy->guards_warm);
-  section.Integer("direct_hosts", 1, kMostHosts, &policy->direct_hosts);
+  section.Integer("direct_hosts", 1, kMaxHosts, &policy->direct_hosts);
   section.Finish();
 }
 
@@ -123,8 +123,9 @@
 
 ParsedRelaySettings LoadRelaySettings(std::string_view path) {
   const absl::StatusOr<std::string> text = ReadTextFile(path);
-  return text.ok() ? ParseRelaySettings(*text)
-                   : ParsedRelaySettings{{}, {UnreadFile(text.status())}};
+  return text.ok()
+             ? ParseRelaySettings(*text)
+             : ParsedRelaySettings{{}, {UnreadableFileProblem(text.status())}};
 }
 
 }  // namespace meadowthread
--- a/src/settings/relay_settings.h
+++ b/src/settings/relay_settings.h
@@ -11,72 +11,76 @@
 
 namespace meadowthread {
 
-/// @brief Where this host listens besides HostSettings; ports on its address.
+/// @brief Ports that this host listens on besides those in HostSettings, on the
+/// same address.
 struct RelayListenSettings {
-  int ready_port = 0;    ///< answers whether it takes traffic
-  int loads_port = 0;    ///< UDP: load notes of other hosts
-  int metrics_port = 0;  ///< tells counters and gauges; 0: nowhere
+  int ready_port = 0;    ///< readiness endpoint: whether it accepts traffic
+  int loads_port = 0;    ///< UDP: load reports of other hosts
+  int metrics_port = 0;  ///< serves counters and gauges; 0: disabled
 
   friend bool operator==(const RelayListenSettings&,
                          const RelayListenSettings&) = default;
 };
 
-/// @brief Retries that all hosts together may make towards a service.
+/// @brief Retry budget for a service, over all hosts together.
 struct RelayRetrySettings {
-  double per_request = 0.1;  ///< for each request of the service
-  double extra = 10.0;       ///< besides, within the window they are counted in
+  double per_request = 0.1;  ///< retries per request to the service
+  double extra = 10.0;       ///< further retries per counting window
 
   friend bool operator==(const RelayRetrySettings&,
                          const RelayRetrySettings&) = default;
 };
 
-/// @brief Bounds of the process.
+/// @brief Time and resource limits of the process.
 struct RelayBoundSettings {
-  double grace_s = 8.0;  ///< from a stop's signal to its end by force
+  double grace_s = 8.0;  ///< from the stop signal until the process is killed
   int descriptors = 4'096;
   std::int64_t memory_mb = 128;
-  /// Within these the store's word is followed, milliseconds: a configuration
-  /// is in force, a server that leaves gets nothing new.
+  /// Time within which a changed configuration in the store takes effect.
   std::int64_t change_ms = 2'000;
+  /// Time within which a server that is leaving gets no new requests.
   std::int64_t leaving_ms = 2'000;
-  /// As above: an availability zone that is emptied gets nothing new.
+  /// Time within which a drained availability zone gets no new requests.
   std::int64_t emptying_ms = 5'000;
-  /// So long after the store or connections were disturbed they hold again.
+  /// The limits above apply again this long after a disturbance of the store or
+  /// of connections has ended.
   std::int64_t settle_ms = 3'000;
-  /// So many times what a cold server withstands may reach it.
+  /// A server may get at most this multiple of the request rate that it can
+  /// withstand while it is cold.
   double cold_over = 1.0;
 
   friend bool operator==(const RelayBoundSettings&,
                          const RelayBoundSettings&) = default;
 };
 
-/// @brief The policy for streams. Switches are there to measure what a part is
-/// worth; docs/OPERATIONS.md says what each does.
+/// @brief The policy for streams. The switches exist to measure the effect of
+/// each part; docs/OPERATIONS.md describes them.
 struct RelayPolicySettings {
-  bool refuses_late = true;
-  bool lets_returned_wait = true;
-  bool spreads_returns = true;
-  bool avoids_bad_links = true;
-  bool stops_are_told = true;
-  bool staggers_watches = true;
-  double memory_limit = 0.8;      ///< of an engine's, for work that lasts
-  double late_work_part = 0.7;    ///< of both limits, for what is late anyhow
-  double short_work_limit = 0.9;  ///< of what is used now, for work that ends
-  /// Up to so many hosts tell each other of all their work; among more, one in
-  /// each group of engines hands out places.
+  bool refuses_late = true;  ///< refuse streams that will miss their target
+  bool lets_returned_wait = true;  ///< let streams refused before wait for room
+  bool spreads_returns = true;     ///< spread retries over Retry-After times
+  bool avoids_bad_links = true;    ///< avoid engines behind stalling links
+  bool stops_are_told = true;      ///< use the return times of stopping hosts
+  bool staggers_watches = true;  ///< spread the watch calls of hosts over time
+  double memory_limit = 0.8;     ///< share of an engine's memory, for long work
+  double late_work_part = 0.7;  ///< share of both limits, for work already late
+  /// Share of the memory in use at present, for short work.
+  double short_work_limit = 0.9;
+  /// Up to this number of hosts, every host reports all its work to the others;
+  /// beyond it, one host per group of engines allocates places.
   int direct_hosts = 32;
-  /// Bound what engines get also while they are warm, as they may turn cold
-  /// before hosts hear of it. Off: only while they are known to be cold.
+  /// Limits the load on engines also while they are warm, as they may become
+  /// cold before hosts learn of it. Off: only while they are known to be cold.
   bool guards_warm = true;
 
   friend bool operator==(const RelayPolicySettings&,
                          const RelayPolicySettings&) = default;
 };
 
-/// @brief Everything that a relay host is told at its start.
+/// @brief All settings of a relay host, read at its start.
 struct RelaySettings {
   HostSettings host;
-  /// Which region each availability zone is in.
+  /// The region of each availability zone.
   std::map<std::string, std::string> regions;
   RelayListenSettings listen;
   std::string store;  ///< URL of the platform's object store
@@ -88,10 +92,10 @@
   friend bool operator==(const RelaySettings&, const RelaySettings&) = default;
 };
 
-/// @brief Relay settings, or every problem that they have.
+/// @brief Relay settings, or all problems found in them.
 using ParsedRelaySettings = Parsed<RelaySettings>;
 
-/// @brief Parses and checks settings whole.
+/// @brief Parses and validates the settings of a relay host.
 ParsedRelaySettings ParseRelaySettings(std::string_view text);
 
 /// @brief As ParseRelaySettings, from a file.
--- a/src/settings/secret_file.cc
+++ b/src/settings/secret_file.cc
@@ -13,7 +13,7 @@
   if (text.ok()) {
     absl::StripTrailingAsciiWhitespace(&*text);
   }
-  // An empty secret would be everyone's.
+  // Anyone can guess an empty secret.
   if (text.ok() && !text->empty()) {
     return text;
   }
--- a/src/settings/secret_file.h
+++ b/src/settings/secret_file.h
@@ -8,11 +8,11 @@
 
 namespace meadowthread {
 
-/// @brief Reads a secret that settings name by its file.
-/// @param[in] field the field that names it, for the error
-/// @param[in] path the file; white space at its end is dropped
-/// @return the secret, or kSettingsInvalid, also where the file is empty;
-/// errors carry the path and never the contents
+/// @brief Reads a secret from the file that a setting names.
+/// @param[in] field the setting that names the file, for error messages
+/// @param[in] path the file; trailing white space is removed
+/// @return the secret, or kSettingsInvalid if the file is unreadable or empty;
+/// errors contain the path, never the content
 absl::StatusOr<std::string> ReadSecretFile(std::string_view field,
                                            std::string_view path);
 
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -15,8 +15,8 @@
 constexpr std::int64_t kSecondMs = 1000;
 constexpr std::int64_t kHourMs = 3600 * kSecondMs;
 constexpr std::int64_t kDayMs = 24 * kHourMs;
-constexpr int kLastPort = 65535;
-constexpr double kLargestWeight = 1000;
+constexpr int kMaxPort = 65535;
+constexpr double kMaxWeight = 1000;
 
 /// In the order of ChooserKind.
 const std::array<std::string, 4>& ChooserNames() {
@@ -30,8 +30,8 @@
   section.Name("zone", &host->zone, Presence::kRequired);
   section.Name("region", &host->region, Presence::kRequired);
   section.Address("address", &host->address, Presence::kRequired);
-  section.Integer("port", 1, kLastPort, &host->port, Presence::kRequired);
-  section.Integer("control_port", 1, kLastPort, &host->control_port,
+  section.Integer("port", 1, kMaxPort, &host->port, Presence::kRequired);
+  section.Integer("control_port", 1, kMaxPort, &host->control_port,
                   Presence::kRequired);
   if (host->port != 0 && host->port == host->control_port) {
     section.Report("control_port", "is the same as host.port");
@@ -69,7 +69,8 @@
     }
     half->addresses.push_back(address);
   });
-  // Callers of what another half owns must be told where to go.
+  // Callers of a workspace that another deployment owns are redirected there,
+  // so its address is required.
   if (half->default_owner != half->name &&
       !HasAddress(*half, half->default_owner)) {
     section.Report("default_owner", "is neither half.name nor in addresses");
@@ -104,11 +105,10 @@
 }
 
 void Read(YamlSection section, PolicySettings* policy) {
-  section.Number("stall_weight", 0, kLargestWeight, &policy->stall_weight);
-  section.Number("preemption_weight", 0, kLargestWeight,
+  section.Number("stall_weight", 0, kMaxWeight, &policy->stall_weight);
+  section.Number("preemption_weight", 0, kMaxWeight,
                  &policy->preemption_weight);
-  section.Number("token_gap_weight", 0, kLargestWeight,
-                 &policy->token_gap_weight);
+  section.Number("token_gap_weight", 0, kMaxWeight, &policy->token_gap_weight);
   const int chosen = section.Choice("chooser", ChooserNames());
   if (chosen >= 0) {
     policy->chooser = static_cast<ChooserKind>(chosen);
@@ -130,7 +130,7 @@
   section.Integer("shards", 1, 4096, &claims->shards);
   section.Integer("retention_ms", kSecondMs, 30 * kDayMs,
                   &claims->retention_ms);
-  // The object API holds values up to a mebibyte.
+  // The object API stores values of at most 1 MiB.
   section.Integer("segment_bytes", 1024, kMebibyte, &claims->segment_bytes);
   section.Finish();
 }
@@ -214,7 +214,8 @@
   try {
     read(YAML::Load(std::string(text)), &problems);
   } catch (const YAML::Exception& error) {
-    // `msg`, not what(): it names the fault and no part of the text.
+    // Uses `msg` instead of what(): it describes the error without quoting the
+    // document.
     problems.push_back(
         {error.mark.line + 1, "document", "is not YAML: " + error.msg});
   }
@@ -222,7 +223,7 @@
   return problems;
 }
 
-SettingsProblem UnreadFile(const absl::Status& status) {
+SettingsProblem UnreadableFileProblem(const absl::Status& status) {
   return {0, "file", std::string{status.message()}};
 }
 
@@ -239,7 +240,7 @@
 ParsedSettings LoadSettings(std::string_view path) {
   const absl::StatusOr<std::string> text = ReadTextFile(path);
   return text.ok() ? ParseSettings(*text)
-                   : ParsedSettings{{}, {UnreadFile(text.status())}};
+                   : ParsedSettings{{}, {UnreadableFileProblem(text.status())}};
 }
 
 }  // namespace meadowthread
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -14,31 +14,31 @@
 
 namespace meadowthread {
 
-/// @brief This host: its name, place and listeners.
+/// @brief This host's name, location and listeners.
 struct HostSettings {
   std::string name;
   std::string zone;  ///< its availability zone
   std::string region;
-  std::string address;   ///< the IP number it listens on
-  int port = 0;          ///< towards callers
-  int control_port = 0;  ///< towards other entry hosts and operators
+  std::string address;   ///< the IP address it listens on
+  int port = 0;          ///< for callers
+  int control_port = 0;  ///< for other entry hosts and operators
 
   friend bool operator==(const HostSettings&, const HostSettings&) = default;
 };
 
-/// @brief Where the platform is and how it is asked.
+/// @brief Where the platform's APIs are and how they are called.
 struct PlatformSettings {
-  std::string object_api;  ///< URL, without a slash at its end
+  std::string object_api;  ///< URL without a trailing slash
   std::string host_list;   ///< URL
   std::int64_t request_timeout_ms = 1000;
   std::int64_t host_list_period_ms = 1000;
-  int watchers = 8;  ///< how many hosts watch, over the fleet
+  int watchers = 8;  ///< number of hosts in the fleet that watch
 
   friend bool operator==(const PlatformSettings&,
                          const PlatformSettings&) = default;
 };
 
-/// @brief Where callers of a half of the migration are sent.
+/// @brief Address that callers are redirected to for another deployment.
 struct HalfAddress {
   std::string half;
   std::string url;
@@ -46,34 +46,40 @@
   friend bool operator==(const HalfAddress&, const HalfAddress&) = default;
 };
 
-/// @brief Which half of the migration this host belongs to.
+/// @brief Which deployment this host belongs to. While work moves from one
+/// system to another, both deployments share the object store; settings call
+/// each of them a `half`.
 struct HalfSettings {
   std::string name = "main";
-  /// Owner of what has no ownership object; the own half where not given.
+  /// Owner of workspaces and engines without an ownership object; by default
+  /// this host's deployment.
   std::string default_owner = "main";
-  std::vector<HalfAddress> addresses;  ///< of the other halves
+  std::vector<HalfAddress> addresses;  ///< of the other deployments
 
   friend bool operator==(const HalfSettings&, const HalfSettings&) = default;
 };
 
-/// @brief Bounds towards callers.
+/// @brief Limits for connections and requests of callers.
 struct CallerSettings {
   std::int64_t max_body_bytes = 1048576;
   std::int64_t max_header_bytes = 32768;
   std::int64_t body_timeout_ms = 10000;
   int max_streams = 4000;
-  std::int64_t keepalive_ms = 15000;         ///< between comments in a stream
-  std::int64_t slow_caller_bytes = 1048576;  ///< unread before back pressure
+  std::int64_t keepalive_ms =
+      15000;  ///< interval of keep-alive comments in a stream
+  std::int64_t slow_caller_bytes =
+      1048576;  ///< unread bytes before backpressure
   std::int64_t whole_answer_bytes = 8388608;
 
   friend bool operator==(const CallerSettings&,
                          const CallerSettings&) = default;
 };
 
-/// @brief Resuming and giving up answers.
+/// @brief When answers can be resumed and when they are abandoned.
 struct AnswerSettings {
-  /// File of the secret under resume tokens; the same on every host. Empty: a
-  /// key of this process, so that no other host can resume its answers.
+  /// File with the secret that signs resume tokens; the same on every host.
+  /// Empty: a key of this process only, so no other host can resume its
+  /// answers.
   std::string resume_key_file;
   std::int64_t resume_expiry_ms = 600000;
   std::int64_t orphan_timeout_ms = 30000;
@@ -83,13 +89,13 @@
                          const AnswerSettings&) = default;
 };
 
-/// @brief How engines are chosen.
+/// @brief Algorithm that chooses the engine for a request.
 enum class ChooserKind { kMemoryAware, kRoundRobin, kLeastLoad, kPowerOfTwo };
 
-/// @brief The chooser's name in settings ("memory_aware", ...).
+/// @brief The algorithm's name in settings ("memory_aware", ...).
 std::string_view ChooserName(ChooserKind chooser);
 
-/// @brief Weights and bounds of the policy.
+/// @brief Weights and limits of the scheduling policy.
 struct PolicySettings {
   double stall_weight = 1.0;
   double preemption_weight = 1.0;
@@ -102,7 +108,7 @@
                          const PolicySettings&) = default;
 };
 
-/// @brief Exchange between entry hosts.
+/// @brief Gossip between entry hosts.
 struct HostExchangeSettings {
   std::int64_t period_ms = 500;
   int fanout = 3;
@@ -112,7 +118,7 @@
                          const HostExchangeSettings&) = default;
 };
 
-/// @brief Claims of requests that may not be repeated.
+/// @brief Storage of claims, which keep a request from running more than once.
 struct ClaimsSettings {
   int shards = 8;
   std::int64_t retention_ms = 86400000;
@@ -134,7 +140,7 @@
                          const PlacementSettings&) = default;
 };
 
-/// @brief Freshness of the configuration in force.
+/// @brief Staleness bound of the configuration in force.
 struct ConfigurationSettings {
   std::int64_t stale_limit_ms = 5000;
 
@@ -142,7 +148,7 @@
                          const ConfigurationSettings&) = default;
 };
 
-/// @brief TLS towards callers; off where no certificate is named.
+/// @brief TLS for callers; off if no certificate is named.
 struct TlsSettings {
   std::string certificate_file;
   std::string key_file;
@@ -150,9 +156,9 @@
   friend bool operator==(const TlsSettings&, const TlsSettings&) = default;
 };
 
-/// @brief Everything that a host is told at its start.
+/// @brief All settings of a host, read at its start.
 ///
-/// Secrets stand in files that are only named here.
+/// Secrets are kept in separate files; the settings only name these files.
 struct Settings {
   HostSettings host;
   PlatformSettings platform;
@@ -169,7 +175,8 @@
   friend bool operator==(const Settings&, const Settings&) = default;
 };
 
-/// @brief One fault of a document. Messages never carry a document's values.
+/// @brief One error in a settings document. Messages never contain values from
+/// the document.
 struct SettingsProblem {
   int line = 0;       ///< from 1; 0: the document as a whole
   std::string field;  ///< dotted path, e.g. "host.port"
@@ -182,20 +189,20 @@
 /// @brief OK, or one kSettingsInvalid error that lists all problems.
 absl::Status StatusOf(std::span<const SettingsProblem> problems);
 
-/// @brief Reads a YAML document and gathers its problems, by line.
-/// @param[in] read is given the document's map
+/// @brief Parses a YAML document and collects its problems, sorted by line.
+/// @param[in] read is called with the document's root node
 std::vector<SettingsProblem> ReadYaml(
     std::string_view text,
     const std::function<void(const YAML::Node&, std::vector<SettingsProblem>*)>&
         read);
 
-/// @brief The problem of a file that could not be read.
-SettingsProblem UnreadFile(const absl::Status& status);
+/// @brief The problem to report for a file that could not be read.
+SettingsProblem UnreadableFileProblem(const absl::Status& status);
 
-/// @brief Settings of some kind, or every problem that they have.
+/// @brief Settings, or all problems found in them.
 template <typename Kind>
 struct Parsed {
-  Kind settings;                          ///< usable only where IsValid()
+  Kind settings;                          ///< usable only if IsValid()
   std::vector<SettingsProblem> problems;  ///< by line
 
   bool IsValid() const { return this->problems.empty(); }
@@ -205,7 +212,7 @@
 
 using ParsedSettings = Parsed<Settings>;
 
-/// @brief Parses and checks settings whole.
+/// @brief Parses and validates the settings of a host.
 /// @param[in] text a YAML document
 ParsedSettings ParseSettings(std::string_view text);
 
--- a/src/settings/tests/relay_settings_test.cc
+++ b/src/settings/tests/relay_settings_test.cc
@@ -5,7 +5,7 @@
 namespace meadowthread {
 namespace {
 
-constexpr char kWhole[] =
+constexpr char kCompleteSettings[] =
     "host: {name: entry-1, zone: pasig-hall, region: metro-manila}\n"
     "listen: {callers: \"127.0.0.1:8740\", ready: \"127.0.0.1:8749\",\n"
     "  control: \"127.0.0.1:8748\", loads_port: 7200}\n"
@@ -15,8 +15,8 @@
     "  leaving_ms: 1900, emptying_ms: 4000, cold_over: 1.5, settle_ms: 2800}\n"
     "zones: [{name: pasig-hall, region: metro-manila}]\n";
 
-Test(a_relay_hosts_settings, are_read_whole) {
-  const ParsedRelaySettings parsed = ParseRelaySettings(kWhole);
+Test(relay_settings, are_read_completely) {
+  const ParsedRelaySettings parsed = ParseRelaySettings(kCompleteSettings);
   cr_assert(parsed.IsValid(), "%s", parsed.Status().ToString().c_str());
   cr_assert(parsed.settings.host.name == "entry-1");
   cr_assert(parsed.settings.listen.ready_port == 8749);
@@ -33,7 +33,7 @@
   cr_assert(parsed.settings.regions.at("pasig-hall") == "metro-manila");
 }
 
-Test(a_relay_hosts_settings, that_lack_something_name_every_field) {
+Test(relay_settings, with_problems_report_every_field) {
   const ParsedRelaySettings parsed = ParseRelaySettings(
       "host: {name: entry-1}\nstores: x\n"
       "listen: {callers: \"127.0.0.1:70000\"}\n");
@@ -45,23 +45,24 @@
   }
 }
 
-Test(a_relay_hosts_settings, that_are_no_yaml_say_where) {
+Test(relay_settings, that_are_malformed_yaml_report_the_document) {
   const ParsedRelaySettings parsed = ParseRelaySettings("host: {name: [\n");
   cr_assert(!parsed.IsValid());
   cr_assert(parsed.problems.front().field == "document");
 }
 
-Test(relay_settings, switch_off_parts_of_the_policy) {
-  const ParsedRelaySettings whole = ParseRelaySettings(kWhole);
-  cr_assert(whole.settings.policy == RelayPolicySettings{});
+Test(relay_settings, can_switch_off_parts_of_the_policy) {
+  const ParsedRelaySettings complete = ParseRelaySettings(kCompleteSettings);
+  cr_assert(complete.settings.policy == RelayPolicySettings{});
   const ParsedRelaySettings parsed =
-      ParseRelaySettings(std::string(kWhole) +
+      ParseRelaySettings(std::string(kCompleteSettings) +
                          "policy: {refuses_late: false, memory_limit: 0.95}\n");
   cr_assert(parsed.IsValid());
   cr_assert(!parsed.settings.policy.refuses_late);
   cr_assert(parsed.settings.policy.memory_limit == 0.95);
-  const ParsedRelaySettings wrong = ParseRelaySettings(
-      std::string(kWhole) + "policy: {memory_limit: 7, refuse: no}\n");
+  const ParsedRelaySettings wrong =
+      ParseRelaySettings(std::string(kCompleteSettings) +
+                         "policy: {memory_limit: 7, refuse: no}\n");
   cr_assert(wrong.problems.size() == 2);
 }
 
--- a/src/settings/tests/settings_test.cc
+++ b/src/settings/tests/settings_test.cc
@@ -13,7 +13,7 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::string_view kLeast =
+constexpr std::string_view kMinimalSettings =
     "host: {name: entry-1, zone: makati-hall, region: manila,\n"
     "       address: 127.0.0.1, port: 8080, control_port: 8081}\n"
     "platform:\n"
@@ -21,15 +21,15 @@
     "  host_list: http://127.0.0.1:9001/hosts\n";
 
 ParsedSettings WithMore(std::string_view more) {
-  return ParseSettings(std::string(kLeast) + std::string(more));
+  return ParseSettings(std::string(kMinimalSettings) + std::string(more));
 }
 
 bool HasOnly(const ParsedSettings& parsed, const SettingsProblem& problem) {
   return parsed.problems.size() == 1 && parsed.problems.front() == problem;
 }
 
-Test(the_settings, need_only_the_host_and_the_platform) {
-  const ParsedSettings parsed = ParseSettings(kLeast);
+Test(the_settings, require_only_host_and_platform) {
+  const ParsedSettings parsed = ParseSettings(kMinimalSettings);
   cr_assert(parsed.IsValid());
   cr_assert(parsed.settings.host.zone == "makati-hall");
   cr_assert(parsed.settings.platform.object_api == "http://127.0.0.1:9000");
@@ -37,7 +37,7 @@
   cr_assert(parsed.settings.half.default_owner == "main");
 }
 
-Test(the_settings, take_what_is_given) {
+Test(the_settings, apply_given_values) {
   const ParsedSettings parsed = WithMore(
       "half: {name: east, default_owner: west,\n"
       "       addresses: [{half: west, url: 'https://west.example'}]}\n"
@@ -51,7 +51,7 @@
   cr_assert(!parsed.settings.placement.enabled);
 }
 
-Test(wrong_settings, are_told_all_at_once_by_line) {
+Test(invalid_settings, are_all_reported_at_once_by_line) {
   const ParsedSettings parsed = ParseSettings(
       "host: {name: a b, zone: z, region: r, address: localhost,\n"
       "       port: 70000}\n"
@@ -69,7 +69,7 @@
             absl::string_view::npos);
 }
 
-Test(wrong_settings, name_the_nearest_known_field) {
+Test(invalid_settings, report_the_nearest_known_field) {
   cr_assert(HasOnly(WithMore("callers: {max_stream: 5}\n"),
                     {6, "callers.max_stream",
                      "is not a known field; the nearest is 'max_streams'"}));
@@ -77,7 +77,7 @@
                     {6, "zebra_crossing", "is not a known field"}));
 }
 
-Test(wrong_settings, are_out_of_range_or_given_twice) {
+Test(invalid_settings, include_out_of_range_and_duplicate_fields) {
   cr_assert(
       HasOnly(WithMore("policy: {stall_weight: nan}\n"),
               {6, "policy.stall_weight", "is not a number from 0 to 1000"}));
@@ -87,7 +87,7 @@
                     {6, "claims", "is not a map of fields"}));
 }
 
-Test(wrong_settings, contradict_each_other) {
+Test(invalid_settings, include_contradicting_fields) {
   cr_assert(HasOnly(WithMore("placement: {lease_ms: 500}\n"),
                     {6, "placement.order_deadline_ms",
                      "is not less than placement.lease_ms"}));
@@ -99,12 +99,12 @@
               {6, "tls.key_file", "is missing: tls takes both files or none"}));
 }
 
-Test(wrong_settings, are_no_yaml_or_no_file) {
+Test(invalid_settings, include_malformed_yaml_and_missing_files) {
   cr_assert(ParseSettings("host: {").problems.front().field == "document");
   cr_assert(LoadSettings("/nonexistent/x.yaml").problems.front().line == 0);
 }
 
-Test(a_secret_in_settings, is_refused_and_not_repeated) {
+Test(a_secret_in_settings, is_rejected_and_not_printed) {
   for (const std::string_view more :
        {"answers: {resume_key: hunter2}\n",
         "tls: {certificate_file: a, key_file: '-----BEGIN hunter2'}\n",
@@ -118,7 +118,7 @@
   }
 }
 
-Test(a_secret_file, gives_its_secret_or_an_error_without_it) {
+Test(a_secret_file, returns_its_secret_or_an_error_without_it) {
   const std::string path =
       "/tmp/meadowthread-secret-" + std::to_string(getpid());
   std::ofstream(path) << "hunter2\n";
--- a/src/settings/text_file.cc
+++ b/src/settings/text_file.cc
@@ -12,7 +12,7 @@
 absl::StatusOr<std::string> ReadTextFile(std::string_view path) {
   std::error_code ignored;
   std::ifstream file{std::string(path)};
-  // A directory opens like a file and reads as empty.
+  // Opening a directory succeeds, and it would read as an empty file.
   if (file && !std::filesystem::is_directory(path, ignored)) {
     return std::string(std::istreambuf_iterator<char>(file), {});
   }
--- a/src/settings/text_file.h
+++ b/src/settings/text_file.h
@@ -9,7 +9,7 @@
 namespace meadowthread {
 
 /// @brief Reads a whole file.
-/// @return its text, or kSettingsInvalid with the path as peer
+/// @return the content, or kSettingsInvalid with the path as `peer`
 absl::StatusOr<std::string> ReadTextFile(std::string_view path);
 
 }  // namespace meadowthread
--- a/src/settings/yaml_section.cc
+++ b/src/settings/yaml_section.cc
@@ -14,18 +14,18 @@
 namespace meadowthread {
 namespace {
 
-constexpr std::size_t kLongestName = 100;
-constexpr std::size_t kLongestPath = 4000;
+constexpr std::size_t kMaxNameLength = 100;
+constexpr std::size_t kMaxPathLength = 4000;
 constexpr std::string_view kNameCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
 
 int LineOf(const YAML::Node& node) {
-  // A node that stands nowhere has line -1.
+  // A node that is not from a document has line -1.
   return std::max(node.Mark().line + 1, 1);
 }
 
 bool IsName(std::string_view text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaxNameLength &&
          text.find_first_not_of(kNameCharacters) == std::string_view::npos;
 }
 
@@ -91,7 +91,7 @@
     return;
   }
   double value = 0;
-  // "nan" parses, and lies in no range.
+  // "nan" parses as a number but fails the range check.
   const bool in_range =
       absl::SimpleAtod(*text, &value) && value >= min && value <= max;
   if (!in_range) {
@@ -120,7 +120,7 @@
     return;
   }
   if (!IsName(*text)) {
-    this->Report(name, absl::StrCat("is not a name of 1 to ", kLongestName,
+    this->Report(name, absl::StrCat("is not a name of 1 to ", kMaxNameLength,
                                     " letters, digits, '.', '_' and '-'"));
     return;
   }
@@ -139,7 +139,7 @@
     this->Report(name, "is not a URL that begins with http:// or https://");
     return;
   }
-  // URLs are logged; a password in one would be too.
+  // URLs are logged, so they must not contain a password.
   if (authority.find('@') != std::string_view::npos) {
     this->Report(name, "carries a user or password: secrets are given by file");
     return;
@@ -156,7 +156,7 @@
     return;
   }
   if (!IsAddress(*text)) {
-    this->Report(name, "is not an IP number");
+    this->Report(name, "is not an IP address");
     return;
   }
   *target = *text;
@@ -168,15 +168,15 @@
   if (text == nullptr) {
     return;
   }
-  constexpr int kLastPort = 65'535;
+  constexpr int kMaxPort = 65'535;
   const std::size_t colon = text->rfind(':');
   int number = 0;
   const bool is_endpoint = colon != std::string::npos &&
                            IsAddress(text->substr(0, colon)) &&
                            absl::SimpleAtoi(text->substr(colon + 1), &number) &&
-                           number > 0 && number <= kLastPort;
+                           number > 0 && number <= kMaxPort;
   if (!is_endpoint) {
-    this->Report(name, "is not an IP number and a port, such as 192.0.2.7:80");
+    this->Report(name, "is not an IP address and a port, such as 192.0.2.7:80");
     return;
   }
   *address = text->substr(0, colon);
@@ -188,8 +188,8 @@
   if (text == nullptr) {
     return;
   }
-  // The commonest slip is the secret itself, pasted in its file's place.
-  const bool is_path = text->size() <= kLongestPath &&
+  // The most common mistake is to give the secret itself instead of its file.
+  const bool is_path = text->size() <= kMaxPathLength &&
                        text->find('\n') == std::string::npos &&
                        !absl::StrContains(*text, "-----BEGIN");
   if (!is_path) {
@@ -252,7 +252,7 @@
   std::set<std::string> seen;
   for (const auto& entry : this->map) {
     if (!entry.first.IsScalar()) {
-      this->ReportAt(entry.first, "?", "has a key that is no name");
+      this->ReportAt(entry.first, "?", "has a key that is not a string");
       continue;
     }
     const std::string key = entry.first.Scalar();
@@ -289,7 +289,7 @@
       this->known.end()) {
     this->known.emplace_back(name);
   }
-  // Not operator[]: it adds keys to a map that is not constant.
+  // operator[] is not used, as it adds missing keys to a non-const map.
   for (const auto& entry : this->map) {
     if (entry.first.IsScalar() && entry.first.Scalar() == name) {
       return entry.second;
--- a/src/settings/yaml_section.h
+++ b/src/settings/yaml_section.h
@@ -15,18 +15,18 @@
 
 namespace meadowthread {
 
-/// @brief Whether a field must be there.
+/// @brief Whether a field must be present.
 enum class Presence { kRequired, kOptional };
 
-/// @brief Reads the fields of one YAML map and gathers what is wrong.
+/// @brief Reads the fields of one YAML map and collects problems.
 ///
-/// A field that is missing or wrong leaves its target as it was. Call Finish
-/// last: keys that no call asked for are problems.
+/// A missing or invalid field leaves its target unchanged. Call Finish last: it
+/// reports all keys that were not read.
 class YamlSection {
  public:
-  /// @param[in] node a map; null reads as an empty map
+  /// @param[in] node a map; null counts as an empty map
   /// @param[in] path dotted path of the map, empty for the document
-  /// @param[in] problems outlives the section
+  /// @param[in] problems must outlive the section
   YamlSection(const YAML::Node& node, std::string_view path,
               std::vector<SettingsProblem>* problems);
 
@@ -41,39 +41,40 @@
   /// @brief A short name: letters, digits, `.`, `_` and `-`.
   void Name(std::string_view name, std::string* target,
             Presence presence = Presence::kOptional);
-  /// @brief An http or https URL without a user or password; a slash at its
-  /// end is dropped.
+  /// @brief An http or https URL without user or password; a trailing slash is
+  /// removed.
   void Url(std::string_view name, std::string* target,
            Presence presence = Presence::kOptional);
-  /// @brief An IP number.
+  /// @brief An IPv4 or IPv6 address.
   void Address(std::string_view name, std::string* target, Presence presence);
-  /// @brief An IP number and a port, "192.0.2.7:8740".
+  /// @brief An IP address and a port, such as "192.0.2.7:8740".
   void Endpoint(std::string_view name, std::string* address, int* port,
                 Presence presence);
   /// @brief The path of a file.
   void File(std::string_view name, std::string* target);
   /// @brief One of `names`.
-  /// @return its index, -1 where the field is missing or wrong
+  /// @return its index, -1 if the field is missing or invalid
   int Choice(std::string_view name, std::span<const std::string> names);
   ///@}
 
   /// @name nesting
   ///@{
-  /// @brief A map within; empty where it is missing.
+  /// @brief A nested map; empty if it is missing.
   YamlSection Section(std::string_view name);
-  /// @brief A list of maps; `read` is given each.
+  /// @brief A list of maps; calls `read` with each.
   void List(std::string_view name,
             const std::function<void(YamlSection&)>& read);
   ///@}
 
-  /// @brief Reports a problem of a field, at its line where it is there.
+  /// @brief Reports a problem of a field, at the line of the field or, if it is
+  /// missing, of the map.
   void Report(std::string_view name, std::string_view message);
 
-  /// @brief Reports duplicate keys and keys that were never asked for.
+  /// @brief Reports duplicate keys and keys that were not read.
   void Finish();
 
  private:
-  /// The text of a scalar field; null where it is missing or no scalar.
+  /// The text of a scalar field; null if it is missing or not a scalar.
   const std::string* Scalar(std::string_view name, Presence presence);
   YAML::Node Find(std::string_view name);
   std::string PathOf(std::string_view name) const;
