--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -65,10 +65,10 @@
   std::int64_t max_header_bytes = 32768;
   std::int64_t body_timeout_ms = 10000;
   int max_streams = 4000;
-  std::int64_t keepalive_ms =
-      15000;  ///< interval of keep-alive comments in a stream
-  std::int64_t slow_caller_bytes =
-      1048576;  ///< unread bytes before backpressure
+  /// Interval of keep-alive comments in a stream.
+  std::int64_t keepalive_ms = 15000;
+  /// Bytes that a caller may leave unread before backpressure applies.
+  std::int64_t slow_caller_bytes = 1048576;
   std::int64_t whole_answer_bytes = 8388608;
 
   friend bool operator==(const CallerSettings&,
