--- a/src/serve/claim_forwarding.cc
+++ b/src/serve/claim_forwarding.cc
@@ -8,13 +8,13 @@
 namespace meadowthread {
 RpcClaimForwarder::RpcClaimForwarder(std::string_view self_name,
                                      std::int64_t call_limit_ms,
-                                     const ClaimForwardingParts& with)
-    : self(self_name), limit_ms(call_limit_ms), parts(with) {}
+                                     const ClaimForwardingDependencies& with)
+    : self(self_name), limit_ms(call_limit_ms), dependencies(with) {}
 
 void RpcClaimForwarder::SetHosts(std::span<const std::string> names) {
   this->hosts.clear();
   for (const std::string& name : names) {
-    const HostEntry* entry = this->parts.hosts.Find(name);
+    const HostEntry* entry = this->dependencies.hosts.Find(name);
     if (entry != nullptr && entry->control_port > 0) {
       this->hosts.push_back(name);
     }
@@ -26,26 +26,28 @@
   return host == this->self ? "" : std::string(host);
 }
 
-// After the limit the router writes the log itself, so that a longer call would
-// only hold a worker thread. The same goes for a host that has left the list.
+// A call longer than the limit would only occupy a worker thread, as the claim
+// service writes the claim log itself after the limit. It does so as well if
+// the host is no longer in the host list.
 void RpcClaimForwarder::Forward(std::string_view host, const ForwardedOp& op,
                                 const ForwardDone& done) {
-  const HostEntry* entry = this->parts.hosts.Find(host);
+  const HostEntry* entry = this->dependencies.hosts.Find(host);
   if (entry == nullptr) {
     return;
   }
   const RpcPeer peer = {entry->name, entry->address,
                         static_cast<std::uint16_t>(entry->control_port)};
-  const std::int64_t left_ms = op.limit_ms - this->parts.clock.WallMs();
-  this->parts.channel.Call(peer, kClaimMethod, EncodeForwardedOp(op),
-                           std::min(left_ms, this->limit_ms),
-                           [op, done](const absl::StatusOr<std::string>& text) {
-                             if (!text.ok()) {
-                               done(text.status());
-                               return;
-                             }
-                             done(DecodeForwardedAnswer(op, *text));
-                           });
+  const std::int64_t left_ms = op.limit_ms - this->dependencies.clock.WallMs();
+  this->dependencies.channel.Call(
+      peer, kClaimMethod, EncodeForwardedOp(op),
+      std::min(left_ms, this->limit_ms),
+      [op, done](const absl::StatusOr<std::string>& text) {
+        if (!text.ok()) {
+          done(text.status());
+          return;
+        }
+        done(DecodeForwardedAnswer(op, *text));
+      });
 }
 
 void RegisterClaimMethod(RpcServer* server, StoreClaimService* claims) {
--- a/src/serve/claim_forwarding.h
+++ b/src/serve/claim_forwarding.h
@@ -16,25 +16,27 @@
 
 namespace meadowthread {
 
+/// @brief Name of the RPC method that receives forwarded claim operations.
 inline constexpr char kClaimMethod[] = "claim";
 
-/// @brief What the forwarder works with; all of it outlives the forwarder.
-struct ClaimForwardingParts {
+/// @brief Dependencies of the forwarder; all of them outlive it.
+struct ClaimForwardingDependencies {
   const Clock& clock;
   const HostDirectory& hosts;
   RpcChannel& channel;
 };
 
-/// @brief Sends claims to other entry hosts' control ports.
+/// @brief Forwards claim operations to the control ports of other entry hosts.
 class RpcClaimForwarder final : public ClaimForwarder {
  public:
   /// @param[in] self this host's name
-  /// @param[in] limit_ms longest call: later answers are of no use
+  /// @param[in] limit_ms maximum duration of a call; later answers are of no
+  /// use
   RpcClaimForwarder(std::string_view self, std::int64_t limit_ms,
-                    const ClaimForwardingParts& parts);
+                    const ClaimForwardingDependencies& dependencies);
 
-  /// @brief Takes the hosts among which shards are shared out. Told at each
-  /// change, so that a claim costs no look at every host's mark.
+  /// @brief Sets the hosts among which shards are distributed. Called at each
+  /// change, so that forwarding a claim need not check every host's mark.
   void SetHosts(std::span<const std::string> names);
 
   std::string PreferredHost(std::uint32_t shard) const override;
@@ -44,13 +46,14 @@
  private:
   std::string self;
   std::int64_t limit_ms;
-  ClaimForwardingParts parts;
+  ClaimForwardingDependencies dependencies;
   std::vector<std::string> hosts;
 };
 
-/// @brief Answers other hosts' forwarders on the control port.
+/// @brief Registers the method that executes claim operations which other hosts
+/// forward to the control port.
 /// @param[in] server not listening yet
-/// @param[in] claims there as long as the server answers
+/// @param[in] claims outlives the server
 void RegisterClaimMethod(RpcServer* server, StoreClaimService* claims);
 
 }  // namespace meadowthread
--- a/src/serve/crash_datagrams.h
+++ b/src/serve/crash_gossip_datagrams.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_CRASH_DATAGRAMS_H_
-#define MEADOWTHREAD_SERVE_CRASH_DATAGRAMS_H_
+#ifndef MEADOWTHREAD_SERVE_CRASH_GOSSIP_DATAGRAMS_H_
+#define MEADOWTHREAD_SERVE_CRASH_GOSSIP_DATAGRAMS_H_
 
 #include <string_view>
 
@@ -8,11 +8,11 @@
 
 namespace meadowthread {
 
-/// @brief Words of the quarantine by datagrams.
-class CrashDatagrams final : public CrashGossipChannel {
+/// @brief Sends and receives crash gossip as datagrams.
+class CrashGossipDatagrams final : public CrashGossipChannel {
  public:
   /// @param[in] hub outlives this
-  explicit CrashDatagrams(DatagramHub& hub) : hub(hub) {}
+  explicit CrashGossipDatagrams(DatagramHub& hub) : hub(hub) {}
 
   void SendToRandom(std::string_view topic, const nlohmann::json& payload,
                     std::size_t count) override {
@@ -23,18 +23,18 @@
     this->hub.SendToOne(topic, payload, host);
   }
 
-  /// @brief Gives what other hosts tell to the words.
-  /// @param[in] words outlives the hub
-  void Connect(CrashGossip& words) {
+  /// @brief Delivers messages from other hosts to the gossip.
+  /// @param[in] gossip outlives the hub
+  void Connect(CrashGossip& gossip) {
     this->hub.Register(
         CrashGossip::kRecordsTopic,
-        [&words](std::string_view host, const nlohmann::json& payload) {
-          words.OnRecords(host, payload);
+        [&gossip](std::string_view host, const nlohmann::json& payload) {
+          gossip.OnRecords(host, payload);
         });
     this->hub.Register(
         CrashGossip::kDigestTopic,
-        [&words](std::string_view host, const nlohmann::json& payload) {
-          words.OnDigest(host, payload);
+        [&gossip](std::string_view host, const nlohmann::json& payload) {
+          gossip.OnDigest(host, payload);
         });
   }
 
@@ -44,4 +44,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_CRASH_DATAGRAMS_H_
+#endif  // MEADOWTHREAD_SERVE_CRASH_GOSSIP_DATAGRAMS_H_
--- a/src/serve/quarantine_entries.cc
+++ b/src/serve/crash_record_store.cc
@@ -1,4 +1,4 @@
-#include "serve/quarantine_entries.h"
+#include "serve/crash_record_store.h"
 
 #include <algorithm>
 #include <vector>
@@ -10,23 +10,24 @@
 namespace meadowthread {
 namespace {
 
-// One call of a host at a time, however many contents end servers at once: ten
-// a second of the hundreds that all hosts may make.
-constexpr std::int64_t kStepMs = 100;
-constexpr std::int64_t kAgainMs = 1'000;
-// What another host saw is left to that one; where it could not write, one of
-// the others does, rarely two.
-constexpr std::int64_t kOthersAfterMs = 5'000;
-constexpr std::int64_t kOthersWithinMs = 60'000;
-// An object that nothing depends on any more is removed by one of the hosts.
+// Limits a host to ten writes per second, of the hundreds that all hosts
+// together may make, however many contents crash servers at the same time.
+constexpr std::int64_t kWritePeriodMs = 100;
+constexpr std::int64_t kRetryMs = 1'000;
+// The host that saw a crash writes its record. The other hosts write it only
+// after a random delay within these bounds, so that if the first host could not
+// write, usually a single other one does.
+constexpr std::int64_t kMinPeerWriteDelayMs = 5'000;
+constexpr std::int64_t kMaxPeerWriteDelayMs = 60'000;
+// Expired objects are removed at this interval; see RemoveExpired.
 constexpr std::int64_t kRemovePeriodMs = 60'000;
 
 }  // namespace
 
-QuarantineEntries::QuarantineEntries(std::string_view kind, StoredRecords which,
-                                     Quarantine& quarantine, ObjectStore& store,
-                                     ReplicatedView& view, const Clock& clock,
-                                     Scheduler& scheduler, std::uint64_t seed)
+CrashRecordStore::CrashRecordStore(std::string_view kind, StoredRecords which,
+                                   Quarantine& quarantine, ObjectStore& store,
+                                   ReplicatedView& view, const Clock& clock,
+                                   Scheduler& scheduler, std::uint64_t seed)
     : kind(kind),
       which(which),
       quarantine(quarantine),
@@ -38,23 +39,23 @@
   view.AddListener([this](const ViewChange& change) {
     if (change.kind == this->kind) {
       for (const StoredObject& object : change.items) {
-        this->TakeObject(object);
+        this->ApplyObject(object);
       }
     }
   });
   quarantine.AddChangeListener([this](const CrashRecord& record, bool is_own) {
-    this->TakeChange(record, is_own);
+    this->OnRecordChanged(record, is_own);
   });
 }
 
-void QuarantineEntries::Start() {
-  RunEvery(this->scheduler, kStepMs,
-           this->life.Guarded([this] { this->Step(); }));
+void CrashRecordStore::Start() {
+  RunEvery(this->scheduler, kWritePeriodMs,
+           this->life.Guarded([this] { this->WriteNextDue(); }));
   RunEvery(this->scheduler, kRemovePeriodMs,
-           this->life.Guarded([this] { this->RemoveOld(); }));
+           this->life.Guarded([this] { this->RemoveExpired(); }));
 }
 
-void QuarantineEntries::TakeObject(const StoredObject& object) {
+void CrashRecordStore::ApplyObject(const StoredObject& object) {
   if (object.deleted) {
     return;
   }
@@ -68,20 +69,20 @@
         .WriteImportant();
     return;
   }
-  this->taking = true;
+  this->applying_stored = true;
   this->quarantine.RecordTable().Apply(*record, this->clock.WallMs());
-  this->taking = false;
+  this->applying_stored = false;
 }
 
-void QuarantineEntries::TakeChange(const CrashRecord& record, bool is_own) {
-  if (this->taking || !this->IsToLie(record)) {
+void CrashRecordStore::OnRecordChanged(const CrashRecord& record, bool is_own) {
+  if (this->applying_stored || !this->ShouldBeStored(record)) {
     return;
   }
   const std::int64_t spread_ms =
-      kOthersAfterMs +
+      kMinPeerWriteDelayMs +
       static_cast<std::int64_t>(
-          this->random() %
-          static_cast<std::uint64_t>(kOthersWithinMs - kOthersAfterMs));
+          this->random() % static_cast<std::uint64_t>(kMaxPeerWriteDelayMs -
+                                                      kMinPeerWriteDelayMs));
   const std::int64_t at_ms =
       this->clock.MonotonicMs() + (is_own ? 0 : spread_ms);
   const auto [due, is_new] = this->due.try_emplace(record.id, at_ms);
@@ -90,25 +91,25 @@
   }
 }
 
-bool QuarantineEntries::IsToLie(const CrashRecord& record) const {
+bool CrashRecordStore::ShouldBeStored(const CrashRecord& record) const {
   const CrashVerdict verdict = Judge(record, this->clock.WallMs());
-  const bool lies = this->view.Find(this->kind, record.id.content) != nullptr;
-  return lies || verdict.strikes > 0 || record.kept_ms > 0 ||
+  const bool stored = this->view.Find(this->kind, record.id.content) != nullptr;
+  return stored || verdict.strikes > 0 || record.kept_ms > 0 ||
          (this->which == StoredRecords::kSuspects && !record.crashes.empty());
 }
 
-bool QuarantineEntries::HasNews(const CrashRecord& record) const {
+bool CrashRecordStore::DiffersFromStored(const CrashRecord& record) const {
   const StoredObject* const object =
       this->view.Find(this->kind, record.id.content);
   if (object == nullptr) {
     return true;
   }
-  absl::StatusOr<CrashRecord> lies =
+  absl::StatusOr<CrashRecord> stored =
       DecodeCrashRecord(object->name, object->value);
-  return !lies.ok() || Merge(record, &*lies);
+  return !stored.ok() || Merge(record, &*stored);
 }
 
-void QuarantineEntries::Step() {
+void CrashRecordStore::WriteNextDue() {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   const auto next = std::min_element(
       this->due.begin(), this->due.end(),
@@ -121,72 +122,74 @@
   this->Write(id);
 }
 
-void QuarantineEntries::Write(const CrashRecordId& id) {
+void CrashRecordStore::Write(const CrashRecordId& id) {
   const CrashRecord* const record = this->quarantine.RecordTable().Find(id);
-  if (record == nullptr || !this->HasNews(*record)) {
+  if (record == nullptr || !this->DiffersFromStored(*record)) {
     return;
   }
-  const StoredObject* const lies = this->view.Find(this->kind, id.content);
+  const StoredObject* const stored = this->view.Find(this->kind, id.content);
   StoredObject object;
   object.kind = this->kind;
   object.name = id.content;
   object.value = EncodeCrashRecord(*record);
   this->store.Put(
       object.kind, object.name, object.value,
-      lies == nullptr ? 0 : lies->version,
+      stored == nullptr ? 0 : stored->version,
       this->life.Guarded(
           [this, id, object](const absl::StatusOr<std::int64_t>& written) {
-            this->TakeWritten(id, written, object);
+            this->OnWritten(id, written, object);
           }));
 }
 
-void QuarantineEntries::TakeWritten(const CrashRecordId& id,
-                                    const absl::StatusOr<std::int64_t>& written,
-                                    const StoredObject& object) {
+void CrashRecordStore::OnWritten(const CrashRecordId& id,
+                                 const absl::StatusOr<std::int64_t>& written,
+                                 const StoredObject& object) {
   LogLine("quarantine-entry")
       .Add("content", id.content)
       .Add("written", written.ok() ? "yes" : "no")
       .Add("why", std::string{written.status().message()})
       .WriteImportant();
   if (written.ok()) {
-    StoredObject lies = object;
-    lies.version = *written;
-    this->view.ApplyItems({&lies, 1});
+    StoredObject stored = object;
+    stored.version = *written;
+    this->view.ApplyItems({&stored, 1});
     return;
   }
   this->ReadBack(id);
 }
 
-// Another host's may lie there, or it is not known what does.
-void QuarantineEntries::ReadBack(const CrashRecordId& id) {
+// Called after a failed write: another host's object may be stored, or the
+// result of the write is unknown.
+void CrashRecordStore::ReadBack(const CrashRecordId& id) {
   this->store.Get(
       this->kind, id.content,
       this->life.Guarded([this, id](const absl::StatusOr<StoredObject>& found) {
         if (found.ok()) {
           this->view.ApplyItems({&*found, 1});
         }
-        this->due.try_emplace(id, this->clock.MonotonicMs() + kAgainMs);
+        this->due.try_emplace(id, this->clock.MonotonicMs() + kRetryMs);
       }));
 }
 
-void QuarantineEntries::RemoveOld() {
+void CrashRecordStore::RemoveExpired() {
   const std::int64_t now_ms = this->clock.WallMs();
-  std::vector<StoredObject> old;
+  std::vector<StoredObject> expired;
   for (const StoredObject* const object : this->view.Live(this->kind)) {
     const absl::StatusOr<CrashRecord> record =
         DecodeCrashRecord(object->name, object->value);
     if (record.ok() && Judge(*record, now_ms).forget_ms <= now_ms) {
-      old.push_back(*object);
+      expired.push_back(*object);
     }
   }
-  if (old.empty()) {
+  if (expired.empty()) {
     return;
   }
-  // One of them each time: hosts that draw alike meet a conflict, and no more.
-  const StoredObject& drawn = old[this->random() % old.size()];
+  // One object at random each time: hosts that choose the same one only get a
+  // version conflict.
+  const StoredObject& chosen = expired[this->random() % expired.size()];
   this->store.Delete(
-      this->kind, drawn.name, drawn.version,
-      [name = drawn.name](const absl::StatusOr<std::int64_t>& removed) {
+      this->kind, chosen.name, chosen.version,
+      [name = chosen.name](const absl::StatusOr<std::int64_t>& removed) {
         LogLine("quarantine-entry-removed")
             .Add("content", name)
             .Add("removed", removed.ok() ? "yes" : "no")
--- a/src/serve/gone_hosts.cc
+++ b/src/serve/dead_host_detector.cc
@@ -1,4 +1,4 @@
-#include "serve/gone_hosts.h"
+#include "serve/dead_host_detector.h"
 
 #include <algorithm>
 #include <set>
@@ -6,23 +6,23 @@
 
 namespace meadowthread {
 
-GoneHosts::GoneHosts(std::string_view self, const Clock& clock)
+DeadHostDetector::DeadHostDetector(std::string_view self, const Clock& clock)
     : self(self), clock(clock) {}
 
-void GoneHosts::SetKnown(const std::vector<EntryHost>& entries) {
-  std::map<std::string, Known, std::less<>> now;
+void DeadHostDetector::SetKnown(const std::vector<EntryHost>& entries) {
+  std::map<std::string, KnownHost, std::less<>> now;
   for (const EntryHost& entry : entries) {
     const auto before = this->known.find(entry.name);
-    Known host = before == this->known.end()
-                     ? Known{"", this->clock.MonotonicMs(), false}
-                     : before->second;
+    KnownHost host = before == this->known.end()
+                         ? KnownHost{"", this->clock.MonotonicMs(), false}
+                         : before->second;
     host.zone = entry.zone;
     now.emplace(entry.name, std::move(host));
   }
   this->known = std::move(now);
 }
 
-void GoneHosts::NoteHeard(std::string_view host) {
+void DeadHostDetector::NoteHeard(std::string_view host) {
   const auto found = this->known.find(host);
   if (found != this->known.end()) {
     found->second.heard_ms = this->clock.MonotonicMs();
@@ -30,22 +30,23 @@
   }
 }
 
-bool GoneHosts::IsHeardNow(const Known& host) const {
-  return host.heard && this->clock.MonotonicMs() - host.heard_ms <= kHeardMs;
+bool DeadHostDetector::WasHeardRecently(const KnownHost& host) const {
+  return host.heard && this->clock.MonotonicMs() - host.heard_ms <= kRecentMs;
 }
 
-std::vector<std::string> GoneHosts::ToRemove() const {
+std::vector<std::string> DeadHostDetector::HostsToRemove() const {
   std::set<std::string_view> zones_heard;
   for (const auto& [name, host] : this->known) {
-    if (name == this->self || !this->IsHeardNow(host)) {
+    if (name == this->self || !this->WasHeardRecently(host)) {
       continue;
     }
     if (name < this->self) {
-      return {};  // it has the duty
+      return {};  // that host removes the entries
     }
     zones_heard.insert(host.zone);
   }
-  // A host that hears nobody can't tell who is gone.
+  // This host's own zone counts as heard only if it hears any host: otherwise
+  // it cannot tell which hosts are dead.
   const auto own = this->known.find(this->self);
   if (!zones_heard.empty() && own != this->known.end()) {
     zones_heard.insert(own->second.zone);
@@ -53,7 +54,7 @@
   std::vector<std::string> gone;
   for (const auto& [name, host] : this->known) {
     const std::int64_t silent_ms = this->clock.MonotonicMs() - host.heard_ms;
-    if (name != this->self && silent_ms >= kSilentMs &&
+    if (name != this->self && silent_ms >= kDeadAfterMs &&
         zones_heard.contains(host.zone)) {
       gone.push_back(name);
     }
--- /dev/null
+++ b/src/serve/detail/relay_host_impl.h
@@ -0,0 +1,150 @@
+#ifndef MEADOWTHREAD_SERVE_DETAIL_RELAY_HOST_IMPL_H_
+#define MEADOWTHREAD_SERVE_DETAIL_RELAY_HOST_IMPL_H_
+
+#include <array>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <random>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "allocation/allocation_participant.h"
+#include "configuration/replicated_view.h"
+#include "configuration/view_feeder.h"
+#include "exchange/datagrams.h"
+#include "exchange/load_datagrams.h"
+#include "exchange/stop_datagrams.h"
+#include "exchange/view_datagrams.h"
+#include "net/http_server.h"
+#include "net/listen_check.h"
+#include "net/pooled_client.h"
+#include "net/qt_scheduler.h"
+#include "policy/length_model.h"
+#include "policy/local_allocation.h"
+#include "policy/pressure_chooser.h"
+#include "policy/stop_plan.h"
+#include "quarantine/crash_gossip.h"
+#include "quarantine/quarantine.h"
+#include "relay/relay.h"
+#include "serve/crash_gossip_datagrams.h"
+#include "serve/crash_record_store.h"
+#include "serve/dead_host_detector.h"
+#include "serve/exchange_participant.h"
+#include "serve/fleet_load_adapter.h"
+#include "serve/host_entries.h"
+#include "serve/invalid_entry_reporter.h"
+#include "serve/relay_host.h"
+#include "serve/relay_metrics.h"
+#include "serve/steady_clock.h"
+#include "serve/store_stall_detector.h"
+#include "serve/store_uptime_exchange.h"
+#include "serve/text_service.h"
+#include "serve/unreported_stream_estimator.h"
+#include "serve/watcher_choice.h"
+
+namespace meadowthread {
+
+/// @brief The components of one host; each depends only on those declared
+/// before it.
+class RelayHost::Impl : public StopView {
+ public:
+  Impl(const RelaySettings& with, RelayPlatform& on);
+
+  absl::Status Start();
+  void Stop();
+  void Reload(const RelaySettings& with);
+
+  // StopView
+  std::int64_t ReturnAfterMs() const override;
+
+ private:
+  void ApplyViewChange(const ViewChange& change);
+  void ApplyRoutingConfig(const StoredObject& object);
+  void ReportReadResult(const StoredObject& object, const absl::Status& read);
+  void ApplyBackendEntry(const StoredObject& object);
+  bool ChangesToUnknownService(const BackendEntry& entry) const;
+  void RetryInvalidBackends();
+  bool IsLoaded(std::string_view kind) const;
+  void ApplyPendingConfig();
+  void LogUnknownRegions(const RoutingConfig& in_force) const;
+  ServerRateLimit RateLimitOf(const Backend& backend) const;
+  void DivideRateLimits();
+  void OnBackendChange(BackendChange change, const Backend& backend);
+  void ApplyHosts(const std::vector<EntryHost>& hosts);
+  std::vector<WatchPeer> AnsweringPeers() const;
+  std::optional<int> WatchIndex() const;
+  std::vector<std::string> OtherStoreReaders() const;
+  bool IsWatcher() const;
+  bool IsZoneWatcher() const;
+  std::int64_t StaggerMs() const;
+  std::string MetricsText();
+  void UpdateUnreportedStreams();
+  void PollEnginesDuringStall();
+  std::vector<AllocatorHost> AllocatorHosts() const;
+  void CheckPropagationDelays() const;
+  void ApplyConfiguration();
+  void AdvanceStop();
+
+  RelaySettings settings;
+  RelayPlatform& platform;
+  SteadyClock clock;
+  std::mt19937_64 random{std::random_device{}()};
+  QtScheduler scheduler;
+  PooledClient store_client;
+  PooledClient client;
+  std::unique_ptr<ObjectStore> store;
+  std::array<std::string_view, 5> kinds;
+  ReplicatedView view;
+  ViewFeeder feeder;
+  HostDirectory hosts;
+  ExchangeParticipant exchange;
+  EntryHostRegistry host_registry;
+  ActiveRoutingConfig routing_config;
+  StoreOutageTracker store_outages;
+  BackendList backends;
+  BackendHealth health;
+  RetryBudgets budgets;
+  RelayMetrics metrics;
+  InvalidEntryReporter invalid_entries;
+  LearnedLengthModel lengths;
+  FleetState fleet;
+  DeadHostDetector dead_hosts;
+  FleetLoadAdapter load_adapter;
+  DatagramHub hub;
+  StopDatagrams stop_datagrams;
+  StoreStallDetector store_stalls;
+  StoreUptimeExchange store_uptimes;
+  ViewDatagrams view_datagrams;
+  QtListenCheck listen_check;
+  Quarantine quarantine;
+  ServerRateLimiter rate_limiter;
+  CrashGossipDatagrams crash_datagrams;
+  CrashGossip crash_gossip;
+  CrashRecordStore crash_records;
+  UnreportedStreamEstimator unreported_streams;
+  PressureChooser chooser;
+  LocalAllocation local_allocation;
+  AllocationParticipant allocation;
+  LoadDatagrams load_datagrams;
+  Dispatcher dispatcher;
+  FirstAttemptEstimator first_attempts;
+  StreamAdmission admission;
+  LinkQuality links;
+  std::unique_ptr<EngineControl> control;
+  Relay relay;
+  ReadyService ready_service;
+  TextService metrics_service;
+  HttpServer server;
+  HttpServer ready_server;
+  HttpServer metrics_server;
+  std::optional<StopPlan> stop_plan;  ///< nullopt: not stopping
+  bool exiting = false;
+  bool emptied_zones_known = false;  ///< the set was read since the start
+  bool rate_limits_divided = false;  ///< among the known hosts
+};
+
+}  // namespace meadowthread
+
+#endif  // MEADOWTHREAD_SERVE_DETAIL_RELAY_HOST_IMPL_H_
--- a/src/serve/detail/start_and_run.h
+++ b/src/serve/detail/start_and_run.h
@@ -10,11 +10,12 @@
 
 namespace meadowthread::detail {
 
-/// @brief The exit code of a process whose settings or start were refused.
+/// @brief Exit code of a process whose settings are invalid or that failed to
+/// start.
 inline constexpr int kExitUsage = 2;
 
-/// @brief Starts a host and runs the event loop until it ends; the host is gone
-/// before this returns, while the loop's objects still stand.
+/// @brief Starts a host and runs the event loop until it quits. Destroys the
+/// host before it returns, while the application object still exists.
 /// @return the process's exit code
 template <typename Host>
 int StartAndRun(std::unique_ptr<Host>& host) {
--- a/src/serve/engine_listing.cc
+++ b/src/serve/engine_listing.cc
@@ -5,8 +5,9 @@
 
 namespace meadowthread {
 
-EngineListing ListingOf(const Backend& backend, const ServiceRule* service,
-                        const Clock& clock) {
+EngineListing MakeEngineListing(const Backend& backend,
+                                const ServiceRule* service,
+                                const Clock& clock) {
   EngineListing listing;
   listing.engine = backend.key;
   listing.zone = backend.entry.zone;
@@ -14,8 +15,8 @@
   listing.leaving = !backend.AcceptsNewRequests();
   const std::int64_t slow_ms = backend.warm_at_ms - clock.MonotonicMs();
   listing.warm_at_ms = slow_ms > 0 ? clock.WallMs() + slow_ms : std::int64_t{0};
-  // Streams are sent to whoever has their model: what an entry says of models
-  // counts only within a service that is configured with engines.
+  // Streams are sent to any engine that has their model, so the models in an
+  // entry count only if its service is configured to have engines.
   if (service == nullptr || !service->engine.has_value()) {
     return listing;
   }
--- a/src/serve/engine_listing.h
+++ b/src/serve/engine_listing.h
@@ -8,11 +8,11 @@
 
 namespace meadowthread {
 
-/// @brief A backend server as the policy sees it; without models, it is none
-/// that the policy chooses between.
-/// @param[in] service the rule of its service, null where there is none yet
-EngineListing ListingOf(const Backend& backend, const ServiceRule* service,
-                        const Clock& clock);
+/// @brief Describes a backend server to the policy. The policy does not choose
+/// servers whose listing has no models.
+/// @param[in] service rule of its service; null if not configured yet
+EngineListing MakeEngineListing(const Backend& backend,
+                                const ServiceRule* service, const Clock& clock);
 
 }  // namespace meadowthread
 
--- a/src/serve/exchange_duty.cc
+++ b/src/serve/exchange_participant.cc
@@ -1,4 +1,4 @@
-#include "serve/exchange_duty.h"
+#include "serve/exchange_participant.h"
 
 #include <QHostAddress>
 #include <algorithm>
@@ -9,18 +9,19 @@
 namespace meadowthread {
 namespace {
 
-// A change that is to reach every host at once takes this part of the bytes;
-// whole state for restarted hosts takes what is left.
-constexpr double kNewsPart = 0.85;
+// Share of the bandwidth for pushing changes to every host at once; the rest is
+// for the full state that restarted hosts fetch.
+constexpr double kNewsShare = 0.85;
 
 ExchangeSettings MakeExchangeSettings(const HostExchangeSettings& with) {
   ExchangeSettings settings;
   settings.round_ms = with.period_ms;
   settings.news_fanout = with.fanout;
   const auto bytes = static_cast<double>(with.bytes_per_second);
-  settings.news_bytes_per_second = static_cast<std::int64_t>(bytes * kNewsPart);
+  settings.news_bytes_per_second =
+      static_cast<std::int64_t>(bytes * kNewsShare);
   settings.bulk_bytes_per_second =
-      static_cast<std::int64_t>(bytes * (1.0 - kNewsPart));
+      static_cast<std::int64_t>(bytes * (1.0 - kNewsShare));
   return settings;
 }
 
@@ -28,9 +29,9 @@
 
 }  // namespace
 
-ExchangeDuty::ExchangeDuty(const Settings& settings, std::int64_t incarnation,
-                           const Clock& clock, Scheduler& scheduler,
-                           ReplicatedView& view, HostDirectory& hosts)
+ExchangeParticipant::ExchangeParticipant(
+    const Settings& settings, std::int64_t incarnation, const Clock& clock,
+    Scheduler& scheduler, ReplicatedView& view, HostDirectory& hosts)
     : host(settings.host),
       hosts(hosts),
       client(RpcClientSettings{}, clock),
@@ -43,14 +44,15 @@
           MakeExchangeSettings(settings.exchange), NewSeed(),
           {this->source, this->directory, this->client, scheduler, clock}) {
   view.AddListener([this](const ViewChange& change) {
-    if (std::find(this->out_of_news.begin(), this->out_of_news.end(),
-                  change.kind) == this->out_of_news.end()) {
+    if (std::find(this->excluded_from_news.begin(),
+                  this->excluded_from_news.end(),
+                  change.kind) == this->excluded_from_news.end()) {
       this->exchanger.NoteChange(change.kind);
     }
   });
 }
 
-absl::Status ExchangeDuty::Start() {
+absl::Status ExchangeParticipant::Start() {
   this->server.Register(kExchangeMethod, [this](std::string_view params) {
     return this->exchanger.Exchange(params);
   });
@@ -63,13 +65,13 @@
   if (!port.ok()) {
     return port.status();
   }
-  this->hosts.AddListener([this] { this->TakeHosts(); });
-  this->TakeHosts();
+  this->hosts.AddListener([this] { this->UpdatePeers(); });
+  this->UpdatePeers();
   this->exchanger.Start();
   return absl::OkStatus();
 }
 
-void ExchangeDuty::TakeHosts() {
+void ExchangeParticipant::UpdatePeers() {
   std::vector<PeerEntry> peers;
   for (const HostEntry* entry : this->hosts.OfRole(HostRole::kEntry)) {
     if (entry->control_port > 0) {
--- a/src/serve/load_notes.cc
+++ b/src/serve/fleet_load_adapter.cc
@@ -1,4 +1,4 @@
-#include "serve/load_notes.h"
+#include "serve/fleet_load_adapter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,18 +6,18 @@
 namespace meadowthread {
 namespace {
 
-// Notes are made for all peers at once: the policy tells an engine's last
-// stream's end a single time.
+// Notes are cached and sent to all peers alike, as FleetState::OwnLoad reports
+// only once that the last stream at an engine has ended.
 constexpr std::int64_t kRefreshMs = 20;
-// So long an engine without own work is still told of, in case a message with
-// the news was lost.
+// For this long, notes still include an engine that has no more streams of this
+// host, in case a message with that change was lost.
 constexpr std::int64_t kIdleNoteMs = 2'000;
 
 }  // namespace
 
 namespace detail {
 
-std::vector<std::int64_t> OutlookOf(const MemoryForecast& forecast) {
+std::vector<std::int64_t> EncodeForecast(const MemoryForecast& forecast) {
   std::vector<std::int64_t> outlook;
   for (const float mean : forecast.mean) {
     outlook.push_back(std::lround(mean));
@@ -28,8 +28,8 @@
   return outlook;
 }
 
-bool ReadOutlook(std::span<const std::int64_t> outlook,
-                 MemoryForecast* forecast) {
+bool DecodeForecast(std::span<const std::int64_t> outlook,
+                    MemoryForecast* forecast) {
   if (outlook.size() != 2 * kHorizonCount) {
     return false;
   }
@@ -43,7 +43,7 @@
 
 }  // namespace detail
 
-void LoadNotes::Refresh() {
+void FleetLoadAdapter::Refresh() {
   const std::int64_t now = this->clock.WallMs();
   if (now - this->refreshed_ms < kRefreshMs) {
     return;
@@ -60,16 +60,16 @@
     note.held_tokens = load.kv_held;
     note.reading_tokens = load.reading;
     note.copies = load.copies;
-    note.outlook = detail::OutlookOf(load.forecast);
+    note.outlook = detail::EncodeForecast(load.forecast);
     fresh.push_back(std::move(note));
   }
   for (const EngineLoadNote& old : this->notes) {
-    const bool told = std::any_of(fresh.begin(), fresh.end(),
-                                  [&old](const EngineLoadNote& note) {
-                                    return note.engine == old.engine;
-                                  });
+    const bool is_included = std::any_of(fresh.begin(), fresh.end(),
+                                         [&old](const EngineLoadNote& note) {
+                                           return note.engine == old.engine;
+                                         });
     const bool idle = old.in_flight == 0;
-    if (!told && idle && now - old.as_of_unix_ms < kIdleNoteMs) {
+    if (!is_included && idle && now - old.as_of_unix_ms < kIdleNoteMs) {
       fresh.push_back(old);
     }
   }
@@ -80,18 +80,18 @@
   this->notes = std::move(fresh);
 }
 
-std::vector<EngineLoadNote> LoadNotes::NotesFor(std::string_view /*peer*/,
-                                                std::size_t limit) {
+std::vector<EngineLoadNote> FleetLoadAdapter::NotesFor(
+    std::string_view /*peer*/, std::size_t limit) {
   this->Refresh();
   const std::size_t count = std::min(limit, this->notes.size());
   return {this->notes.begin(),
           this->notes.begin() + static_cast<std::ptrdiff_t>(count)};
 }
 
-void LoadNotes::OnNotes(std::string_view from,
-                        std::span<const EngineLoadNote> told) {
+void FleetLoadAdapter::OnNotes(std::string_view from,
+                               std::span<const EngineLoadNote> received) {
   const std::int64_t now = this->clock.WallMs();
-  for (const EngineLoadNote& note : told) {
+  for (const EngineLoadNote& note : received) {
     PeerLoad load;
     load.peer = std::string(from);
     load.engine = note.engine;
@@ -100,10 +100,11 @@
     load.kv_held = note.held_tokens;
     load.reading = note.reading_tokens;
     load.copies = note.copies;
-    // Notes without an outlook tell what is reserved, which is what matters.
+    // For notes without an outlook, the reserved tokens serve as a flat
+    // forecast.
     if (note.outlook.empty()) {
       load.forecast.AddFlat(static_cast<double>(note.reserved_tokens));
-    } else if (!detail::ReadOutlook(note.outlook, &load.forecast)) {
+    } else if (!detail::DecodeForecast(note.outlook, &load.forecast)) {
       continue;
     }
     this->fleet.NotePeerLoad(load, now);
--- a/src/serve/host_entries.cc
+++ b/src/serve/host_entries.cc
@@ -13,17 +13,17 @@
 
 using nlohmann::json;
 
-constexpr std::int64_t kAgainMs = 1'000;
+constexpr std::int64_t kRetryMs = 1'000;
 constexpr std::string_view kStep = "host-entry";
 
-// 0: the host has none.
+// Reads a port number; 0 means that the host has none.
 absl::StatusOr<int> PortField(const json& value, std::string_view field) {
   const absl::StatusOr<std::int64_t> port = IntField(value, field);
   if (!port.ok()) {
     return port.status();
   }
   if (*port < 0 || *port > kHighestPort) {
-    return FieldError(ErrorId::kFieldInvalid, field, "is no port");
+    return FieldError(ErrorId::kFieldInvalid, field, "is not a port number");
   }
   return static_cast<int>(*port);
 }
@@ -55,7 +55,8 @@
     }
   }
   if (!IsIpNumber(*address)) {
-    return FieldError(ErrorId::kFieldInvalid, "address", "is no IP number");
+    return FieldError(ErrorId::kFieldInvalid, "address",
+                      "is not an IP address");
   }
   EntryHost host;
   host.name = std::string(name);
@@ -67,9 +68,9 @@
   return host;
 }
 
-HostEntries::HostEntries(std::string_view kind, EntryHost self,
-                         ObjectStore& store, ReplicatedView& view,
-                         Scheduler& scheduler)
+EntryHostRegistry::EntryHostRegistry(std::string_view kind, EntryHost self,
+                                     ObjectStore& store, ReplicatedView& view,
+                                     Scheduler& scheduler)
     : kind(kind),
       self(std::move(self)),
       store(store),
@@ -78,14 +79,14 @@
   view.AddListener([this](const ViewChange& change) {
     if (change.kind == this->kind) {
       for (const StoredObject& object : change.items) {
-        this->TakeChange(object);
+        this->OnChange(object);
       }
-      this->TellAll();
+      this->NotifyListener();
     }
   });
 }
 
-void HostEntries::TellAll() const {
+void EntryHostRegistry::NotifyListener() const {
   std::vector<EntryHost> hosts;
   for (const StoredObject* const object : this->view.Live(this->kind)) {
     absl::StatusOr<EntryHost> host =
@@ -99,20 +100,22 @@
   }
 }
 
-void HostEntries::TakeChange(const StoredObject& object) {
+void EntryHostRegistry::OnChange(const StoredObject& object) {
   const absl::Status read =
       object.deleted ? absl::OkStatus()
                      : DecodeEntryHost(object.name, object.value).status();
   if (this->read_listener) {
     this->read_listener(object, read);
   }
-  this->StandAgain(object, read.ok());
+  this->RestoreOwnEntry(object, read.ok());
 }
 
-// Somebody took this host for gone: a tombstone newer than its entry. Or
-// another writer put there what names no host: it is written over. What names
-// one stays, as two hosts of one name would take turns for ever.
-void HostEntries::StandAgain(const StoredObject& object, bool is_readable) {
+// Writes this host's own entry again if it was lost: either another host
+// declared this one dead, which shows as a tombstone newer than its entry, or
+// another writer replaced it by an invalid entry. A valid entry is left alone,
+// as two hosts of the same name would overwrite each other forever.
+void EntryHostRegistry::RestoreOwnEntry(const StoredObject& object,
+                                        bool is_readable) {
   const bool was_lost = object.deleted || !is_readable;
   if (object.name == this->self.name && was_lost && this->version > 0 &&
       object.version > this->version) {
@@ -121,7 +124,7 @@
   }
 }
 
-void HostEntries::Remove(std::string_view host) {
+void EntryHostRegistry::Remove(std::string_view host) {
   const StoredObject* const entry = this->view.Find(this->kind, host);
   if (entry == nullptr) {
     return;
@@ -138,9 +141,9 @@
       }));
 }
 
-void HostEntries::Announce() { this->Write(this->version); }
+void EntryHostRegistry::Announce() { this->Write(this->version); }
 
-void HostEntries::Write(std::int64_t expected_version) {
+void EntryHostRegistry::Write(std::int64_t expected_version) {
   this->store.Put(
       this->kind, this->self.name, EncodeEntryHost(this->self),
       expected_version,
@@ -153,12 +156,13 @@
               .WriteImportant();
           return;
         }
-        // An earlier life's entry stands there, or nobody knows.
+        // There is an entry of an earlier process of this host, or the result
+        // of the write is unknown.
         this->ReadBack();
       }));
 }
 
-void HostEntries::ReadBack() {
+void EntryHostRegistry::ReadBack() {
   this->store.Get(
       this->kind, this->self.name,
       this->life.Guarded([this](const absl::StatusOr<StoredObject>& found) {
@@ -177,9 +181,9 @@
       }));
 }
 
-void HostEntries::AnnounceLater() {
+void EntryHostRegistry::AnnounceLater() {
   this->scheduler.After(
-      kAgainMs, this->life.Guarded([this] { this->Write(this->version); }));
+      kRetryMs, this->life.Guarded([this] { this->Write(this->version); }));
 }
 
 }  // namespace meadowthread
--- a/src/serve/host_entries.h
+++ b/src/serve/host_entries.h
@@ -15,60 +15,65 @@
 
 namespace meadowthread {
 
-/// @brief How other entry hosts reach one.
+/// @brief An entry host's entry in the store: how others reach it.
 struct EntryHost {
   std::string name;
-  std::string address;  ///< an IP number
+  std::string address;  ///< an IP address
   int control_port = 0;
-  int loads_port = 0;
+  int loads_port = 0;  ///< UDP
   std::string zone;
   std::string region;
 
   friend bool operator==(const EntryHost&, const EntryHost&) = default;
 };
 
-/// @brief An entry as it lies in the store (JSON).
+/// @brief Encodes an entry as the JSON that is stored.
 std::string EncodeEntryHost(const EntryHost& host);
 
-/// @brief Reads an entry; an error names the field at fault.
+/// @brief Decodes an entry; an error names the invalid field.
 absl::StatusOr<EntryHost> DecodeEntryHost(std::string_view name,
                                           std::string_view text);
 
-/// @brief Keeps this host's entry in the store, and knows the others'.
+/// @brief Registers this host in the store and tracks the entries of the other
+/// entry hosts.
 ///
-/// Entries serve speed only: with them wrong or missing, hosts know less of
-/// each other and nothing else.
-class HostEntries {
+/// Entries only improve performance: if they are wrong or missing, hosts know
+/// less of each other, and nothing else breaks.
+class EntryHostRegistry {
  public:
   using Listener = std::function<void(const std::vector<EntryHost>&)>;
-  /// Told of each entry that changed: whether it names a host, or why not.
+  /// Called for each entry that changed, with the result of decoding it.
   using ReadingListener =
       std::function<void(const StoredObject&, const absl::Status&)>;
 
-  /// @param[in] kind of the entries
+  /// @param[in] kind object kind of the entries
+  /// @param[in] self this host's entry
   /// @param[in] store,view,scheduler outlive this
-  HostEntries(std::string_view kind, EntryHost self, ObjectStore& store,
-              ReplicatedView& view, Scheduler& scheduler);
-  HostEntries(const HostEntries&) = delete;
-  HostEntries& operator=(const HostEntries&) = delete;
-
-  void SetListener(const Listener& told) { this->listener = told; }
-  void OnRead(const ReadingListener& told) { this->read_listener = told; }
-
-  /// @brief Writes this host's entry, until it lies there.
+  EntryHostRegistry(std::string_view kind, EntryHost self, ObjectStore& store,
+                    ReplicatedView& view, Scheduler& scheduler);
+  EntryHostRegistry(const EntryHostRegistry&) = delete;
+  EntryHostRegistry& operator=(const EntryHostRegistry&) = delete;
+
+  /// @brief Sets the listener that gets all valid entries at each change.
+  void SetListener(const Listener& callback) { this->listener = callback; }
+  void OnRead(const ReadingListener& callback) {
+    this->read_listener = callback;
+  }
+
+  /// @brief Writes this host's entry, with retries until it is stored.
   void Announce();
 
-  /// @brief Removes the entry of a host that is gone. Should that host live
-  /// after all, it writes its entry anew.
+  /// @brief Removes the entry of a dead host. If that host is live after all,
+  /// it writes its entry again.
   void Remove(std::string_view host);
 
  private:
   void Write(std::int64_t expected_version);
   void ReadBack();
   void AnnounceLater();
-  void TellAll() const;
-  void TakeChange(const StoredObject& object);
-  void StandAgain(const StoredObject& object, bool is_readable);
+  void NotifyListener() const;
+  void OnChange(const StoredObject& object);
+  void RestoreOwnEntry(const StoredObject& object, bool is_readable);
 
   std::string kind;
   EntryHost self;
--- a/src/serve/host_gate.cc
+++ b/src/serve/host_gate.cc
@@ -7,12 +7,12 @@
 namespace meadowthread {
 namespace {
 
-// The balancer has taken this host out by then.
+// The load balancer has removed this host from its rotation by then.
 constexpr std::int64_t kRetryAfterMs = 1000;
-// In that time every reachable peer has been heard, at the exchange's rounds.
-constexpr std::int64_t kLearnFromPeersMs = 3000;
+// The exchange rounds reach every reachable peer within this time.
+constexpr std::int64_t kPeerCatchUpMs = 3000;
 
-absl::Status NotTaken(ErrorId id, std::string_view what) {
+absl::Status WorkRejected(ErrorId id, std::string_view what) {
   ErrorDetail detail;
   detail.id = id;
   detail.outcome = Outcome::kNotRun;
@@ -23,43 +23,48 @@
 
 }  // namespace
 
-HostGate::HostGate(const HostGateParts& parts)
-    : parts(parts), marks(parts.view), zones(parts.view, kEmptiedZonesKind) {}
+HostGate::HostGate(const HostGateDependencies& dependencies)
+    : dependencies(dependencies),
+      marks(dependencies.view),
+      zones(dependencies.view, kEmptiedZonesKind) {}
 
 absl::Status HostGate::MayTakeWork() const {
   if (this->closed) {
-    return NotTaken(ErrorId::kHostLeaving, "this host is stopping");
+    return WorkRejected(ErrorId::kHostLeaving, "this host is stopping");
   }
-  if (!this->HasLearnt()) {
-    return NotTaken(ErrorId::kHostNotReady,
-                    "this host has not learnt its configuration yet");
+  if (!this->HasCurrentConfiguration()) {
+    return WorkRejected(ErrorId::kHostNotReady,
+                        "this host has not received its configuration yet");
   }
   if (this->Mark().mark != HostMark::kLive) {
-    return NotTaken(ErrorId::kHostLeaving, "this host is marked to leave");
+    return WorkRejected(ErrorId::kHostLeaving,
+                        "this host is marked as leaving");
   }
   if (this->IsIsolated()) {
-    return NotTaken(ErrorId::kHostNotReady,
-                    "this host reaches neither the platform nor a peer");
+    return WorkRejected(
+        ErrorId::kHostNotReady,
+        "this host can reach neither the platform nor any peer");
   }
   return absl::OkStatus();
 }
 
 absl::Status HostGate::BeginWork(std::string_view workspace) {
-  return this->parts.begin_work(workspace);
+  return this->dependencies.begin_work(workspace);
 }
 
 void HostGate::EndWork(std::string_view workspace) {
-  this->parts.end_work(workspace);
+  this->dependencies.end_work(workspace);
 }
 
 bool HostGate::IsMarked(std::string_view host) const {
-  const HostEntry* entry = this->parts.hosts.Find(host);
+  const HostEntry* entry = this->dependencies.hosts.Find(host);
   return this->marks.MarkOf(host).mark != HostMark::kLive ||
          (entry != nullptr &&
           (entry->leaving || this->IsInEmptiedZone(*entry)));
 }
 
-// Entry hosts of an emptied zone go on serving: others run what they take.
+// Entry hosts of an emptied zone continue to serve, as engines in other zones
+// run the requests that they accept.
 bool HostGate::IsInEmptiedZone(const HostEntry& entry) const {
   return entry.role != HostRole::kEntry &&
          this->zones.MarkOf(entry.zone).mark != HostMark::kLive;
@@ -67,7 +72,8 @@
 
 std::vector<std::string> HostGate::LiveEntryHosts() const {
   std::vector<std::string> names;
-  for (const HostEntry* entry : this->parts.hosts.OfRole(HostRole::kEntry)) {
+  for (const HostEntry* entry :
+       this->dependencies.hosts.OfRole(HostRole::kEntry)) {
     if (!this->IsMarked(entry->name)) {
       names.push_back(entry->name);
     }
@@ -76,8 +82,9 @@
 }
 
 MarkDocument HostGate::Mark() const {
-  MarkDocument mark = this->marks.MarkOf(this->parts.host);
-  const HostEntry* entry = this->parts.hosts.Find(this->parts.host);
+  MarkDocument mark = this->marks.MarkOf(this->dependencies.host);
+  const HostEntry* entry =
+      this->dependencies.hosts.Find(this->dependencies.host);
   if (mark.mark == HostMark::kLive && entry != nullptr && entry->leaving) {
     mark.mark = HostMark::kLeaving;
     mark.set_by = "host-list";
@@ -87,43 +94,46 @@
 
 std::int64_t HostGate::ViewAgeMs() const {
   std::int64_t oldest = 0;
-  for (const ViewDigest& digest : this->parts.view.Digests()) {
+  for (const ViewDigest& digest : this->dependencies.view.Digests()) {
     if (digest.confirmed.by.empty()) {
       return -1;
     }
-    oldest =
-        std::max(oldest, this->parts.clock.WallMs() - digest.confirmed.unix_ms);
+    oldest = std::max(
+        oldest, this->dependencies.clock.WallMs() - digest.confirmed.unix_ms);
   }
   return oldest;
 }
 
-// A read of the platform made after the start shows everything accepted before.
-// While the platform is down, peers' copies may differ: the first one to answer
-// may be behind what an earlier life of this host had in force, so that it
-// listens for a while before it serves.
-bool HostGate::HasLearnt() const {
+// A read of the platform made after this process started shows every change
+// accepted before. While the platform is down, the copies of peers may differ:
+// the first peer to answer may have an older configuration than the previous
+// process of this host had in force. So this host waits for further peers
+// before it serves.
+bool HostGate::HasCurrentConfiguration() const {
   const std::int64_t age = this->ViewAgeMs();
   if (age < 0) {
     return false;
   }
   const std::int64_t up =
-      this->parts.clock.WallMs() - this->parts.started_unix_ms;
-  return age <= up || up >= kLearnFromPeersMs;
+      this->dependencies.clock.WallMs() - this->dependencies.started_unix_ms;
+  return age <= up || up >= kPeerCatchUpMs;
 }
 
-// With peers answering, a change accepted anywhere reaches this host: while
-// the platform is down none is accepted, and one accepted just before it went
-// down is told on by the host or command line that saw it. A host that hears
-// neither can know nothing of what it should have learnt, and others can serve.
+// While peers answer, every accepted change reaches this host: no change is
+// accepted while the platform is down, and a change accepted just before is
+// passed on by the host or command line that saw it. A host that reaches
+// neither the platform nor a peer cannot know which changes it missed, and
+// other hosts can serve in its place.
 bool HostGate::IsIsolated() const {
-  if (this->ViewAgeMs() <= this->parts.stale_limit_ms) {
+  if (this->ViewAgeMs() <= this->dependencies.stale_limit_ms) {
     return false;
   }
-  const bool alone = this->parts.hosts.OfRole(HostRole::kEntry).size() <= 1;
+  const bool alone =
+      this->dependencies.hosts.OfRole(HostRole::kEntry).size() <= 1;
   if (alone) {
     return false;
   }
-  return this->parts.peers_alive() == 0;
+  return this->dependencies.peers_alive() == 0;
 }
 
 }  // namespace meadowthread
--- a/src/serve/host_gate.h
+++ b/src/serve/host_gate.h
@@ -14,54 +14,58 @@
 
 namespace meadowthread {
 
-/// @brief What the gate looks at; all of it outlives the gate.
-struct HostGateParts {
+/// @brief Dependencies and settings of the gate; all references outlive it.
+struct HostGateDependencies {
   std::string host;
   const Clock& clock;
   const ReplicatedView& view;
   const HostDirectory& hosts;
   std::int64_t stale_limit_ms = 5000;
-  std::int64_t started_unix_ms = 0;  ///< of this process
-  /// How many other entry hosts answered when last asked.
+  std::int64_t started_unix_ms = 0;  ///< start of this process
+  /// Number of other entry hosts that answered their latest call.
   std::function<int()> peers_alive;
-  /// Counts work in, or says why this half does not serve the workspace.
+  /// Counts the start of a piece of work, or returns why this deployment does
+  /// not serve the workspace.
   std::function<absl::Status(std::string_view workspace)> begin_work;
+  /// Counts the end of a piece of work.
   std::function<void(std::string_view workspace)> end_work;
 };
 
-/// @brief Whether this host takes new work: marks, freshness, ownership.
+/// @brief Decides whether this host accepts new work, by its mark, the age of
+/// its configuration and the ownership of workspaces.
 class HostGate final : public WorkGate {
  public:
-  explicit HostGate(const HostGateParts& parts);
+  explicit HostGate(const HostGateDependencies& dependencies);
 
   absl::Status MayTakeWork() const override;
   absl::Status BeginWork(std::string_view workspace) override;
   void EndWork(std::string_view workspace) override;
 
-  /// @brief From now on nothing new is taken (a stop was asked for).
+  /// @brief Rejects all new work from now on, as a stop was requested.
   void Close() { this->closed = true; }
   bool IsClosed() const { return this->closed; }
 
-  /// @brief This host's mark, or leaving where the host list says so.
+  /// @brief This host's mark; if it is live, but the host list says that the
+  /// host leaves, the mark is kLeaving.
   MarkDocument Mark() const;
 
-  /// @brief Whether any host, ours or an engine's, is not to get new work, by
-  /// its mark or the host list.
+  /// @brief Whether a host, either an entry host or an engine, is not to get
+  /// new work, according to its mark, its zone's mark or the host list.
   bool IsMarked(std::string_view host) const;
 
-  /// @brief The entry hosts that may get work, by name; this one included.
+  /// @brief Names of the entry hosts that may get work, including this one.
   std::vector<std::string> LiveEntryHosts() const;
 
-  /// @brief Milliseconds since the newest confirmed read of every kind; -1
-  /// where some kind has never been confirmed.
+  /// @brief Age in milliseconds of the kind that was confirmed least recently;
+  /// -1 if any kind has never been confirmed.
   std::int64_t ViewAgeMs() const;
 
  private:
   bool IsInEmptiedZone(const HostEntry& entry) const;
   bool IsIsolated() const;
-  bool HasLearnt() const;
+  bool HasCurrentConfiguration() const;
 
-  HostGateParts parts;
+  HostGateDependencies dependencies;
   Marks marks;
   Marks zones;
   bool closed = false;
--- a/src/serve/host_metrics.h
+++ b/src/serve/host_metrics.h
@@ -8,7 +8,7 @@
 
 namespace meadowthread {
 
-/// @brief What this host counts, for `/metrics`.
+/// @brief The metrics of an entry host, served at `/metrics`.
 class HostMetrics final : public SessionObserver {
  public:
   HostMetrics();
@@ -16,10 +16,10 @@
   void OnSessionEnded(const SessionEnd& end) override;
   void OnTokenGap(std::int64_t gap_ms) override;
 
-  /// @brief Takes over an engine's report.
+  /// @brief Updates an engine's gauges from its load report.
   void OnReport(const LoadReport& report);
 
-  /// @brief Sets a gauge of the host itself.
+  /// @brief Sets a gauge of the host's own state.
   void SetState(std::string_view what, double value);
 
   std::string Text() const { return this->registry.Text(); }
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -30,17 +30,17 @@
 #include "quarantine/crash_messages.h"
 #include "quarantine/quarantine.h"
 #include "serve/claim_forwarding.h"
-#include "serve/engine_starts.h"
-#include "serve/engine_watch.h"
-#include "serve/exchange_duty.h"
+#include "serve/crash_record_store.h"
+#include "serve/engine_monitor.h"
+#include "serve/engine_restart_detector.h"
+#include "serve/exchange_participant.h"
+#include "serve/feeder_options.h"
 #include "serve/host_gate.h"
 #include "serve/host_metrics.h"
 #include "serve/host_status.h"
-#include "serve/ownership_duty.h"
-#include "serve/placement_duty.h"
-#include "serve/policy_parts.h"
-#include "serve/quarantine_entries.h"
-#include "serve/reading_options.h"
+#include "serve/ownership_participant.h"
+#include "serve/placement_participant.h"
+#include "serve/policy_setup.h"
 #include "serve/relay_metrics.h"
 #include "settings/secret_file.h"
 #include "store/http_object_store.h"
@@ -53,8 +53,9 @@
 constexpr std::int64_t kRotatePeriodMs = 60'000;
 constexpr std::size_t kShownRunning = 20;
 constexpr int kClaimThreads = 8;
-// Over all hosts, within the budget's window, besides those that calls earn:
-// enough for each of a few servers to fail some calls at its end.
+// Retries allowed to all hosts together within the budget's window, in addition
+// to those earned by calls: enough for a few servers that each fail some calls
+// when they stop.
 constexpr double kExtraServiceRetries = 20.0;
 constexpr std::array<std::string_view, 5> kViewKinds = {
     kEmptiedZonesKind, kMarksKind, kOwnershipKind, kQuarantineKind,
@@ -89,8 +90,9 @@
   return claims;
 }
 
-// Claims have a client of their own: while a preferred host is frozen, calls to
-// it hold their threads for the time limit, and the exchange is not to wait.
+// Claims have an RPC client of their own: calls to a preferred host that is
+// frozen occupy their threads until they time out, and must not delay the
+// exchange.
 RpcClientSettings MakeClaimChannelSettings() {
   RpcClientSettings settings;
   settings.threads = kClaimThreads;
@@ -114,23 +116,23 @@
   return keys;
 }
 
-/// @brief The slices of one host, in the order in which they depend on each
-/// other.
-class HostProcess::Parts {
+/// @brief The components of one host; each depends only on those declared
+/// before it.
+class HostProcess::Impl {
  public:
-  Parts(const Settings& with, const SecretKeys& keys);
+  Impl(const Settings& with, const SecretKeys& keys);
 
   absl::Status Start();
   void Stop(int times);
 
  private:
   bool IsWatcher() const;
-  void TakeHosts();
-  void TakeZones(const ViewChange& change);
+  void ApplyHosts();
+  void ApplyEmptiedZones(const ViewChange& change);
   void FollowMark();
   std::size_t Running() const;
-  RemainingWork Left() const;
-  void EndIfDrained();
+  RemainingWork Unfinished() const;
+  void ExitIfDrained();
   void LogStopWaits() const;
   std::string StatusJson() const;
   void SetGauges();
@@ -147,17 +149,17 @@
   HostListPoller host_list;
   std::int64_t incarnation;
   ViewFeeder feeder;
-  OwnershipDuty ownership;
-  ExchangeDuty exchange;
+  OwnershipParticipant ownership;
+  ExchangeParticipant exchange;
   LearnedLengthModel lengths;
   FleetState fleet;
-  LoadNotes load_notes;
+  FleetLoadAdapter load_adapter;
   std::unique_ptr<EngineChooser> chooser;
   Dispatcher dispatcher;
   RetryBudget retries;
   WorkspaceLimits limits;
   EngineClient engine_client;
-  EngineWatch engines;
+  EngineMonitor engines;
   RpcClient claim_channel;
   RpcClaimForwarder claim_forwarder;
   StoreClaimService stored_claims;
@@ -165,9 +167,9 @@
   ResumeTokenCodec tokens;
   HostMetrics metrics;
   HostGate gate;
-  PlacementDuty placement;
+  PlacementParticipant placement;
   ServiceWire service_wire;
-  NoEntryGracePeriod lapses;
+  NoEntryGracePeriod grace_periods;
   BackendList backends;
   ServiceBackends service_backends;
   BackendHealth health;
@@ -175,18 +177,18 @@
   RelayMetrics service_metrics;
   QtListenCheck listen_check;
   Quarantine quarantine;
-  ServerRateLimiter arrivals;
-  QuarantineEntries quarantine_entries;
-  EngineStarts engine_starts;
+  ServerRateLimiter rate_limiter;
+  CrashRecordStore crash_records;
+  EngineRestartDetector engine_restarts;
   ServiceForwarder forwarder;
   std::unique_ptr<Gateway> gateway;
   std::unique_ptr<HttpServer> server;
   bool stopping = false;
-  std::int64_t idle_since_ms = -1;  ///< of a stop, monotonic; -1: not yet
-  bool left = false;
+  std::int64_t idle_since_ms = -1;  ///< monotonic; -1: no stop, or still busy
+  bool exiting = false;
 };
 
-HostProcess::Parts::Parts(const Settings& with, const SecretKeys& keys)
+HostProcess::Impl::Impl(const Settings& with, const SecretKeys& keys)
     : settings(with),
       store(
           this->client,
@@ -197,7 +199,8 @@
       host_list(this->client, this->scheduler, this->hosts,
                 with.platform.host_list, with.platform.host_list_period_ms),
       incarnation(this->clock.WallMs()),
-      feeder(FedAlike(kViewKinds, HostReading(with.host.name, this->random())),
+      feeder(FedAlike(kViewKinds,
+                      HostFeederOptions(with.host.name, this->random())),
              this->store, this->view, this->scheduler, this->clock,
              [this] { return this->IsWatcher(); }),
       ownership(with, this->incarnation, this->clock, this->scheduler,
@@ -205,7 +208,7 @@
       exchange(with, this->incarnation, this->clock, this->scheduler,
                this->view, this->hosts),
       fleet(this->lengths),
-      load_notes(with.host.name, this->clock, this->fleet),
+      load_adapter(with.host.name, this->clock, this->fleet),
       chooser(MakeChooser(with.policy)),
       dispatcher(this->fleet, *this->chooser,
                  MakeAdmissionOptions(with.policy)),
@@ -240,18 +243,18 @@
                 {this->clock, this->scheduler, this->store, this->client,
                  this->catalog, this->hosts, this->engines, this->gate,
                  this->ownership.View()}),
-      backends(this->clock, this->scheduler, this->lapses),
+      backends(this->clock, this->scheduler, this->grace_periods),
       service_backends(this->hosts, this->backends),
       service_retries({with.policy.retry_budget_ratio, kExtraServiceRetries}),
       quarantine(this->listen_check, this->clock, this->scheduler),
-      arrivals(with.host.name),
-      quarantine_entries(kQuarantineKind, StoredRecords::kSuspects,
-                         this->quarantine, this->store, this->view, this->clock,
-                         this->scheduler, this->random()),
+      rate_limiter(with.host.name),
+      crash_records(kQuarantineKind, StoredRecords::kSuspects, this->quarantine,
+                    this->store, this->view, this->clock, this->scheduler,
+                    this->random()),
       forwarder({{this->clock, this->scheduler, this->client,
                   this->service_wire, this->backends, this->health,
                   this->service_retries, this->service_metrics,
-                  this->quarantine, this->arrivals, this->random},
+                  this->quarantine, this->rate_limiter, this->random},
                  this->catalog,
                  this->claims}) {
   SessionParts session = {this->clock,
@@ -283,21 +286,21 @@
   this->gateway = std::make_unique<Gateway>(gateway_parts);
   this->server =
       std::make_unique<HttpServer>(this->gateway.get(), MakeServerLimits(with));
-  this->exchange.CarryLoads(&this->load_notes);
+  this->exchange.CarryLoads(&this->load_adapter);
   this->quarantine.AddListener([this](const CrashRecordId& quarantined) {
     this->gateway->EndQuarantined(quarantined);
   });
-  this->hosts.AddListener([this] { this->TakeHosts(); });
+  this->hosts.AddListener([this] { this->ApplyHosts(); });
   RegisterClaimMethod(&this->exchange.Server(), &this->stored_claims);
   this->view.AddListener([this](const ViewChange& change) {
     if (change.kind != kTemplatesKind) {
       this->engines.Refresh();
     }
     if (change.kind == kEmptiedZonesKind) {
-      this->TakeZones(change);
+      this->ApplyEmptiedZones(change);
     }
     if (change.kind == kMarksKind) {
-      this->TakeHosts();
+      this->ApplyHosts();
       this->FollowMark();
     }
   });
@@ -305,13 +308,13 @@
       [this] { ApplyLimits(this->catalog, &this->limits); });
   this->engines.on_report = [this](const LoadReport& report) {
     this->metrics.OnReport(report);
-    if (const auto ended = this->engine_starts.Note(report)) {
+    if (const auto ended = this->engine_restarts.Observe(report)) {
       this->quarantine.NoteGone(EngineStartKey(report.engine, *ended));
     }
   };
 }
 
-void HostProcess::Parts::TakeZones(const ViewChange& change) {
+void HostProcess::Impl::ApplyEmptiedZones(const ViewChange& change) {
   const Marks zones(this->view, kEmptiedZonesKind);
   for (const StoredObject& object : change.items) {
     this->backends.SetZoneEmptied(
@@ -319,7 +322,7 @@
   }
 }
 
-absl::Status HostProcess::Parts::Start() {
+absl::Status HostProcess::Impl::Start() {
   const HostSettings& host = this->settings.host;
   const absl::StatusOr<std::uint16_t> port = this->server->Listen(
       host.address, static_cast<std::uint16_t>(host.port),
@@ -330,16 +333,16 @@
   this->host_list.Start();
   this->engines.Start();
   this->feeder.Start();
-  this->quarantine_entries.Start();
+  this->crash_records.Start();
   this->ownership.Start();
   this->placement.Start();
-  absl::Status exchanging = this->exchange.Start();
-  if (!exchanging.ok()) {
-    return exchanging;
+  absl::Status exchange_started = this->exchange.Start();
+  if (!exchange_started.ok()) {
+    return exchange_started;
   }
   RunEvery(this->scheduler, kDrainPeriodMs, [this] {
     this->gateway->DrainQueue();
-    this->EndIfDrained();
+    this->ExitIfDrained();
     FlushLog();
   });
   RunEvery(this->scheduler, kTickPeriodMs, [this] {
@@ -361,23 +364,23 @@
   return absl::OkStatus();
 }
 
-// The live entry hosts that come first by a hash of their names read the
-// platform; the exchange tells the others.
-bool HostProcess::Parts::IsWatcher() const {
+// The live entry hosts whose names have the lowest hashes watch the platform;
+// the others get its changes through the exchange.
+bool HostProcess::Impl::IsWatcher() const {
   const auto rank_of = [](const std::string& name) {
     return XXH64(name.data(), name.size(), 0);
   };
   const std::uint64_t own = rank_of(this->settings.host.name);
   const std::vector<std::string> names = this->gate.LiveEntryHosts();
-  const auto before = std::count_if(
+  const auto lower_ranked = std::count_if(
       names.begin(), names.end(),
       [&](const std::string& name) { return rank_of(name) < own; });
-  return before < this->settings.platform.watchers;
+  return lower_ranked < this->settings.platform.watchers;
 }
 
-// Limits are shared by the entry hosts, each engine has a preferred one, and so
-// has each shard of the claims.
-void HostProcess::Parts::TakeHosts() {
+// The entry hosts divide the workspace limits among themselves, and each engine
+// and each shard of the claims has a preferred entry host.
+void HostProcess::Impl::ApplyHosts() {
   const std::vector<std::string> names = this->gate.LiveEntryHosts();
   this->limits.SetHosts(
       static_cast<int>(std::max<std::size_t>(1, names.size())));
@@ -390,7 +393,7 @@
 // Planned stops
 ///////////////////
 
-void HostProcess::Parts::Stop(int times) {
+void HostProcess::Impl::Stop(int times) {
   LogLine line("stop-asked");
   line.Add("host", this->settings.host.name)
       .Add("times", times)
@@ -405,8 +408,8 @@
   this->LogStopWaits();
 }
 
-// A mark "stopping" ends the process as SIGTERM does.
-void HostProcess::Parts::FollowMark() {
+// A mark "stopping" stops the process in the same way as SIGTERM.
+void HostProcess::Impl::FollowMark() {
   const MarkDocument mark = this->gate.Mark();
   if (mark.mark != HostMark::kStopping || this->stopping) {
     return;
@@ -414,18 +417,18 @@
   this->Stop(mark.handover ? 2 : 1);
 }
 
-std::size_t HostProcess::Parts::Running() const {
+std::size_t HostProcess::Impl::Running() const {
   return this->gateway->Running() +
          static_cast<std::size_t>(this->forwarder.Running());
 }
 
-RemainingWork HostProcess::Parts::Left() const {
+RemainingWork HostProcess::Impl::Unfinished() const {
   return {this->server->Owed(), this->claims.Pending(),
           this->exchange.Server().Owed()};
 }
 
-void HostProcess::Parts::EndIfDrained() {
-  if (!this->stopping || this->left || this->Running() > 0) {
+void HostProcess::Impl::ExitIfDrained() {
+  if (!this->stopping || this->exiting || this->Running() > 0) {
     return;
   }
   const std::int64_t now_ms = this->clock.MonotonicMs();
@@ -434,25 +437,25 @@
     this->server->CloseConnections();
     this->exchange.Server().CloseConnections();
   }
-  if (!MayExit(now_ms - this->idle_since_ms, this->Left())) {
+  if (!MayExit(now_ms - this->idle_since_ms, this->Unfinished())) {
     return;
   }
-  this->left = true;
+  this->exiting = true;
   this->placement.Stop();
   this->ownership.Leave([this] {
-    const RemainingWork left_over = this->Left();
+    const RemainingWork unfinished = this->Unfinished();
     LogLine("stopped")
         .Add("host", this->settings.host.name)
-        .Add("callers_owed", left_over.callers_owed)
-        .Add("claims_pending", left_over.claims_pending)
-        .Add("peers_owed", left_over.peers_owed)
+        .Add("callers_owed", unfinished.callers_owed)
+        .Add("claims_pending", unfinished.claims_pending)
+        .Add("peers_owed", unfinished.peers_owed)
         .WriteImportant();
     QCoreApplication::quit();
   });
 }
 
-void HostProcess::Parts::LogStopWaits() const {
-  if (!this->stopping || this->left) {
+void HostProcess::Impl::LogStopWaits() const {
+  if (!this->stopping || this->exiting) {
     return;
   }
   LogLine line("stop-waits");
@@ -469,10 +472,10 @@
 }
 
 //////////////////////
-// What it tells
+// Status and metrics
 //////////////////////
 
-std::string HostProcess::Parts::StatusJson() const {
+std::string HostProcess::Impl::StatusJson() const {
   HostStatus status;
   status.host = this->settings.host.name;
   status.incarnation = this->incarnation;
@@ -493,7 +496,7 @@
   return HostStatusJson(status);
 }
 
-void HostProcess::Parts::SetGauges() {
+void HostProcess::Impl::SetGauges() {
   this->metrics.SetState("streams",
                          static_cast<double>(this->gateway->Running()));
   this->metrics.SetState("ready", this->gate.MayTakeWork().ok() ? 1.0 : 0.0);
@@ -504,12 +507,12 @@
 }
 
 HostProcess::HostProcess(const Settings& settings, const SecretKeys& keys)
-    : parts(std::make_unique<Parts>(settings, keys)) {}
+    : impl(std::make_unique<Impl>(settings, keys)) {}
 
 HostProcess::~HostProcess() = default;
 
-absl::Status HostProcess::Start() { return this->parts->Start(); }
+absl::Status HostProcess::Start() { return this->impl->Start(); }
 
-void HostProcess::Stop(int times) { this->parts->Stop(times); }
+void HostProcess::Stop(int times) { this->impl->Stop(times); }
 
 }  // namespace meadowthread
--- a/src/serve/host_process.h
+++ b/src/serve/host_process.h
@@ -12,16 +12,17 @@
 
 namespace meadowthread {
 
-/// @brief Secrets read from the files that settings name.
+/// @brief Secrets read from the files that the settings name.
 struct SecretKeys {
-  std::vector<std::string> resume_keys;  ///< the first signs
+  std::vector<std::string> resume_keys;  ///< the first one signs, all verify
 };
 
-/// @brief Reads them; a host without a file makes a key of its own, which no
-/// other host can check.
+/// @brief Reads the secrets. Without a key file, the host generates a random
+/// key, so that no other host can verify its resume tokens.
 absl::StatusOr<SecretKeys> ReadSecretKeys(const Settings& settings);
 
-/// @brief One entry host: every slice put together.
+/// @brief The process of an entry host: creates and connects all its
+/// components.
 class HostProcess {
  public:
   HostProcess(const Settings& settings, const SecretKeys& keys);
@@ -29,17 +30,18 @@
   HostProcess(const HostProcess&) = delete;
   HostProcess& operator=(const HostProcess&) = delete;
 
-  /// @brief Listens and begins its duties.
+  /// @brief Starts to listen and to run the periodic tasks.
   absl::Status Start();
 
-  /// @brief A planned stop: takes nothing new, finishes what runs, then ends
-  /// the event loop. A second call hands over what can be handed over.
-  /// @param[in] times how often a stop was asked for
+  /// @brief Begins a planned stop: rejects new work, finishes running requests,
+  /// then quits the event loop. From the second stop request on, streams that
+  /// can continue at another host are handed over.
+  /// @param[in] times number of stop requests so far
   void Stop(int times);
 
  private:
-  class Parts;
-  std::unique_ptr<Parts> parts;
+  class Impl;
+  std::unique_ptr<Impl> impl;
 };
 
 }  // namespace meadowthread
--- a/src/serve/host_status.h
+++ b/src/serve/host_status.h
@@ -12,7 +12,7 @@
 
 namespace meadowthread {
 
-/// @brief What a host tells of itself.
+/// @brief The status that an entry host reports.
 struct HostStatus {
   std::string host;
   std::int64_t incarnation = 0;
@@ -21,13 +21,13 @@
   std::size_t streams = 0;
   std::size_t queued = 0;
   HostMark mark = HostMark::kLive;
-  std::vector<RunningRequest> stop_waits_for;  ///< empty without a stop
+  std::vector<RunningRequest> stop_waits_for;  ///< empty unless stopping
   std::size_t engines = 0;
   int engines_usable = 0;
   std::vector<CatalogProblem> problems;
 };
 
-/// @brief The answer of `/statusz` (docs/INTERFACES.md, section 6).
+/// @brief The response body of `/statusz` (docs/INTERFACES.md, section 6).
 std::string HostStatusJson(const HostStatus& status);
 
 }  // namespace meadowthread
--- a/src/serve/ownership_duty.cc
+++ b/src/serve/ownership_participant.cc
@@ -1,4 +1,4 @@
-#include "serve/ownership_duty.h"
+#include "serve/ownership_participant.h"
 
 #include <algorithm>
 
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr std::int64_t kTickMs = 500;
-// Finds out whether the object still stands: a mover waits for no host without
-// one. 350 hosts make 12 writes a second of it.
+// The status object is rewritten to detect that it was removed, as movers do
+// not wait for hosts without one. With 350 hosts, this makes 12 writes per
+// second.
 constexpr std::int64_t kRewriteMs = 30'000;
 
 OwnershipSettings MakeOwnershipSettings(const HalfSettings& half) {
@@ -30,9 +31,9 @@
 
 }  // namespace
 
-OwnershipDuty::OwnershipDuty(const Settings& settings, std::int64_t incarnation,
-                             const Clock& clock, Scheduler& scheduler,
-                             ObjectStore& store, ReplicatedView& view)
+OwnershipParticipant::OwnershipParticipant(
+    const Settings& settings, std::int64_t incarnation, const Clock& clock,
+    Scheduler& scheduler, ObjectStore& store, ReplicatedView& view)
     : host(settings.host.name),
       has_other_deployment(!settings.half.addresses.empty()),
       incarnation(incarnation),
@@ -42,12 +43,13 @@
       view(view),
       ownership(MakeOwnershipSettings(settings.half), clock),
       tracker(this->ownership) {
-  view.AddListener([this](const ViewChange& change) { this->Follow(change); });
+  view.AddListener(
+      [this](const ViewChange& change) { this->OnViewChange(change); });
 }
 
-void OwnershipDuty::Start() { this->Tick(); }
+void OwnershipParticipant::Start() { this->Tick(); }
 
-void OwnershipDuty::Follow(const ViewChange& change) {
+void OwnershipParticipant::OnViewChange(const ViewChange& change) {
   if (change.kind != kOwnershipKind) {
     return;
   }
@@ -56,11 +58,11 @@
   }
 }
 
-void OwnershipDuty::Tick() {
+void OwnershipParticipant::Tick() {
   if (this->leaving) {
     return;
   }
-  this->TakeConfirmation();
+  this->ApplyConfirmation();
   const std::string report = EncodeDrainReport(this->tracker.Report());
   const bool due = report != this->written_report ||
                    this->clock.MonotonicMs() - this->written_ms >= kRewriteMs;
@@ -70,15 +72,17 @@
   this->scheduler.After(kTickMs, this->life.Guarded([this] { this->Tick(); }));
 }
 
-// A read counts only once the status object stands: a mover that marked
-// something before lists the object and waits for this host; one that marks it
-// later is seen by the read.
-void OwnershipDuty::TakeConfirmation() {
+// A read of the ownership objects counts only if it was made after the status
+// object was written: the read sees every mark that a mover made before it, and
+// a mover that makes a mark later finds the status object in its list and waits
+// for this host.
+void OwnershipParticipant::ApplyConfirmation() {
   const Confirmation confirmed = this->view.Digest(kOwnershipKind).confirmed;
   if (confirmed.by.empty() || this->registered_wall_ms == 0) {
     return;
   }
-  // Another host's wall clock may be ahead of ours by what the view tolerates.
+  // Another host's wall clock may be ahead by up to the skew that the view
+  // tolerates.
   const std::int64_t skew = confirmed.by == this->host ? 0 : kMaxClockSkewMs;
   const std::int64_t read_wall_ms = confirmed.unix_ms - skew;
   if (read_wall_ms < this->registered_wall_ms) {
@@ -89,7 +93,7 @@
                                    std::max<std::int64_t>(0, age));
 }
 
-void OwnershipDuty::WriteStatus(const std::string& report) {
+void OwnershipParticipant::WriteStatus(const std::string& report) {
   this->writing = true;
   const nlohmann::json status = {
       {"host", this->host},
@@ -104,12 +108,13 @@
           }));
 }
 
-void OwnershipDuty::OnWritten(const absl::StatusOr<std::int64_t>& version,
-                              const std::string& report) {
+void OwnershipParticipant::OnWritten(
+    const absl::StatusOr<std::int64_t>& version, const std::string& report) {
   this->writing = false;
   if (!version.ok()) {
-    // An earlier life's object, or our own write whose answer was lost.
-    this->ReadVersion();
+    // There is an object of an earlier process of this host, or of this one if
+    // the answer to its write was lost.
+    this->ReadOwnStatus();
     return;
   }
   this->status_version = *version;
@@ -121,19 +126,21 @@
   }
 }
 
-void OwnershipDuty::ReadVersion() {
+void OwnershipParticipant::ReadOwnStatus() {
   this->writing = true;
   this->store.Get(
       kStatusKind, this->host,
       this->life.Guarded([this](const absl::StatusOr<StoredObject>& object) {
         this->writing = false;
-        this->OnRead(object);
+        this->OnOwnStatusRead(object);
       }));
 }
 
-// Found removed or written by another life of this host, a mover may not wait
-// for us: nothing new is started until our own object stands again.
-void OwnershipDuty::OnRead(const absl::StatusOr<StoredObject>& object) {
+// If the status object was removed, or written by another process of this host,
+// movers may not wait for this one. So it starts no new work until its own
+// object is written again.
+void OwnershipParticipant::OnOwnStatusRead(
+    const absl::StatusOr<StoredObject>& object) {
   if (!object.ok()) {
     if (DetailOf(object.status()).id == ErrorId::kNotFound) {
       this->status_version = 0;
@@ -149,13 +156,13 @@
   }
 }
 
-void OwnershipDuty::Unregister() {
+void OwnershipParticipant::Unregister() {
   this->registered_wall_ms = 0;
   this->written_report.clear();
   this->ownership.SetUnregistered();
 }
 
-void OwnershipDuty::Leave(const std::function<void()>& done) {
+void OwnershipParticipant::Leave(const std::function<void()>& done) {
   this->leaving = true;
   if (this->status_version == 0) {
     done();
@@ -165,20 +172,20 @@
                      [done](const absl::StatusOr<std::int64_t>&) { done(); });
 }
 
-absl::Status OwnershipDuty::BeginWork(std::string_view workspace) {
+absl::Status OwnershipParticipant::BeginWork(std::string_view workspace) {
   if (!this->has_other_deployment) {
     return absl::OkStatus();
   }
   return this->tracker.Begin({OwnedKind::kWorkspace, std::string(workspace)});
 }
 
-void OwnershipDuty::EndWork(std::string_view workspace) {
+void OwnershipParticipant::EndWork(std::string_view workspace) {
   if (this->has_other_deployment) {
     this->tracker.End({OwnedKind::kWorkspace, std::string(workspace)});
   }
 }
 
-bool OwnershipDuty::MayUseEngine(std::string_view engine) const {
+bool OwnershipParticipant::MayUseEngine(std::string_view engine) const {
   if (!this->has_other_deployment) {
     return true;
   }
--- a/src/serve/ownership_duty.h
+++ b/src/serve/ownership_participant.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_OWNERSHIP_DUTY_H_
-#define MEADOWTHREAD_SERVE_OWNERSHIP_DUTY_H_
+#ifndef MEADOWTHREAD_SERVE_OWNERSHIP_PARTICIPANT_H_
+#define MEADOWTHREAD_SERVE_OWNERSHIP_PARTICIPANT_H_
 
 #include <cstdint>
 #include <functional>
@@ -17,24 +17,27 @@
 
 namespace meadowthread {
 
-/// @brief Keeps this host to what its half of the migration owns, and tells
+/// @brief Restricts this host to the workspaces and engines that its deployment
+/// owns while ownership moves between two deployments, and reports to the
 /// movers through its status object what it has drained.
 ///
-/// Where the settings name no other half, everything is this half's.
-class OwnershipDuty {
+/// If the settings name no other deployment, this one owns everything.
+class OwnershipParticipant {
  public:
-  /// @param[in] clock,scheduler,store,view outlive the duty
-  OwnershipDuty(const Settings& settings, std::int64_t incarnation,
-                const Clock& clock, Scheduler& scheduler, ObjectStore& store,
-                ReplicatedView& view);
+  /// @param[in] clock,scheduler,store,view outlive this
+  OwnershipParticipant(const Settings& settings, std::int64_t incarnation,
+                       const Clock& clock, Scheduler& scheduler,
+                       ObjectStore& store, ReplicatedView& view);
 
-  /// @brief Writes the status object and goes on keeping it.
+  /// @brief Writes the status object and keeps it up to date from now on.
   void Start();
 
-  /// @brief Removes the status object; `done` is called once, in any case.
+  /// @brief Removes the status object; calls `done` once, whether or not this
+  /// succeeds.
   void Leave(const std::function<void()>& done);
 
-  /// @brief Counts a piece of work of a workspace in, or says why not.
+  /// @brief Counts the start of a piece of work of a workspace, or returns why
+  /// it may not start.
   absl::Status BeginWork(std::string_view workspace);
   void EndWork(std::string_view workspace);
 
@@ -44,14 +47,14 @@
   const OwnershipView& View() const { return this->ownership; }
 
  private:
-  void Follow(const ViewChange& change);
+  void OnViewChange(const ViewChange& change);
   void Tick();
-  void TakeConfirmation();
+  void ApplyConfirmation();
   void WriteStatus(const std::string& report);
   void OnWritten(const absl::StatusOr<std::int64_t>& version,
                  const std::string& report);
-  void ReadVersion();
-  void OnRead(const absl::StatusOr<StoredObject>& object);
+  void ReadOwnStatus();
+  void OnOwnStatusRead(const absl::StatusOr<StoredObject>& object);
   void Unregister();
 
   std::string host;
@@ -74,4 +77,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_OWNERSHIP_DUTY_H_
+#endif  // MEADOWTHREAD_SERVE_OWNERSHIP_PARTICIPANT_H_
--- a/src/serve/placement_duty.cc
+++ b/src/serve/placement_participant.cc
@@ -1,12 +1,12 @@
-#include "serve/placement_duty.h"
+#include "serve/placement_participant.h"
 
 #include <map>
 
 namespace meadowthread {
 namespace {
 
-// Engines don't say how many models they can hold; the users' engines hold one
-// model with a few adapters.
+// Engines do not report how many models they can load; a typical engine holds
+// one model with a few adapters.
 constexpr int kModelsPerEngine = 4;
 
 PlacementControllerSettings MakeControllerSettings(const Settings& settings,
@@ -25,37 +25,38 @@
 
 }  // namespace
 
-PlacementDuty::PlacementDuty(const Settings& settings, std::int64_t incarnation,
-                             const PlacementDutyParts& parts)
+PlacementParticipant::PlacementParticipant(
+    const Settings& settings, std::int64_t incarnation,
+    const PlacementDependencies& dependencies)
     : enabled(settings.placement.enabled),
       stale_limit_ms(settings.configuration.stale_limit_ms),
-      parts(parts),
+      dependencies(dependencies),
       controller(settings.half.name,
                  MakeControllerSettings(settings, incarnation),
-                 {parts.store, parts.client, parts.clock, this->nonces,
-                  parts.ownership, *this},
-                 parts.scheduler) {}
+                 {dependencies.store, dependencies.client, dependencies.clock,
+                  this->nonces, dependencies.ownership, *this},
+                 dependencies.scheduler) {}
 
-void PlacementDuty::Start() {
+void PlacementParticipant::Start() {
   if (this->enabled) {
     this->controller.Start();
   }
 }
 
-void PlacementDuty::Stop() {
+void PlacementParticipant::Stop() {
   if (this->enabled) {
     this->controller.Stop();
   }
 }
 
-std::vector<NeededModel> PlacementDuty::NeededModels() {
+std::vector<NeededModel> PlacementParticipant::NeededModels() {
   std::map<ServedModel, NeededModel> needed;
-  for (const ServedModel& model : this->parts.catalog.Models()) {
+  for (const ServedModel& model : this->dependencies.catalog.Models()) {
     needed[model] = {model, 0.0, false};
   }
-  for (const std::string& workspace : this->parts.catalog.Workspaces()) {
+  for (const std::string& workspace : this->dependencies.catalog.Workspaces()) {
     for (const ServiceCatalog::ServicePtr& service :
-         this->parts.catalog.ServicesOf(workspace)) {
+         this->dependencies.catalog.ServicesOf(workspace)) {
       for (const ServedModel& model : service->models) {
         NeededModel& entry = needed[model];
         entry.key = model;
@@ -72,21 +73,22 @@
   return list;
 }
 
-bool PlacementDuty::NeededModelsAreFresh() {
-  const std::int64_t age = this->parts.gate.ViewAgeMs();
+bool PlacementParticipant::NeededModelsAreFresh() {
+  const std::int64_t age = this->dependencies.gate.ViewAgeMs();
   return age >= 0 && age <= this->stale_limit_ms;
 }
 
-std::span<const ListedEngine> PlacementDuty::Engines() {
+std::span<const ListedEngine> PlacementParticipant::Engines() {
   this->listed.clear();
-  for (const HostEntry* entry : this->parts.hosts.OfRole(HostRole::kEngine)) {
+  for (const HostEntry* entry :
+       this->dependencies.hosts.OfRole(HostRole::kEngine)) {
     ListedEngine engine;
     engine.name = entry->name;
     engine.base_url = entry->BaseUrl();
     engine.zone = entry->zone;
-    engine.leaving = this->parts.gate.IsMarked(entry->name);
+    engine.leaving = this->dependencies.gate.IsMarked(entry->name);
     engine.capacity = kModelsPerEngine;
-    const LoadReport* report = this->parts.engines.ReportOf(entry->name);
+    const LoadReport* report = this->dependencies.engines.ReportOf(entry->name);
     if (report != nullptr) {
       engine.report = *report;
     }
@@ -95,8 +97,8 @@
   return this->listed;
 }
 
-std::span<const std::string> PlacementDuty::LiveHosts() {
-  this->live_hosts = this->parts.gate.LiveEntryHosts();
+std::span<const std::string> PlacementParticipant::LiveHosts() {
+  this->live_hosts = this->dependencies.gate.LiveEntryHosts();
   return this->live_hosts;
 }
 
--- a/src/serve/placement_duty.h
+++ b/src/serve/placement_participant.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_PLACEMENT_DUTY_H_
-#define MEADOWTHREAD_SERVE_PLACEMENT_DUTY_H_
+#ifndef MEADOWTHREAD_SERVE_PLACEMENT_PARTICIPANT_H_
+#define MEADOWTHREAD_SERVE_PLACEMENT_PARTICIPANT_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,34 +12,37 @@
 #include "placement/controller.h"
 #include "placement/nonce_source.h"
 #include "placement/placement_source.h"
-#include "serve/engine_watch.h"
+#include "serve/engine_monitor.h"
 #include "serve/host_gate.h"
 #include "settings/settings.h"
 
 namespace meadowthread {
 
-/// @brief What placement looks at; all of it outlives the duty.
-struct PlacementDutyParts {
+/// @brief Dependencies of PlacementParticipant; all of them outlive it.
+struct PlacementDependencies {
   const Clock& clock;
   Scheduler& scheduler;
   ObjectStore& store;
   HttpClient& client;
   const ServiceCatalog& catalog;
   const HostDirectory& hosts;
-  const EngineWatch& engines;
+  const EngineMonitor& engines;
   const HostGate& gate;
   const OwnershipView& ownership;
 };
 
-/// @brief This host's part in placing models on engines.
-class PlacementDuty final : public PlacementSource {
+/// @brief Runs this host's placement controller, which places models on
+/// engines, and supplies it with the needed models, the engines and the live
+/// hosts.
+class PlacementParticipant final : public PlacementSource {
  public:
-  PlacementDuty(const Settings& settings, std::int64_t incarnation,
-                const PlacementDutyParts& parts);
+  PlacementParticipant(const Settings& settings, std::int64_t incarnation,
+                       const PlacementDependencies& dependencies);
 
+  /// @brief Starts the controller if the settings enable placement.
   void Start();
 
-  /// @brief Gives leases up, so that others take over at once.
+  /// @brief Releases all leases, so that other hosts take over at once.
   void Stop();
 
   std::vector<NeededModel> NeededModels() override;
@@ -52,7 +55,7 @@
  private:
   bool enabled;
   std::int64_t stale_limit_ms;
-  PlacementDutyParts parts;
+  PlacementDependencies dependencies;
   RandomNonceSource nonces;
   std::vector<ListedEngine> listed;
   std::vector<std::string> live_hosts;
@@ -61,4 +64,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_PLACEMENT_DUTY_H_
+#endif  // MEADOWTHREAD_SERVE_PLACEMENT_PARTICIPANT_H_
--- a/src/serve/policy_parts.cc
+++ b/src/serve/policy_setup.cc
@@ -1,4 +1,4 @@
-#include "serve/policy_parts.h"
+#include "serve/policy_setup.h"
 
 #include "policy/baseline_choosers.h"
 #include "policy/memory_aware_chooser.h"
@@ -31,8 +31,8 @@
 
 void ApplyLimits(const ServiceCatalog& catalog, WorkspaceLimits* limits) {
   for (const std::string& workspace : catalog.Workspaces()) {
-    // Where several templates serve a workspace, each limit is the widest of
-    // theirs: the workspace as a whole was promised that much.
+    // If several templates serve a workspace, the highest value of each limit
+    // applies, as it was promised to the workspace as a whole.
     WorkspaceLimit widest;
     bool first = true;
     for (const ServiceCatalog::ServicePtr& service :
--- a/src/serve/policy_parts.h
+++ b/src/serve/policy_setup.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_POLICY_PARTS_H_
-#define MEADOWTHREAD_SERVE_POLICY_PARTS_H_
+#ifndef MEADOWTHREAD_SERVE_POLICY_SETUP_H_
+#define MEADOWTHREAD_SERVE_POLICY_SETUP_H_
 
 #include <memory>
 
@@ -11,15 +11,15 @@
 
 namespace meadowthread {
 
-/// @brief The chooser that the settings name.
+/// @brief Creates the engine chooser that the settings name.
 std::unique_ptr<EngineChooser> MakeChooser(const PolicySettings& settings);
 
-/// @brief Bounds of the queues from the settings.
+/// @brief Reads the queue limits from the settings.
 AdmissionOptions MakeAdmissionOptions(const PolicySettings& settings);
 
-/// @brief Takes over the limits of every workspace in force.
+/// @brief Applies the limits of every workspace in the catalog.
 void ApplyLimits(const ServiceCatalog& catalog, WorkspaceLimits* limits);
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_POLICY_PARTS_H_
+#endif  // MEADOWTHREAD_SERVE_POLICY_SETUP_H_
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -12,47 +12,49 @@
 #include "base/log_line.h"
 #include "base/log_writer.h"
 #include "policy/stop_retry_after.h"
-#include "serve/detail/relay_host_parts.h"
-#include "serve/reading_options.h"
+#include "serve/detail/relay_host_impl.h"
+#include "serve/feeder_options.h"
+#include "serve/propagation_delays.h"
 #include "serve/relay_limits.h"
-#include "serve/word_waits.h"
 
 namespace meadowthread {
 namespace {
 
 constexpr std::string_view kMetricsPath = "/metrics";
 constexpr std::int64_t kRotatePeriodMs = 60'000;
-// Of a node's 29 KB a second for control, what the exchange's calls leave.
+// What the exchange's calls leave of a node's 29 KB per second for control
+// traffic.
 constexpr std::int64_t kDatagramBytesPerSecond = 18'000;
-// Peers tell all of their load each three seconds: two may be lost.
-constexpr std::int64_t kPeerAgeMs = 7'000;
-// While the store can't tell, engines are asked themselves. They stay for about
-// two seconds, and their word is half a second old.
-constexpr std::int64_t kAskPeriodMs = 150;
+// Peers report all of their load every three seconds; two reports may be lost.
+constexpr std::int64_t kPeerLoadExpiryMs = 7'000;
+// While the store cannot report changes, the engines themselves are polled. An
+// engine that leaves stays for about two seconds, and the state that it reports
+// is up to half a second old.
+constexpr std::int64_t kStallPollPeriodMs = 150;
 constexpr std::int64_t kDrainPeriodMs = 20;
-// The balancer asks each second and takes a host out after two questions
-// without a yes: for so long new connections still come to a stopping host.
-constexpr std::int64_t kBalancerMs = 2'400;
-// From a process's end to its next one's first request: a new process read the
-// store and served 0.2 to 0.3 s after its start.
+// The load balancer checks readiness every second and removes a host after two
+// failed checks. Until then, a stopping host still gets new connections.
+constexpr std::int64_t kBalancerNoticeMs = 2'400;
+// From the exit of a process to the first request of the next one, which reads
+// the store and serves 0.2 to 0.3 s after its start.
 constexpr std::int64_t kRestartMs = 400;
 constexpr std::int64_t kMsPerSecond = 1'000;
-// Other hosts' entries serve speed only: news of them may wait, and those of a
-// whole fleet that starts come in one read.
-FeederOptions EntriesOptions(FeederOptions options) {
+// Other hosts' entries only improve performance, so their changes may be
+// delayed, and the entries of a whole fleet that starts come in a single read.
+FeederOptions HostEntriesFeederOptions(FeederOptions options) {
   options.wait_ms = 10'000;
   options.pace_ms = 500;
-  // Two of its watches.
+  // Two watches.
   options.self_watch_ms = 22'000;
   return options;
 }
 
-// Hosts tell each other of the quarantine; the store only has it for those that
-// find no other, and for operators.
-FeederOptions QuarantineOptions(FeederOptions options) {
+// Crash records reach other hosts by gossip; the copy in the store is only for
+// hosts that reach no other host, and for operators.
+FeederOptions QuarantineFeederOptions(FeederOptions options) {
   options.wait_ms = 25'000;
   options.pace_ms = 500;
-  // Two of its watches.
+  // Two watches.
   options.self_watch_ms = 52'000;
   return options;
 }
@@ -80,15 +82,16 @@
 std::vector<FedKind> FedKinds(const RelayKinds& kinds,
                               const FeederOptions& options,
                               const std::function<std::int64_t()>& stagger_ms,
-                              const std::function<bool()>& watches_zones) {
-  FeederOptions apart = options;
-  apart.stagger_ms = stagger_ms;
-  return {{kinds.plan, options},
-          {kinds.backends, apart, {}},
-          {kinds.hosts, EntriesOptions(options), {}},
-          {kinds.quarantine, QuarantineOptions(options), {}},
-          {kinds.emptied_zones, EmptiedZonesReading(options.host, options.seed),
-           watches_zones}};
+                              const std::function<bool()>& is_zone_watcher) {
+  FeederOptions staggered = options;
+  staggered.stagger_ms = stagger_ms;
+  return {
+      {kinds.plan, options},
+      {kinds.backends, staggered, {}},
+      {kinds.hosts, HostEntriesFeederOptions(options), {}},
+      {kinds.quarantine, QuarantineFeederOptions(options), {}},
+      {kinds.emptied_zones,
+       EmptiedZonesFeederOptions(options.host, options.seed), is_zone_watcher}};
 }
 
 Settings ExchangeSettingsOf(const RelaySettings& with) {
@@ -98,13 +101,13 @@
   return settings;
 }
 
-FleetRetryLimits RetryBoundsOf(const RelaySettings& settings) {
+FleetRetryLimits RetryLimitsOf(const RelaySettings& settings) {
   return {settings.retries.per_request, settings.retries.extra};
 }
 
 }  // namespace
 
-RelayHost::Parts::Parts(const RelaySettings& with, RelayPlatform& on)
+RelayHost::Impl::Impl(const RelaySettings& with, RelayPlatform& on)
     : settings(with),
       platform(on),
       store(on.MakeStore(this->store_client, with.store)),
@@ -112,53 +115,55 @@
              on.Kinds().quarantine, on.Kinds().emptied_zones}),
       view(this->clock, this->kinds),
       feeder(FedKinds(
-                 on.Kinds(), RelayReading(with.host.name, this->random()),
+                 on.Kinds(), RelayFeederOptions(with.host.name, this->random()),
                  [this] { return this->StaggerMs(); },
-                 [this] { return this->WatchesZones(); }),
+                 [this] { return this->IsZoneWatcher(); }),
              *this->store, this->view, this->scheduler, this->clock,
              [this] { return this->IsWatcher(); }),
       exchange(ExchangeSettingsOf(with), this->clock.WallMs(), this->clock,
                this->scheduler, this->view, this->hosts),
-      entries(on.Kinds().hosts,
-              {with.host.name, with.host.address, with.host.control_port,
-               with.listen.loads_port, with.host.zone, with.host.region},
-              *this->store, this->view, this->scheduler),
-      backends(this->clock, this->scheduler, this->absence),
-      budgets(RetryBoundsOf(with)),
-      refused(this->clock,
-              [this](std::string_view kind, std::string_view field) {
-                this->metrics.OnEntryRefused(kind, field);
-              }),
-      // Engines say themselves how long they are slow, and live for minutes.
-      fleet(this->lengths, FleetOptions{0, kPeerAgeMs}),
-      gone_hosts(with.host.name, this->clock),
-      load_notes(with.host.name, this->clock, this->fleet),
+      host_registry(on.Kinds().hosts,
+                    {with.host.name, with.host.address, with.host.control_port,
+                     with.listen.loads_port, with.host.zone, with.host.region},
+                    *this->store, this->view, this->scheduler),
+      backends(this->clock, this->scheduler, this->store_outages),
+      budgets(RetryLimitsOf(with)),
+      invalid_entries(this->clock,
+                      [this](std::string_view kind, std::string_view field) {
+                        this->metrics.OnEntryRefused(kind, field);
+                      }),
+      // No general slow start: an engine announces in its entry how long it is
+      // cold, and engines live for minutes only.
+      fleet(this->lengths, FleetOptions{0, kPeerLoadExpiryMs}),
+      dead_hosts(with.host.name, this->clock),
+      load_adapter(with.host.name, this->clock, this->fleet),
       hub(with.host.name, kDatagramBytesPerSecond, this->random(), this->clock),
       stop_datagrams(this->hub, this->clock, this->scheduler),
-      silence(this->hub, this->clock),
-      contact(this->hub, this->clock, this->scheduler, this->absence,
-              this->random, [this] { return this->OtherReaders(); }),
+      store_stalls(this->hub, this->clock),
+      store_uptimes(this->hub, this->clock, this->scheduler,
+                    this->store_outages, this->random,
+                    [this] { return this->OtherStoreReaders(); }),
       view_datagrams(
           std::vector<std::string>{on.Kinds().backends, on.Kinds().plan,
                                    on.Kinds().emptied_zones},
           this->view, this->hub, this->scheduler,
           [this](std::string_view kind) { this->feeder.Hurry(kind); }),
       quarantine(this->listen_check, this->clock, this->scheduler),
-      arrivals(with.host.name),
+      rate_limiter(with.host.name),
       crash_datagrams(this->hub),
-      crash_words(this->quarantine.RecordTable(), this->crash_datagrams,
-                  this->clock, this->scheduler, this->random()),
-      quarantine_entries(on.Kinds().quarantine, StoredRecords::kQuarantined,
-                         this->quarantine, *this->store, this->view,
-                         this->clock, this->scheduler, this->random()),
-      spread(kDatagramBytesPerSecond),
+      crash_gossip(this->quarantine.RecordTable(), this->crash_datagrams,
+                   this->clock, this->scheduler, this->random()),
+      crash_records(on.Kinds().quarantine, StoredRecords::kQuarantined,
+                    this->quarantine, *this->store, this->view, this->clock,
+                    this->scheduler, this->random()),
+      unreported_streams(kDatagramBytesPerSecond),
       chooser(PressureOf(with)),
       local_allocation(this->chooser, this->fleet, this->clock, this->random),
       allocation(
           AllocationOf(with),
-          {this->hub, this->fleet, this->local_allocation, this->load_notes,
-           this->scheduler, this->clock, this->arrivals, this->random}),
-      load_datagrams(this->hub, this->load_notes, this->allocation,
+          {this->hub, this->fleet, this->local_allocation, this->load_adapter,
+           this->scheduler, this->clock, this->rate_limiter, this->random}),
+      load_datagrams(this->hub, this->load_adapter, this->allocation,
                      this->allocation, this->clock, this->scheduler),
       dispatcher(this->fleet, this->chooser),
       admission(AdmissionOf(with.policy)),
@@ -167,14 +172,14 @@
       relay(with.host.name,
             {this->clock, this->scheduler, this->client, on.Backends(),
              this->backends, this->health, this->budgets, this->metrics,
-             this->quarantine, this->arrivals, this->random},
+             this->quarantine, this->rate_limiter, this->random},
             {this->allocation.Allocation(), this->dispatcher, this->fleet,
-             this->first_tries, this->admission, this->links},
-            *this->control, on.Callers(), this->plan),
+             this->first_attempts, this->admission, this->links},
+            *this->control, on.Callers(), this->routing_config),
       ready_service(on.ReadyPath(),
                     [this] {
                       return !this->stop_plan.has_value() &&
-                             this->plan.Config() != nullptr;
+                             this->routing_config.Config() != nullptr;
                     }),
       metrics_service(kMetricsPath, [this] { return this->MetricsText(); }),
       server(&this->relay, ServerLimits{}),
@@ -184,17 +189,17 @@
     this->chooser.SetLinks(&this->links);
   }
   this->chooser.SetWithin([this](const EngineView& view) {
-    return this->arrivals.May(view.engine, this->clock.MonotonicMs());
+    return this->rate_limiter.May(view.engine, this->clock.MonotonicMs());
   });
   this->backends.SetRegions(with.regions);
-  this->ApplyBounds();
+  this->ApplyConfiguration();
   this->view.AddListener(
-      [this](const ViewChange& change) { this->TakeView(change); });
-  this->plan.AddListener([this] { this->ApplyBounds(); });
-  this->CheckWaits();
+      [this](const ViewChange& change) { this->ApplyViewChange(change); });
+  this->routing_config.AddListener([this] { this->ApplyConfiguration(); });
+  this->CheckPropagationDelays();
   this->backends.AddListener(
       [this](BackendChange change, const Backend& backend) {
-        this->TakeBackendChange(change, backend);
+        this->OnBackendChange(change, backend);
       });
   this->health.SetListener([this](const HealthUpdate& news) {
     this->fleet.SetFailureShare(news.id, news.failure_share);
@@ -217,37 +222,39 @@
   });
   this->allocation.SetLoadReporter(
       [this] { this->load_datagrams.TellAllSoon(); });
-  this->entries.SetListener(
-      [this](const std::vector<EntryHost>& known) { this->TakeHosts(known); });
-  this->entries.OnRead(
+  this->host_registry.SetListener(
+      [this](const std::vector<EntryHost>& known) { this->ApplyHosts(known); });
+  this->host_registry.OnRead(
       [this](const StoredObject& object, const absl::Status& read) {
-        this->NoteRead(object, read);
+        this->ReportReadResult(object, read);
       });
   this->hub.OnHeard([this](std::string_view host) {
-    this->gone_hosts.NoteHeard(host);
+    this->dead_hosts.NoteHeard(host);
     this->allocation.NoteHeard(host);
   });
-  this->crash_datagrams.Connect(this->crash_words);
+  this->crash_datagrams.Connect(this->crash_gossip);
   this->quarantine.AddListener([this](const CrashRecordId& quarantined) {
     this->relay.EndQuarantined(quarantined);
   });
-  this->exchange.KeepOutOfNews(on.Kinds().backends);
+  this->exchange.ExcludeFromNews(on.Kinds().backends);
   this->feeder.OnAnswered(
-      [this] { this->absence.RecordAnswer(this->clock.MonotonicMs()); });
-  this->contact.OnWord([this] { this->backends.ReviewGracePeriods(); });
+      [this] { this->store_outages.RecordAnswer(this->clock.MonotonicMs()); });
+  this->store_uptimes.OnPeerUptime(
+      [this] { this->backends.ReviewGracePeriods(); });
 }
 
-void RelayHost::Parts::CheckWaits() const {
-  const WordPath path = RelayPath(this->settings.exchange);
+void RelayHost::Impl::CheckPropagationDelays() const {
+  const PropagationPath path = RelayPropagationPath(this->settings.exchange);
   const RelayBoundSettings& set = this->settings.bounds;
-  const WordBounds bounds = {set.change_ms, set.leaving_ms, set.emptying_ms,
-                             set.settle_ms};
-  TellWaits(ChangeWaits(path, bounds));
-  TellWaits(LeavingWaits(path, bounds));
-  TellWaits(EmptyingWaits(EmptiedZonesPath(this->settings.exchange), bounds));
+  const PropagationBounds bounds = {set.change_ms, set.leaving_ms,
+                                    set.emptying_ms, set.settle_ms};
+  LogExceededBounds(ConfigChangeDelays(path, bounds));
+  LogExceededBounds(ServerRemovalDelays(path, bounds));
+  LogExceededBounds(ZoneEmptyingDelays(
+      EmptiedZonesPropagationPath(this->settings.exchange), bounds));
 }
 
-absl::Status RelayHost::Parts::Start() {
+absl::Status RelayHost::Impl::Start() {
   const HostSettings& host = this->settings.host;
   const auto listen = [&host](HttpServer& at, int port) {
     return at.Listen(host.address, static_cast<std::uint16_t>(port), TlsFiles{})
@@ -265,35 +272,36 @@
     }
   }
   if (this->settings.listen.metrics_port > 0) {
-    absl::Status told =
+    absl::Status metrics_started =
         listen(this->metrics_server, this->settings.listen.metrics_port);
-    if (!told.ok()) {
-      return told;
+    if (!metrics_started.ok()) {
+      return metrics_started;
     }
   }
   this->load_datagrams.Start();
   this->allocation.Start([this] { return this->AllocatorHosts(); });
-  this->crash_words.Start();
-  this->quarantine_entries.Start();
+  this->crash_gossip.Start();
+  this->crash_records.Start();
   this->feeder.Start();
-  this->entries.Announce();
+  this->host_registry.Announce();
   RunEvery(this->scheduler, kRotatePeriodMs,
            [this] { this->metrics.Rotate(); });
-  RunEvery(this->scheduler, GoneHosts::kHeardMs, [this] {
-    for (const std::string& gone : this->gone_hosts.ToRemove()) {
-      this->entries.Remove(gone);
+  RunEvery(this->scheduler, DeadHostDetector::kRecentMs, [this] {
+    for (const std::string& gone : this->dead_hosts.HostsToRemove()) {
+      this->host_registry.Remove(gone);
     }
   });
-  RunEvery(this->scheduler, ChoiceSpread::kPeriodMs,
-           [this] { this->SpreadChoices(); });
-  RunEvery(this->scheduler, kAskPeriodMs, [this] { this->AskWhileSilent(); });
+  RunEvery(this->scheduler, UnreportedStreamEstimator::kPeriodMs,
+           [this] { this->UpdateUnreportedStreams(); });
+  RunEvery(this->scheduler, kStallPollPeriodMs,
+           [this] { this->PollEnginesDuringStall(); });
   RunEvery(this->scheduler, kDrainPeriodMs, [this] {
-    this->TakeWaitingPlan();
-    if (!this->arrivals_shared) {
-      this->ShareArrivals();
+    this->ApplyPendingConfig();
+    if (!this->rate_limits_divided) {
+      this->DivideRateLimits();
     }
     this->relay.DrainQueue();
-    this->GoOnStopping();
+    this->AdvanceStop();
     FlushLog();
   });
   LogLine("started")
@@ -305,7 +313,7 @@
   return absl::OkStatus();
 }
 
-std::string RelayHost::Parts::MetricsText() {
+std::string RelayHost::Impl::MetricsText() {
   const auto set = [this](std::string_view what, auto value) {
     this->metrics.SetState(what, static_cast<double>(value));
   };
@@ -315,12 +323,14 @@
     set("revision_" + digest.kind, digest.revision);
   }
   set("ready",
-      !this->stop_plan.has_value() && this->plan.Config() != nullptr ? 1 : 0);
+      !this->stop_plan.has_value() && this->routing_config.Config() != nullptr
+          ? 1
+          : 0);
   set("running", this->relay.Running());
   set("connections", this->server.Connections());
   set("answers_cut", this->server.AnswersCut());
   set("backends", this->backends.Count());
-  set("entries_refused", this->refused.Standing());
+  set("entries_refused", this->invalid_entries.InvalidCount());
   set("zones_emptied", this->backends.EmptiedZones());
   for (const FeederState& state : this->feeder.States()) {
     set("passed_over_" + state.kind, state.passed_over);
@@ -334,7 +344,7 @@
     set("queued_" + std::string(UrgencyName(urgency)),
         this->dispatcher.Queue().Queued(urgency));
   }
-  if (const RoutingConfig* const in_force = this->plan.Config()) {
+  if (const RoutingConfig* const in_force = this->routing_config.Config()) {
     for (const ServiceRule& service : in_force->services) {
       set("retries_saved_" + service.name,
           this->budgets.BudgetFor(service.name).Saved());
@@ -348,20 +358,20 @@
   return this->metrics.Text();
 }
 
-void RelayHost::Parts::AskWhileSilent() {
+void RelayHost::Impl::PollEnginesDuringStall() {
   const std::string_view kind = this->kinds[1];
   const std::vector<FeederState> states = this->feeder.States();
-  this->silence.NoteOwn(
+  this->store_stalls.RecordOwn(
       std::any_of(states.begin(), states.end(), [kind](const FeederState& one) {
         return one.kind == kind && one.stalled;
       }));
-  const bool is_silent =
-      this->silence.IsSilent(this->view.Digest(kind).confirmed.unix_ms);
-  this->relay.PollEngineStates(!is_silent);
+  const bool is_stalled =
+      this->store_stalls.IsStalled(this->view.Digest(kind).confirmed.unix_ms);
+  this->relay.PollEngineStates(!is_stalled);
 }
 
-// A host that stops hands out nothing any more.
-std::vector<AllocatorHost> RelayHost::Parts::AllocatorHosts() const {
+// Hosts that are stopping allocate no engines any more.
+std::vector<AllocatorHost> RelayHost::Impl::AllocatorHosts() const {
   std::vector<AllocatorHost> hosts;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
     const bool stops = host->name == this->settings.host.name
@@ -374,35 +384,35 @@
   return hosts;
 }
 
-void RelayHost::Parts::SpreadChoices() {
-  this->chooser.SetUnseen(
-      this->spread.Unseen(this->relay.Stats().streams, this->hub.Peers()));
+void RelayHost::Impl::UpdateUnreportedStreams() {
+  this->chooser.SetUnseen(this->unreported_streams.EstimateUnreported(
+      this->relay.Stats().streams, this->hub.Peers()));
 }
 
-/////////////
-// Its bounds
-/////////////
+///////////////////////////
+// Configuration and limits
+///////////////////////////
 
-void RelayHost::Parts::ApplyBounds() {
-  const RoutingConfig* const in_force = this->plan.Config();
+void RelayHost::Impl::ApplyConfiguration() {
+  const RoutingConfig* const in_force = this->routing_config.Config();
   this->server.SetLimits(RelayLimitsOf(this->settings.bounds, in_force));
   if (in_force == nullptr) {
     return;
   }
-  this->CheckHomes(*in_force);
-  // Engines may have been listed before the services that they belong to, and
-  // outlive them.
-  this->TakeSetAsideAgain();
+  this->LogUnknownRegions(*in_force);
+  // An engine's entry may be read before the configuration that has its
+  // service, and may still exist after that service was removed.
+  this->RetryInvalidBackends();
   for (const Backend* const backend : this->backends.All()) {
-    this->TakeBackendChange(BackendChange::kChanged, *backend);
+    this->OnBackendChange(BackendChange::kChanged, *backend);
   }
 }
 
-void RelayHost::Parts::Reload(const RelaySettings& with) {
+void RelayHost::Impl::Reload(const RelaySettings& with) {
   this->settings.retries = with.retries;
   this->settings.bounds = with.bounds;
-  this->budgets.SetBounds(RetryBoundsOf(with));
-  this->ApplyBounds();
+  this->budgets.SetBounds(RetryLimitsOf(with));
+  this->ApplyConfiguration();
   LogLine("reloaded").Add("host", this->settings.host.name).WriteImportant();
 }
 
@@ -410,14 +420,14 @@
 // Planned stops
 ///////////////////
 
-void RelayHost::Parts::Stop() {
+void RelayHost::Impl::Stop() {
   if (this->stop_plan.has_value()) {
     return;
   }
   const auto grace_ms = static_cast<std::int64_t>(
       this->settings.bounds.grace_s * static_cast<double>(kMsPerSecond));
   this->stop_plan.emplace(this->clock.MonotonicMs(),
-                          StopBounds{kBalancerMs, grace_ms});
+                          StopBounds{kBalancerNoticeMs, grace_ms});
   this->relay.BeginStop(this->stop_plan->LastEndMs(), *this);
   this->stop_datagrams.Begin(this->stop_plan->ForcedMs() + kRestartMs);
   this->server.CloseConnections();
@@ -427,8 +437,8 @@
       .WriteImportant();
 }
 
-void RelayHost::Parts::GoOnStopping() {
-  if (!this->stop_plan.has_value() || this->left) {
+void RelayHost::Impl::AdvanceStop() {
+  if (!this->stop_plan.has_value() || this->exiting) {
     return;
   }
   const StopWork work = {this->relay.Running(), this->server.Owed()};
@@ -436,14 +446,14 @@
   if (step == StopStep::kWait) {
     return;
   }
-  this->left = step != StopStep::kAbortRequests;
-  LogLine(this->left ? "stopped" : "stop-ends-rest")
+  this->exiting = step != StopStep::kAbortRequests;
+  LogLine(this->exiting ? "stopped" : "stop-ends-rest")
       .Add("host", this->settings.host.name)
       .Add("why", StopStepName(step))
       .Add("running", work.running)
       .Add("callers_owed", work.callers_owed)
       .WriteImportant();
-  if (this->left) {
+  if (this->exiting) {
     this->stop_datagrams.TellEnd(kRestartMs);
     QCoreApplication::quit();
   } else {
@@ -451,7 +461,7 @@
   }
 }
 
-std::int64_t RelayHost::Parts::ReturnAfterMs() const {
+std::int64_t RelayHost::Impl::ReturnAfterMs() const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   std::vector<HostAvailability> known;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
@@ -472,16 +482,16 @@
 }
 
 RelayHost::RelayHost(const RelaySettings& settings, RelayPlatform& platform)
-    : parts(std::make_unique<Parts>(settings, platform)) {}
+    : impl(std::make_unique<Impl>(settings, platform)) {}
 
 RelayHost::~RelayHost() = default;
 
-absl::Status RelayHost::Start() { return this->parts->Start(); }
+absl::Status RelayHost::Start() { return this->impl->Start(); }
 
-void RelayHost::Stop() { this->parts->Stop(); }
+void RelayHost::Stop() { this->impl->Stop(); }
 
 void RelayHost::Reload(const RelaySettings& settings) {
-  this->parts->Reload(settings);
+  this->impl->Reload(settings);
 }
 
 }  // namespace meadowthread
--- a/src/serve/relay_host.h
+++ b/src/serve/relay_host.h
@@ -9,32 +9,34 @@
 
 namespace meadowthread {
 
-/// @brief One relay host: every slice put together.
+/// @brief The process of a relay host: creates and connects all its components.
 class RelayHost {
  public:
+  /// @param[in] settings as read from the settings file
   /// @param[in] platform outlives the host
   RelayHost(const RelaySettings& settings, RelayPlatform& platform);
   ~RelayHost();
   RelayHost(const RelayHost&) = delete;
   RelayHost& operator=(const RelayHost&) = delete;
 
-  /// @brief Listens and begins its duties.
+  /// @brief Starts to listen and to run the periodic tasks.
   absl::Status Start();
 
-  /// @brief A planned stop: unready at once, finishes what runs, then ends the
-  /// event loop.
+  /// @brief Begins a planned stop: reports not ready at once, finishes running
+  /// requests, then quits the event loop.
   void Stop();
 
-  /// @brief Takes over what may change while it runs.
+  /// @brief Applies the settings that may change at run time: retries and
+  /// limits.
   void Reload(const RelaySettings& settings);
 
  private:
-  class Parts;
-  std::unique_ptr<Parts> parts;
+  class Impl;
+  std::unique_ptr<Impl> impl;
 };
 
 /// @brief Runs a relay host until it is stopped.
-/// @param[in] settings_file read again on SIGHUP
+/// @param[in] settings_file path; read again on SIGHUP
 /// @return the process's exit code
 int RunRelay(const RelaySettings& settings, std::string_view settings_file,
              RelayPlatform& platform);
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -1,4 +1,5 @@
-// What the store and peers say, and what a relay host makes of it.
+// How a relay host applies changes that it reads from the store or gets from
+// peers.
 #include <algorithm>
 #include <optional>
 #include <string>
@@ -8,124 +9,130 @@
 
 #include "base/error.h"
 #include "base/log_line.h"
-#include "serve/detail/relay_host_parts.h"
+#include "serve/detail/relay_host_impl.h"
 #include "serve/engine_listing.h"
 #include "serve/watcher_choice.h"
 
 namespace meadowthread {
 namespace {
 
-// Requests at an engine that is gone end within this: none may last longer.
-constexpr std::int64_t kLastNotesMs = 60'000;
-// Of the hosts that watch the store; those that it fails are replaced.
+// All requests at a removed engine have ended after this time, as none may last
+// longer.
+constexpr std::int64_t kLastRequestsEndMs = 60'000;
+// How many of the hosts that watch the store also watch the emptied zones;
+// those whose reads fail are replaced.
 constexpr int kZoneWatchers = 3;
 
 }  // namespace
 
-void RelayHost::Parts::TakeView(const ViewChange& change) {
+void RelayHost::Impl::ApplyViewChange(const ViewChange& change) {
   const RelayKinds& names = this->platform.Kinds();
   for (const StoredObject& object : change.items) {
     if (change.kind == names.plan && object.name == names.plan_name) {
-      this->TakePlan(object);
+      this->ApplyRoutingConfig(object);
     } else if (change.kind == names.backends) {
-      this->TakeBackend(object);
+      this->ApplyBackendEntry(object);
     } else if (change.kind == names.emptied_zones) {
       this->backends.SetZoneEmptied(object.name, !object.deleted);
     }
   }
 }
 
-// Whether the store, or a peer that heard of it, has told of the whole kind.
-bool RelayHost::Parts::IsKnown(std::string_view kind) const {
+// Whether all objects of the kind were read, by this host or a peer.
+bool RelayHost::Impl::IsLoaded(std::string_view kind) const {
   return !this->view.Digest(kind).confirmed.by.empty();
 }
 
-// A host that serves before it knows which zones are emptied would send there.
-void RelayHost::Parts::TakeWaitingPlan() {
+// The configuration waits until the emptied zones are known: a host that serves
+// before would send requests to them.
+void RelayHost::Impl::ApplyPendingConfig() {
   const RelayKinds& names = this->platform.Kinds();
-  if (this->zones_known || !this->IsKnown(names.emptied_zones)) {
+  if (this->emptied_zones_known || !this->IsLoaded(names.emptied_zones)) {
     return;
   }
-  this->zones_known = true;
+  this->emptied_zones_known = true;
   const StoredObject* const object =
       this->view.Find(names.plan, names.plan_name);
-  if (object != nullptr && this->plan.Config() == nullptr) {
-    this->TakePlan(*object);
+  if (object != nullptr && this->routing_config.Config() == nullptr) {
+    this->ApplyRoutingConfig(*object);
   }
 }
 
-// A configuration that can't be read is reported and not put in force; the one
-// before it stays.
-void RelayHost::Parts::TakePlan(const StoredObject& object) {
-  if (!this->IsKnown(this->platform.Kinds().emptied_zones)) {
+// An invalid configuration is reported and ignored; the previous one stays in
+// force.
+void RelayHost::Impl::ApplyRoutingConfig(const StoredObject& object) {
+  if (!this->IsLoaded(this->platform.Kinds().emptied_zones)) {
     return;
   }
   absl::StatusOr<RoutingConfig> read =
       object.deleted
           ? absl::StatusOr<RoutingConfig>(absl::NotFoundError("it was removed"))
           : this->platform.ReadPlan(object.value);
-  this->NoteRead(object, read.status());
+  this->ReportReadResult(object, read.status());
   if (read.ok()) {
-    this->plan.Activate(*std::move(read), object.version);
+    this->routing_config.Activate(*std::move(read), object.version);
   }
 }
 
-void RelayHost::Parts::NoteRead(const StoredObject& object,
-                                const absl::Status& read) {
+void RelayHost::Impl::ReportReadResult(const StoredObject& object,
+                                       const absl::Status& read) {
   if (read.ok()) {
-    this->refused.Forget(object.kind, object.name);
+    this->invalid_entries.Clear(object.kind, object.name);
   } else {
-    this->refused.Refuse(object.kind, object.name, object.version, read);
+    this->invalid_entries.Report(object.kind, object.name, object.version,
+                                 read);
   }
 }
 
-// Whatever stands there now, the engine that it named before is not known to be
-// gone: only a removal says so.
-void RelayHost::Parts::TakeBackend(const StoredObject& object) {
+// An invalid entry does not mean that the engine it described before is gone;
+// only a removal does.
+void RelayHost::Impl::ApplyBackendEntry(const StoredObject& object) {
   if (object.deleted) {
-    this->refused.Forget(object.kind, object.name);
+    this->invalid_entries.Clear(object.kind, object.name);
     if (this->backends.Remove(object.name)) {
-      this->contact.Ask([this] { return this->backends.HasEntryInGrace(); });
+      this->store_uptimes.AskPeers(
+          [this] { return this->backends.HasEntryInGrace(); });
     }
     return;
   }
   const absl::StatusOr<BackendEntry> entry =
       this->platform.ReadBackend(object.name, object.value);
-  this->NoteRead(object, entry.status());
-  if (entry.ok() && !this->IsOfUnknownService(*entry)) {
+  this->ReportReadResult(object, entry.status());
+  if (entry.ok() && !this->ChangesToUnknownService(*entry)) {
     this->backends.Set(*entry);
   } else {
     this->backends.MarkEntryInvalid(object.name);
   }
 }
 
-// Entries may come before the configuration that names their service, so that
-// they are kept, and are no fault. But an engine in use keeps the service by
-// which its runs are known.
-bool RelayHost::Parts::IsOfUnknownService(const BackendEntry& entry) const {
+// An entry may arrive before the configuration that has its service, so it is
+// valid and kept. But an engine in use must not change to a service that is not
+// configured, as its runs are tracked under the previous one.
+bool RelayHost::Impl::ChangesToUnknownService(const BackendEntry& entry) const {
   const Backend* const known = this->backends.FindById(entry.id);
   return known != nullptr && known->entry.service != entry.service &&
-         this->plan.FindService(entry.service) == nullptr;
+         this->routing_config.FindService(entry.service) == nullptr;
 }
 
-// The service that such an entry names may be configured now.
-void RelayHost::Parts::TakeSetAsideAgain() {
-  std::vector<std::string> set_aside;
+// Applies the entries again that were invalid: the services that they name may
+// be configured now.
+void RelayHost::Impl::RetryInvalidBackends() {
+  std::vector<std::string> invalid_ids;
   for (const Backend* const backend : this->backends.All()) {
     if (!backend->entry_valid) {
-      set_aside.push_back(backend->entry.id);
+      invalid_ids.push_back(backend->entry.id);
     }
   }
-  for (const std::string& id : set_aside) {
+  for (const std::string& id : invalid_ids) {
     if (const StoredObject* const object =
             this->view.Find(this->kinds[1], id)) {
-      this->TakeBackend(*object);
+      this->ApplyBackendEntry(*object);
     }
   }
 }
 
-void RelayHost::Parts::TakeBackendChange(BackendChange change,
-                                         const Backend& backend) {
+void RelayHost::Impl::OnBackendChange(BackendChange change,
+                                      const Backend& backend) {
   if (change == BackendChange::kGone) {
     this->quarantine.NoteGone(backend.key);
     if (backend.started_again) {
@@ -133,17 +140,19 @@
       this->client.DropResting(backend.entry.address);
     }
     this->fleet.RemoveEngine(backend.key);
-    this->arrivals.Remove(backend.key);
+    this->rate_limiter.Remove(backend.key);
     this->health.Forget(backend.key);
-    // What still ends there is noted under its key once more.
-    this->scheduler.After(
-        kLastNotesMs, [this, key = backend.key] { this->health.Forget(key); });
+    // Requests that still end there create the health record again.
+    this->scheduler.After(kLastRequestsEndMs, [this, key = backend.key] {
+      this->health.Forget(key);
+    });
     return;
   }
-  this->arrivals.SetServer(backend.key, this->ArrivalRuleOf(backend),
-                           backend.warm_at_ms);
-  const EngineListing listing = ListingOf(
-      backend, this->plan.FindService(backend.entry.service), this->clock);
+  this->rate_limiter.SetServer(backend.key, this->RateLimitOf(backend),
+                               backend.warm_at_ms);
+  const EngineListing listing = MakeEngineListing(
+      backend, this->routing_config.FindService(backend.entry.service),
+      this->clock);
   if (!listing.models.empty()) {
     this->fleet.SetEngine(listing, this->clock.WallMs());
   } else {
@@ -157,11 +166,12 @@
   }
 }
 
-// Engines begin fewer requests a second than a cold one withstands; plain
-// servers begin more, and are bound only while they are known to be cold.
-ServerRateLimit RelayHost::Parts::ArrivalRuleOf(const Backend& backend) const {
+// Engines normally get fewer requests per second than a cold one tolerates, so
+// they are limited also while warm. Plain servers get more, and are limited
+// only while they are known to be cold.
+ServerRateLimit RelayHost::Impl::RateLimitOf(const Backend& backend) const {
   const ServiceRule* const service =
-      this->plan.FindService(backend.entry.service);
+      this->routing_config.FindService(backend.entry.service);
   ServerRateLimit rule;
   if (service == nullptr) {
     return rule;
@@ -173,23 +183,24 @@
   return rule;
 }
 
-void RelayHost::Parts::ShareArrivals() {
-  if (!this->IsKnown(this->platform.Kinds().hosts)) {
+void RelayHost::Impl::DivideRateLimits() {
+  if (!this->IsLoaded(this->platform.Kinds().hosts)) {
     return;
   }
   std::vector<std::string> names;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
     names.push_back(host->name);
   }
-  this->arrivals.SetHosts(names);
-  this->arrivals_shared = true;
+  this->rate_limiter.SetHosts(names);
+  this->rate_limits_divided = true;
 }
 
-// Such requests are refused; that nobody meant it shows here.
-void RelayHost::Parts::CheckHomes(const RoutingConfig& in_force) const {
+// Requests restricted to a region that no zone belongs to are rejected. The log
+// line shows that this is probably a configuration error.
+void RelayHost::Impl::LogUnknownRegions(const RoutingConfig& in_force) const {
   const auto check = [this](std::string_view what, const std::string& name,
-                            const std::vector<std::string>& homes) {
-    for (const std::string& region : homes) {
+                            const std::vector<std::string>& allowed_regions) {
+    for (const std::string& region : allowed_regions) {
       const bool is_known = std::any_of(
           this->settings.regions.begin(), this->settings.regions.end(),
           [&region](const auto& zone) { return zone.second == region; });
@@ -209,46 +220,49 @@
   }
 }
 
-// The entry hosts that answer this one.
-std::vector<WatchPeer> RelayHost::Parts::AnsweringPeers() const {
+// The other entry hosts that are reachable.
+std::vector<WatchPeer> RelayHost::Impl::AnsweringPeers() const {
   std::vector<WatchPeer> answering;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
     if (host->name != this->settings.host.name &&
-        this->exchange.Answers(host->name)) {
-      answering.push_back({host->name, !this->silence.Fails(host->name)});
+        this->exchange.IsReachable(host->name)) {
+      answering.push_back(
+          {host->name, !this->store_stalls.IsStalledFor(host->name)});
     }
   }
   return answering;
 }
 
-// Its place among the hosts that watch.
-std::optional<int> RelayHost::Parts::WatchPlace() const {
-  return WatchesStore(this->settings.host.name, this->AnsweringPeers(),
+// This host's index among the hosts that watch the store; nullopt if it does
+// not.
+std::optional<int> RelayHost::Impl::WatchIndex() const {
+  return WatcherIndex(this->settings.host.name, this->AnsweringPeers(),
                       this->hosts.OfRole(HostRole::kEntry).size());
 }
 
-std::vector<std::string> RelayHost::Parts::OtherReaders() const {
+std::vector<std::string> RelayHost::Impl::OtherStoreReaders() const {
   return StoreReaders(this->AnsweringPeers());
 }
 
-// A host that no peer answers reads for itself.
-bool RelayHost::Parts::IsWatcher() const {
-  return this->exchange.PeersAlive() == 0 || this->WatchPlace().has_value();
+// A host that no peer answers reads the store itself.
+bool RelayHost::Impl::IsWatcher() const {
+  return this->exchange.PeersAlive() == 0 || this->WatchIndex().has_value();
 }
 
-// Zones are emptied rarely: a few hosts see it and tell the others.
-bool RelayHost::Parts::WatchesZones() const {
+// Zones are emptied rarely, so only a few hosts watch this kind and pass
+// changes on.
+bool RelayHost::Impl::IsZoneWatcher() const {
   return this->exchange.PeersAlive() == 0 ||
-         this->WatchPlace().value_or(kZoneWatchers) < kZoneWatchers;
+         this->WatchIndex().value_or(kZoneWatchers) < kZoneWatchers;
 }
 
-std::int64_t RelayHost::Parts::StaggerMs() const {
+std::int64_t RelayHost::Impl::StaggerMs() const {
   return this->settings.policy.staggers_watches
-             ? WatchStaggerMs(this->WatchPlace().value_or(0))
+             ? WatchStaggerMs(this->WatchIndex().value_or(0))
              : 0;
 }
 
-void RelayHost::Parts::TakeHosts(const std::vector<EntryHost>& known) {
+void RelayHost::Impl::ApplyHosts(const std::vector<EntryHost>& known) {
   HostList list;
   list.as_of_unix_ms = this->clock.WallMs();
   std::vector<DatagramPeer> loads;
@@ -265,8 +279,8 @@
         {host.name, host.address, static_cast<std::uint16_t>(host.loads_port)});
   }
   this->hosts.Apply(list);
-  this->ShareArrivals();
-  this->gone_hosts.SetKnown(known);
+  this->DivideRateLimits();
+  this->dead_hosts.SetKnown(known);
   this->hub.SetPeers(loads);
   this->budgets.SetHosts(static_cast<int>(known.size()));
 }
--- a/src/serve/relay_limits.cc
+++ b/src/serve/relay_limits.cc
@@ -6,15 +6,16 @@
 namespace meadowthread {
 namespace {
 
-// Descriptors kept for listeners, the store, peers and files.
-constexpr int kKeptDescriptors = 400;
-// A host with fewer descriptors still serves a few callers.
-constexpr int kLeastConnections = 16;
-// Of the memory, for requests that are not whole yet.
-constexpr std::int64_t kHeldMemoryPart = 5;
+// File descriptors reserved for listeners, the store, peers and files. Of
+// the others, each connection counts for two.
+constexpr int kReservedDescriptors = 400;
+// Lower bound of connections if file descriptors are scarce.
+constexpr int kMinConnections = 16;
+// A fifth of the memory is for requests that are not fully received yet.
+constexpr std::int64_t kHeldMemoryDivisor = 5;
 constexpr std::int64_t kMebibyte = std::int64_t{1} << 20;
 
-void TakeWhereSet(std::int64_t from, std::int64_t* to) {
+void OverrideIfSet(std::int64_t from, std::int64_t* to) {
   if (from > 0) {
     *to = from;
   }
@@ -23,16 +24,16 @@
 }  // namespace
 
 ServerLimits RelayLimitsOf(const RelayBoundSettings& bounds,
-                           const RoutingConfig* plan) {
+                           const RoutingConfig* config) {
   ServerLimits limits;
-  limits.max_connections = static_cast<std::size_t>(
-      std::max(kLeastConnections, (bounds.descriptors - kKeptDescriptors) / 2));
-  limits.max_held_bytes = bounds.memory_mb * kMebibyte / kHeldMemoryPart;
-  if (plan != nullptr) {
-    TakeWhereSet(plan->bounds.max_header_bytes, &limits.max_header_bytes);
-    TakeWhereSet(plan->bounds.max_body_bytes, &limits.max_body_bytes);
-    TakeWhereSet(plan->bounds.header_timeout_ms, &limits.header_timeout_ms);
-    TakeWhereSet(plan->bounds.idle_timeout_ms, &limits.idle_timeout_ms);
+  limits.max_connections = static_cast<std::size_t>(std::max(
+      kMinConnections, (bounds.descriptors - kReservedDescriptors) / 2));
+  limits.max_held_bytes = bounds.memory_mb * kMebibyte / kHeldMemoryDivisor;
+  if (config != nullptr) {
+    OverrideIfSet(config->bounds.max_header_bytes, &limits.max_header_bytes);
+    OverrideIfSet(config->bounds.max_body_bytes, &limits.max_body_bytes);
+    OverrideIfSet(config->bounds.header_timeout_ms, &limits.header_timeout_ms);
+    OverrideIfSet(config->bounds.idle_timeout_ms, &limits.idle_timeout_ms);
   }
   return limits;
 }
--- a/src/serve/relay_limits.h
+++ b/src/serve/relay_limits.h
@@ -7,12 +7,12 @@
 
 namespace meadowthread {
 
-/// @brief What callers may send and hold.
-/// @param[in] bounds of this host
-/// @param[in] plan in force, null while there is none; what it does not bound
-/// keeps the server's own limit
+/// @brief The HTTP server's limits on what callers may send and hold.
+/// @param[in] bounds settings of this host
+/// @param[in] config routing configuration in force, or null; limits that it
+/// does not set keep the server's default
 ServerLimits RelayLimitsOf(const RelayBoundSettings& bounds,
-                           const RoutingConfig* plan);
+                           const RoutingConfig* config);
 
 }  // namespace meadowthread
 
--- a/src/serve/relay_metrics.h
+++ b/src/serve/relay_metrics.h
@@ -9,18 +9,19 @@
 
 namespace meadowthread {
 
-/// @brief What a relay host counts, for its metrics address.
+/// @brief The metrics of a relay host, served at its metrics port.
 class RelayMetrics final : public RelayObserver {
  public:
   RelayMetrics();
 
   void OnRequestEnded(const RelayRequestSummary& end) override;
 
-  /// @brief A document of the store was read that names nothing to use.
-  /// @param[in] field at fault, empty where the document's bytes are
+  /// @brief Counts a read of an invalid document in the store.
+  /// @param[in] kind object kind of the document
+  /// @param[in] field invalid field; empty if the document cannot be parsed
   void OnEntryRefused(std::string_view kind, std::string_view field);
 
-  /// @brief Sets a gauge of the host itself.
+  /// @brief Sets a gauge of the host's own state.
   void SetState(std::string_view what, double value);
 
   std::string Text() const { return this->registry.Text(); }
--- a/src/serve/relay_platform.h
+++ b/src/serve/relay_platform.h
@@ -15,44 +15,52 @@
 
 namespace meadowthread {
 
-/// @brief Where a relay host finds what it needs in the store.
+/// @brief The kinds and names of the store objects that a relay host reads and
+/// writes.
 struct RelayKinds {
-  std::string plan;        ///< kind of the configuration
-  std::string plan_name;   ///< its object
+  std::string plan;        ///< kind of the routing configuration
+  std::string plan_name;   ///< name of its object
   std::string backends;    ///< kind of the backend servers' entries
   std::string hosts;       ///< kind of the entry hosts' own entries
-  std::string quarantine;  ///< kind of the records of the quarantine
-  /// Kind of the objects named after availability zones that are emptied.
+  std::string quarantine;  ///< kind of the crash records
+  /// Kind of the objects that mark availability zones as emptied, each named
+  /// after its zone.
   std::string emptied_zones;
 };
 
-/// @brief All that depends on the platform a relay host runs on.
+/// @brief Everything that depends on the platform that a relay host runs on:
+/// object names, store access and protocols.
 class RelayPlatform {
  public:
   virtual ~RelayPlatform() = default;
 
+  /// @brief The kinds and names of the store objects.
   virtual const RelayKinds& Kinds() const = 0;
 
-  /// @brief The store's client.
-  /// @param[in] client outlives it
+  /// @brief Creates the client of the store.
+  /// @param[in] client outlives the result
+  /// @param[in] url address of the store
   virtual std::unique_ptr<ObjectStore> MakeStore(HttpClient& client,
                                                  std::string_view url) = 0;
 
-  /// @brief Calls to engines.
+  /// @brief Creates the client for control calls to engines.
   virtual std::unique_ptr<EngineControl> MakeControl(HttpClient& client) = 0;
 
+  /// @brief The protocol spoken with callers.
   virtual const CallerProtocol& Callers() const = 0;
+  /// @brief The protocol spoken with backend servers.
   virtual const BackendProtocol& Backends() const = 0;
 
-  /// @brief The path that asks whether the host takes traffic.
+  /// @brief Path at which the load balancer checks readiness.
   virtual std::string_view ReadyPath() const = 0;
 
-  /// @brief Reads a configuration; an error names the field at fault.
+  /// @brief Parses a routing configuration; an error names the invalid field.
   virtual absl::StatusOr<RoutingConfig> ReadPlan(
       std::string_view text) const = 0;
 
-  /// @brief Reads a backend server's entry.
-  /// @param[in] id its name in the store
+  /// @brief Parses a backend server's entry.
+  /// @param[in] id name of the entry in the store
+  /// @param[in] text the entry as stored
   virtual absl::StatusOr<BackendEntry> ReadBackend(
       std::string_view id, std::string_view text) const = 0;
 };
--- a/src/serve/serve.h
+++ b/src/serve/serve.h
@@ -5,7 +5,7 @@
 
 namespace meadowthread {
 
-/// @brief Runs an entry host until it is told to stop and its work is done.
+/// @brief Runs an entry host until a stop is requested and its work is done.
 /// @return the process's exit code
 int RunServe(const Settings& settings);
 
--- a/src/serve/steady_clock.h
+++ b/src/serve/steady_clock.h
@@ -7,8 +7,9 @@
 
 namespace meadowthread {
 
-/// @brief Unix time as it stood at the start, moved on by the steady clock: a
-/// host whose time of day is set anew keeps its own count.
+/// @brief A wall clock that takes the Unix time once at its creation and then
+/// advances with the monotonic clock, so that adjustments of the system time do
+/// not affect it.
 class SteadyClock final : public Clock {
  public:
   SteadyClock()
--- a/src/serve/termination.cc
+++ b/src/serve/termination.cc
@@ -22,11 +22,12 @@
 
 }  // namespace
 
-Termination::Termination(std::function<void()> asked,
-                         std::function<void()> reload)
-    : asked(std::move(asked)), reload(std::move(reload)) {
-  const sigset_t set = Signals(static_cast<bool>(this->reload));
-  // Before any thread is started, so that all of them leave the signals alone.
+Termination::Termination(std::function<void()> on_stop,
+                         std::function<void()> on_reload)
+    : on_stop(std::move(on_stop)), on_reload(std::move(on_reload)) {
+  const sigset_t set = Signals(static_cast<bool>(this->on_reload));
+  // Must run before any thread is started, so that all threads inherit the
+  // blocked signals.
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
   this->descriptor = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   this->notifier = std::make_unique<QSocketNotifier>(this->descriptor,
@@ -43,7 +44,7 @@
 void Termination::Read() {
   signalfd_siginfo info;
   while (read(this->descriptor, &info, sizeof(info)) == sizeof(info)) {
-    (info.ssi_signo == SIGHUP ? this->reload : this->asked)();
+    (info.ssi_signo == SIGHUP ? this->on_reload : this->on_stop)();
   }
 }
 
--- a/src/serve/termination.h
+++ b/src/serve/termination.h
@@ -10,10 +10,11 @@
 /// @brief Delivers SIGTERM, SIGINT and SIGHUP on the event loop.
 class Termination {
  public:
-  /// @param[in] asked called once for each SIGTERM and SIGINT
-  /// @param[in] reload called once for each SIGHUP; none: it ends the process
-  explicit Termination(std::function<void()> asked,
-                       std::function<void()> reload = nullptr);
+  /// @param[in] on_stop called once for each SIGTERM and SIGINT
+  /// @param[in] on_reload called once for each SIGHUP; if null, SIGHUP is not
+  /// handled and terminates the process
+  explicit Termination(std::function<void()> on_stop,
+                       std::function<void()> on_reload = nullptr);
   ~Termination();
   Termination(const Termination&) = delete;
   Termination& operator=(const Termination&) = delete;
@@ -21,8 +22,8 @@
  private:
   void Read();
 
-  std::function<void()> asked;
-  std::function<void()> reload;
+  std::function<void()> on_stop;
+  std::function<void()> on_reload;
   int descriptor;
   std::unique_ptr<QSocketNotifier> notifier;
 };
--- a/src/serve/tests/engine_listing_test.cc
+++ b/src/serve/tests/engine_listing_test.cc
@@ -1,4 +1,4 @@
-// What the choice of an engine knows of a listed server.
+// How backend servers are described to the engine choosers.
 #include "serve/engine_listing.h"
 
 #include <criterion/criterion.h>
@@ -24,28 +24,29 @@
   return service;
 }
 
-Test(an_engine, has_the_models_of_its_service_and_its_own) {
+Test(an_engine, has_the_models_of_its_service_and_of_its_entry) {
   const ManualClock clock{1'000};
   const ServiceRule service = Pool();
-  const EngineListing listing = ListingOf(Listed(), &service, clock);
+  const EngineListing listing = MakeEngineListing(Listed(), &service, clock);
   cr_assert(listing.models.size() == 2 && !listing.leaving);
 }
 
-// Streams go to whoever has their model.
-Test(a_server, has_no_models_unless_its_service_is_configured_with_engines) {
+// Streams are sent to any engine that has their model, so a plain server must
+// not be listed with models.
+Test(a_server, has_no_models_unless_its_service_has_engines) {
   const ManualClock clock{1'000};
-  cr_assert(ListingOf(Listed(), nullptr, clock).models.empty());
+  cr_assert(MakeEngineListing(Listed(), nullptr, clock).models.empty());
   ServiceRule plain;
   plain.name = "pool";
-  cr_assert(ListingOf(Listed(), &plain, clock).models.empty());
+  cr_assert(MakeEngineListing(Listed(), &plain, clock).models.empty());
 }
 
-Test(an_engine, whose_entry_names_it_no_more_is_as_one_that_leaves) {
+Test(an_engine, whose_entry_became_invalid_counts_as_leaving) {
   const ManualClock clock{1'000};
   const ServiceRule service = Pool();
   Backend backend = Listed();
   backend.entry_valid = false;
-  cr_assert(ListingOf(backend, &service, clock).leaving);
+  cr_assert(MakeEngineListing(backend, &service, clock).leaving);
 }
 
 }  // namespace
--- a/src/serve/tests/load_notes_test.cc
+++ b/src/serve/tests/fleet_load_adapter_test.cc
@@ -1,4 +1,4 @@
-#include "serve/load_notes.h"
+#include "serve/fleet_load_adapter.h"
 
 #include <criterion/criterion.h>
 
@@ -9,9 +9,9 @@
 
 constexpr std::int64_t kNow = 1'000'000;
 
-/// @brief A fleet of one engine, as one host sees it.
-struct Side {
-  explicit Side(std::string_view host)
+/// @brief A host with its view of a fleet of one engine.
+struct LoadHost {
+  explicit LoadHost(std::string_view host)
       : fleet(this->lengths), notes(host, this->clock, this->fleet) {
     this->fleet.SetEngine({"e1", "pasig-hall", true, false}, kNow);
     LoadReport report;
@@ -24,7 +24,7 @@
   LearnedLengthModel lengths;
   ManualClock clock{kNow};
   FleetState fleet;
-  LoadNotes notes;
+  FleetLoadAdapter notes;
 };
 
 WorkItem Work() {
@@ -37,24 +37,24 @@
   return work;
 }
 
-Test(a_load_note, brings_a_hosts_work_into_its_peers_forecast) {
-  Side one("entry-1");
-  Side two("entry-2");
+Test(a_load_note, adds_a_hosts_work_to_its_peers_forecast) {
+  LoadHost one("entry-1");
+  LoadHost two("entry-2");
   one.fleet.NoteSent(Work(), "e1", kNow);
   const auto notes = one.notes.NotesFor("entry-2", 16);
   cr_assert(notes.size() == 1);
   cr_assert(two.fleet.Forecast(0, kNow).PeakMean() < 1.0);
   two.notes.OnNotes("entry-1", notes);
-  const double told = two.fleet.Forecast(0, kNow).PeakMean();
+  const double seen = two.fleet.Forecast(0, kNow).PeakMean();
   const double own = one.fleet.Forecast(0, kNow).PeakMean();
   cr_assert(own > 100.0);
-  cr_assert(told > own - 2.0 && told < own + 2.0);
+  cr_assert(seen > own - 2.0 && seen < own + 2.0);
   cr_assert(two.fleet.InFlight(0, kNow) == 1);
 }
 
-Test(a_load_note, tells_that_the_work_has_ended) {
-  Side one("entry-1");
-  Side two("entry-2");
+Test(a_load_note, reports_that_the_work_has_ended) {
+  LoadHost one("entry-1");
+  LoadHost two("entry-2");
   one.fleet.NoteSent(Work(), "e1", kNow);
   two.notes.OnNotes("entry-1", one.notes.NotesFor("entry-2", 16));
   one.clock.Advance(300);
@@ -63,8 +63,8 @@
   cr_assert(two.fleet.InFlight(0, kNow + 300) == 0);
 }
 
-Test(a_load_note, with_an_outlook_of_another_length_is_passed_over) {
-  Side two("entry-2");
+Test(a_load_note, with_an_outlook_of_the_wrong_length_is_ignored) {
+  LoadHost two("entry-2");
   EngineLoadNote note;
   note.engine = "e1";
   note.in_flight = 5;
--- a/src/serve/tests/host_entries_test.cc
+++ b/src/serve/tests/host_entries_test.cc
@@ -1,4 +1,5 @@
-// The entries of entry hosts in the store, among those of other writers.
+// The entries of entry hosts in the store, including invalid entries by other
+// writers.
 #include "serve/host_entries.h"
 
 #include <criterion/criterion.h>
@@ -23,23 +24,23 @@
            {{"address", "\"10.0.0.2\""},
             {"control_port", "8748"},
             {"loads_port", "7200"}}}) {
-    const std::string_view told = name == field ? to : value;
-    if (!told.empty()) {
+    const std::string_view json_value = name == field ? to : value;
+    if (!json_value.empty()) {
       text.append(text.size() > 1 ? "," : "").append("\"");
-      text.append(name).append("\":").append(told);
+      text.append(name).append("\":").append(json_value);
     }
   }
   return text + "}";
 }
 
-Test(a_hosts_entry, is_read_as_it_was_written) {
+Test(a_host_entry, is_decoded_as_it_was_encoded) {
   cr_assert(*DecodeEntryHost("a", EncodeEntryHost(kSelf)) == kSelf);
   EntryHost odd = kSelf;
   odd.zone = "\xff";
   cr_assert(DecodeEntryHost("a", EncodeEntryHost(odd)).ok());
 }
 
-Test(a_hosts_entry, of_another_writer_names_no_host_and_the_field_at_fault) {
+Test(a_host_entry, that_is_invalid_gives_an_error_with_the_field) {
   cr_assert(DecodeEntryHost("b", With("", "")).ok());
   for (const char* const port :
        {"", "null", "\"80\"", "80.5", "-1", "65536", "4294967376",
@@ -62,26 +63,27 @@
   }
 }
 
-struct Story {
+struct Fixture {
   static constexpr std::array<std::string_view, 1> kKinds = {"hosts"};
   MemoryStore store;
   ManualClock clock{1'000'000};
   ManualScheduler scheduler{&this->clock};
   ReplicatedView view{this->clock, kKinds};
-  HostEntries entries{"hosts", kSelf, this->store, this->view, this->scheduler};
+  EntryHostRegistry entries{"hosts", kSelf, this->store, this->view,
+                            this->scheduler};
   std::vector<EntryHost> known;
   int refused = 0;
 
-  Story() {
+  Fixture() {
     this->entries.SetListener(
         [this](const std::vector<EntryHost>& hosts) { this->known = hosts; });
     this->entries.OnRead([this](const StoredObject&, const absl::Status& read) {
       this->refused += read.ok() ? 0 : 1;
     });
     this->entries.Announce();
-    this->Pass(0);
+    this->AdvanceTime(0);
   }
-  void Pass(std::int64_t ms) {
+  void AdvanceTime(std::int64_t ms) {
     this->store.Settle();
     this->clock.Advance(ms);
     this->scheduler.RunDue();
@@ -99,42 +101,43 @@
   }
 };
 
-Test(another_writers_entry, costs_the_other_hosts_nothing) {
-  Story story;
+Test(an_invalid_entry, does_not_affect_the_other_hosts) {
+  Fixture fixture;
   EntryHost other = kSelf;
   other.name = "b";
-  story.Write("b", EncodeEntryHost(other));
-  story.Write("c", "{\"address\":7}");
-  story.Write("d", "\xff\xfe");
-  story.Pass(100);
-  cr_assert(story.known.size() == 2 && story.refused == 2);
-  story.Pass(100);
-  cr_assert(story.refused == 2, "told when it changes, not with each reading");
-  story.Write("c", With("", ""));
-  story.Pass(100);
-  cr_assert(story.known.size() == 3, "one that becomes good names a host");
+  fixture.Write("b", EncodeEntryHost(other));
+  fixture.Write("c", "{\"address\":7}");
+  fixture.Write("d", "\xff\xfe");
+  fixture.AdvanceTime(100);
+  cr_assert(fixture.known.size() == 2 && fixture.refused == 2);
+  fixture.AdvanceTime(100);
+  cr_assert(fixture.refused == 2, "reported when it changes, not at each read");
+  fixture.Write("c", With("", ""));
+  fixture.AdvanceTime(100);
+  cr_assert(fixture.known.size() == 3,
+            "an entry that became valid adds a host");
 }
 
-Test(another_writers_entry, in_place_of_a_hosts_own_is_written_over) {
-  Story story;
-  cr_assert(story.known.size() == 1);
-  story.Write("a", "7");
-  story.Pass(100);
-  cr_assert(story.known.empty());
-  story.Pass(1'000);
-  cr_assert(story.known.size() == 1 && story.known[0] == kSelf);
+Test(an_invalid_entry, in_place_of_a_hosts_own_is_overwritten) {
+  Fixture fixture;
+  cr_assert(fixture.known.size() == 1);
+  fixture.Write("a", "7");
+  fixture.AdvanceTime(100);
+  cr_assert(fixture.known.empty());
+  fixture.AdvanceTime(1'000);
+  cr_assert(fixture.known.size() == 1 && fixture.known[0] == kSelf);
 }
 
-Test(another_hosts_entry, in_place_of_a_hosts_own_stays) {
-  Story story;
+Test(another_hosts_entry, in_place_of_a_hosts_own_is_kept) {
+  Fixture fixture;
   EntryHost other = kSelf;
   other.address = "10.0.0.9";
-  story.Write("a", EncodeEntryHost(other));
-  story.Pass(100);
-  const int writes = story.store.WriteCalls();
-  story.Pass(60'000);
-  cr_assert(story.store.WriteCalls() == writes,
-            "two hosts of one name do not take turns for ever");
+  fixture.Write("a", EncodeEntryHost(other));
+  fixture.AdvanceTime(100);
+  const int writes = fixture.store.WriteCalls();
+  fixture.AdvanceTime(60'000);
+  cr_assert(fixture.store.WriteCalls() == writes,
+            "two hosts of the same name do not overwrite each other");
 }
 
 }  // namespace
--- a/src/serve/tests/watcher_choice_test.cc
+++ b/src/serve/tests/watcher_choice_test.cc
@@ -17,7 +17,7 @@
   return names;
 }
 
-// How many of the hosts watch while each is answered by all others.
+// Number of hosts that watch if each reaches all others.
 int WatchersOf(int hosts, const std::set<std::string_view>& failed = {}) {
   const std::vector<std::string> names = NamesOf(hosts);
   int watchers = 0;
@@ -28,43 +28,43 @@
         answering.push_back({name, !failed.contains(name)});
       }
     }
-    watchers += WatchesStore(self, answering, names.size()) ? 1 : 0;
+    watchers += WatcherIndex(self, answering, names.size()) ? 1 : 0;
   }
   return watchers;
 }
 
-Test(hosts_that_watch_the_store, are_all_of_a_few) {
+Test(store_watchers, are_all_hosts_of_a_small_fleet) {
   cr_assert(WatchersOf(1) == 1);
   cr_assert(WatchersOf(4) == 4);
 }
 
-// Each event costs a call of each of them: their number must not grow with the
-// fleet.
-Test(hosts_that_watch_the_store,
-     are_four_or_one_in_seventeen_and_at_most_eight) {
+// Each event costs a call by each watcher, so their number must not grow with
+// the fleet.
+Test(store_watchers, are_one_host_in_seventeen_at_least_four_at_most_eight) {
   cr_assert(WatchersOf(15) == 4 && WatchersOf(66) == 4);
   cr_assert(WatchersOf(100) == 6);
   cr_assert(WatchersOf(350) == 8);
 }
 
-// The pattern: engines that come and go several times a second. Hosts that all
-// watched on at once were all answered by each event.
-Test(hosts_that_watch_the_store, watch_on_one_after_the_other) {
+// Guards against superfluous calls while engines come and go several times a
+// second: if all watchers started their next watch at once, each event would
+// answer all of them.
+Test(store_watchers, start_their_next_watches_one_after_the_other) {
   cr_assert(WatchStaggerMs(0) == 0);
   for (int place = 1; place < 4; ++place) {
     cr_assert(WatchStaggerMs(place) > WatchStaggerMs(place - 1));
   }
-  cr_assert(WatchStaggerMs(20) == WatchStaggerMs(3), "none stands idle");
+  cr_assert(WatchStaggerMs(20) == WatchStaggerMs(3), "the delay is bounded");
 }
 
-Test(hosts_that_watch_the_store, come_anew_where_others_do_not_answer) {
+Test(store_watchers, include_a_host_that_no_peer_answers) {
   const std::vector<WatchPeer> none;
-  cr_assert(WatchesStore("entry-0", none, 350));
+  cr_assert(WatcherIndex("entry-0", none, 350));
 }
 
-// The pattern: the store turns away some hosts, all that watch it among them,
-// and answers the rest, which heard nothing for seconds.
-Test(hosts_that_watch_the_store, are_replaced_where_it_fails_them) {
+// Guards against missed changes when the store rejects some hosts, among them
+// all watchers: the others, which it would answer, got no changes for seconds.
+Test(store_watchers, are_replaced_if_their_reads_fail) {
   const std::vector<std::string> names = NamesOf(9);
   std::vector<WatchPeer> peers;
   peers.reserve(names.size());
@@ -74,15 +74,16 @@
   const std::vector<std::string> watchers = StoreReaders(peers);
   cr_assert(watchers.size() == 4);
   const std::set<std::string_view> failed(watchers.begin(), watchers.end());
-  cr_assert(WatchersOf(9, failed) == 8, "four others beside them");
+  cr_assert(WatchersOf(9, failed) == 8, "four others besides them");
   for (WatchPeer& peer : peers) {
     peer.sees_store = !failed.contains(peer.name);
   }
-  cr_assert(StoreReaders(peers).size() == 8, "both know when it answered");
+  cr_assert(StoreReaders(peers).size() == 8, "watchers and replaced ones");
 }
 
-// The pattern: the store is away for all; each failing call of a host costs.
-Test(hosts_that_watch_the_store, are_not_all_where_it_fails_everybody) {
+// Guards against a flood of failing calls while the store is down for all
+// hosts.
+Test(store_watchers, stay_limited_if_the_reads_of_all_hosts_fail) {
   const std::vector<std::string> names = NamesOf(350);
   const std::set<std::string_view> failed(names.begin(), names.end());
   cr_assert(WatchersOf(350, failed) == 16);
--- a/src/serve/text_service.h
+++ b/src/serve/text_service.h
@@ -10,7 +10,8 @@
 
 namespace meadowthread {
 
-/// @brief Answers the balancer's question at one path: 200 or 503.
+/// @brief Answers the load balancer's readiness check at one path with 200 or
+/// 503.
 class ReadyService final : public HttpService {
  public:
   ReadyService(std::string_view path, std::function<bool()> is_ready)
@@ -24,7 +25,7 @@
   std::function<bool()> is_ready;
 };
 
-/// @brief Tells a text at one path.
+/// @brief Serves a plain text at one path.
 class TextService final : public HttpService {
  public:
   TextService(std::string_view path, std::function<std::string()> text)
--- a/src/serve/watcher_choice.cc
+++ b/src/serve/watcher_choice.cc
@@ -8,15 +8,16 @@
 namespace meadowthread {
 namespace {
 
-// Hosts that watch the store. A third of the hosts may lose it at once: with
-// four, or one in seventeen where there are many, some still see it; with eight
-// that fails once in 6,000 times. Each event costs a call of each of them.
-constexpr std::ptrdiff_t kLeastWatchers = 4;
-constexpr std::ptrdiff_t kMostWatchers = 8;
-constexpr double kWatcherPart = 0.06;
-// Four hosts watch for a second and a half each, one after the other.
+// Number of hosts that watch the store: one in seventeen, within these bounds.
+// A third of the hosts may lose contact with the store at once; the number is
+// chosen so that some watchers still reach it then. With eight watchers, none
+// does in one of 6,000 such cases. Each event costs a call by each watcher.
+constexpr std::ptrdiff_t kMinWatchers = 4;
+constexpr std::ptrdiff_t kMaxWatchers = 8;
+constexpr double kWatcherShare = 0.06;
+// Spreads four watches of 1.5 s each over time.
 constexpr std::int64_t kStaggerMs = 350;
-constexpr int kStaggerPlaces = 4;
+constexpr int kStaggerSlots = 4;
 
 std::uint64_t RankOf(std::string_view host) {
   return XXH64(host.data(), host.size(), 0);
@@ -24,29 +25,30 @@
 
 std::ptrdiff_t WatchersAmong(std::size_t hosts) {
   return std::clamp(
-      static_cast<std::ptrdiff_t>(kWatcherPart * static_cast<double>(hosts)),
-      kLeastWatchers, kMostWatchers);
+      static_cast<std::ptrdiff_t>(kWatcherShare * static_cast<double>(hosts)),
+      kMinWatchers, kMaxWatchers);
 }
 
 }  // namespace
 
-// Those whose names' hashes are the lowest among the hosts that answer.
-std::optional<int> WatchesStore(std::string_view self,
+// The watchers are the hosts with the lowest name hashes among those that
+// answer.
+std::optional<int> WatcherIndex(std::string_view self,
                                 std::span<const WatchPeer> answering,
                                 std::size_t known) {
   const std::uint64_t own = RankOf(self);
-  std::ptrdiff_t before = 0;
-  std::ptrdiff_t seeing_before = 0;
+  std::ptrdiff_t lower_ranked = 0;
+  std::ptrdiff_t seeing_lower_ranked = 0;
   for (const WatchPeer& peer : answering) {
-    const bool is_before = RankOf(peer.name) < own;
-    before += is_before ? 1 : 0;
-    seeing_before += is_before && peer.sees_store ? 1 : 0;
+    const bool is_lower_ranked = RankOf(peer.name) < own;
+    lower_ranked += is_lower_ranked ? 1 : 0;
+    seeing_lower_ranked += is_lower_ranked && peer.sees_store ? 1 : 0;
   }
   const std::ptrdiff_t watchers = WatchersAmong(known);
-  if (seeing_before >= watchers || before >= 2 * watchers) {
+  if (seeing_lower_ranked >= watchers || lower_ranked >= 2 * watchers) {
     return std::nullopt;
   }
-  return static_cast<int>(seeing_before);
+  return static_cast<int>(seeing_lower_ranked);
 }
 
 std::vector<std::string> StoreReaders(std::vector<WatchPeer> peers) {
@@ -69,10 +71,11 @@
   return readers;
 }
 
-// Those beyond the first four are there for when these lose the store: what
-// they watch themselves is seldom news.
-std::int64_t WatchStaggerMs(int place) {
-  return kStaggerMs * std::min(place, kStaggerPlaces - 1);
+// Watchers beyond the first four are spares for when these lose contact with
+// the store. Their own watches seldom bring a change that is not known yet, so
+// they share the last slot.
+std::int64_t WatchStaggerMs(int index) {
+  return kStaggerMs * std::min(index, kStaggerSlots - 1);
 }
 
 }  // namespace meadowthread
--- a/src/serve/watcher_choice.h
+++ b/src/serve/watcher_choice.h
@@ -11,36 +11,40 @@
 
 namespace meadowthread {
 
-/// @brief Another host that answers this one.
+/// @brief A peer that answers this host.
 struct WatchPeer {
   std::string_view name;
-  bool sees_store = true;  ///< as far as it told
+  bool sees_store = true;  ///< false if it reported that its reads fail
 };
 
-/// @brief Whether a host watches the store; the others are told by those that
-/// do, as calls to the store cost.
+/// @brief Decides whether a host watches the store. As calls to the store are
+/// expensive, only some hosts watch it and pass on what they read to the
+/// others.
 ///
-/// Hosts that the store fails go on trying, and are replaced by as many others
-/// at the most: where these see nothing either, it is the store that is away.
+/// Watchers whose reads fail keep trying, and are replaced by at most as many
+/// other hosts: if the reads of these fail as well, the store itself is down.
 /// @param[in] self this host's name
-/// @param[in] answering the peers that answer, this host not among them
-/// @param[in] known how many entry hosts there are in all
-/// @return its place among those that watch, from 0; none where it does not
+/// @param[in] answering the peers that answer, without this host
+/// @param[in] known number of all known entry hosts
+/// @return the host's index among the watchers, from 0; nullopt if it does not
+/// watch
 /// @complexity O(answering)
-std::optional<int> WatchesStore(std::string_view self,
+std::optional<int> WatcherIndex(std::string_view self,
                                 std::span<const WatchPeer> answering,
                                 std::size_t known);
 
-/// @brief The hosts among these that read the store lately: those that watch
-/// it, and those that they replaced.
+/// @brief Names of the peers that read the store: the watchers, and those that
+/// they replaced because their reads fail.
 /// @complexity O(peers log peers)
 std::vector<std::string> StoreReaders(std::vector<WatchPeer> peers);
 
-/// @brief How long a host that watches waits after an answer before it watches
-/// on: one event answers all that watch, so that the first watches on at once
-/// and tells the others, whose watches end one after the other then.
-/// @param[in] place as WatchesStore gives it
-std::int64_t WatchStaggerMs(int place);
+/// @brief How long a watcher waits after an answer before its next watch.
+///
+/// An event answers all open watches at once. With the stagger, the first
+/// watcher watches again immediately and passes on changes, and the watches of
+/// the others end one after the other.
+/// @param[in] index as WatcherIndex gives it
+std::int64_t WatchStaggerMs(int index);
 
 }  // namespace meadowthread
 
