--- a/src/serve/crash_record_store.cc
+++ b/src/serve/crash_record_store.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Limits a host to ten writes per second, of the hundreds that all hosts
-// together may make, however many contents crash servers at the same time.
+// together may make, even if many different requests crash servers at once.
 constexpr std::int64_t kWritePeriodMs = 100;
 constexpr std::int64_t kRetryMs = 1'000;
 // The host that saw a crash writes its record. The other hosts write it only
--- a/src/serve/detail/relay_host_impl.h
+++ b/src/serve/detail/relay_host_impl.h
@@ -46,8 +46,8 @@
 
 namespace meadowthread {
 
-/// @brief The components of one host; each depends only on those declared
-/// before it.
+/// @brief The components of one host, declared in the order of their
+/// dependencies.
 class RelayHost::Impl : public StopView {
  public:
   Impl(const RelaySettings& with, RelayPlatform& on);
--- a/src/serve/host_metrics.cc
+++ b/src/serve/host_metrics.cc
@@ -12,13 +12,14 @@
 
 HostMetrics::HostMetrics()
     : requests(this->registry.AddCounter({"meadowthread_requests_total",
-                                          "Generations by how they ended.",
+                                          "Generations by outcome.",
                                           {"workspace", "outcome"}})),
       tokens(this->registry.AddCounter(
           {"meadowthread_tokens_total", "Tokens delivered.", {"workspace"}})),
-      first_token(this->registry.AddSummary({"meadowthread_first_token_seconds",
-                                             "Arrival to first token.",
-                                             {"workspace"}})),
+      first_token(
+          this->registry.AddSummary({"meadowthread_first_token_seconds",
+                                     "Time from arrival to the first token.",
+                                     {"workspace"}})),
       token_gap(this->registry.AddSummary(
           {"meadowthread_token_gap_seconds", "Time between tokens.", {}})),
       longest_gap(this->registry.AddSummary(
@@ -32,7 +33,7 @@
            kMaxEngines})),
       kv_used(this->registry.AddGauge(
           {"meadowthread_engine_kv_used_ratio",
-           "Part of the engine's memory in use, as reported.",
+           "Share of the engine's KV cache in use, as reported.",
            {"engine"},
            kMaxEngines})),
       state(this->registry.AddGauge(
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -116,8 +116,8 @@
   return keys;
 }
 
-/// @brief The components of one host; each depends only on those declared
-/// before it.
+/// @brief The components of one host, declared in the order of their
+/// dependencies.
 class HostProcess::Impl {
  public:
   Impl(const Settings& with, const SecretKeys& keys);
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -44,7 +44,7 @@
 FeederOptions HostEntriesFeederOptions(FeederOptions options) {
   options.wait_ms = 10'000;
   options.pace_ms = 500;
-  // Two watches.
+  // Two watches, each with its wait and answer margin.
   options.self_watch_ms = 22'000;
   return options;
 }
@@ -54,7 +54,7 @@
 FeederOptions QuarantineFeederOptions(FeederOptions options) {
   options.wait_ms = 25'000;
   options.pace_ms = 500;
-  // Two watches.
+  // Two watches, each with its wait and answer margin.
   options.self_watch_ms = 52'000;
   return options;
 }
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -65,9 +65,9 @@
     return;
   }
   absl::StatusOr<RoutingConfig> read =
-      object.deleted
-          ? absl::StatusOr<RoutingConfig>(absl::NotFoundError("it was removed"))
-          : this->platform.ReadPlan(object.value);
+      object.deleted ? absl::StatusOr<RoutingConfig>(
+                           absl::NotFoundError("the configuration was removed"))
+                     : this->platform.ReadPlan(object.value);
   this->ReportReadResult(object, read.status());
   if (read.ok()) {
     this->routing_config.Activate(*std::move(read), object.version);
@@ -114,8 +114,8 @@
          this->routing_config.FindService(entry.service) == nullptr;
 }
 
-// Applies the entries again that were invalid: the services that they name may
-// be configured now.
+// Applies invalid entries again, as the services that they name may be
+// configured now.
 void RelayHost::Impl::RetryInvalidBackends() {
   std::vector<std::string> invalid_ids;
   for (const Backend* const backend : this->backends.All()) {
@@ -142,7 +142,8 @@
     this->fleet.RemoveEngine(backend.key);
     this->rate_limiter.Remove(backend.key);
     this->health.Forget(backend.key);
-    // Requests that still end there create the health record again.
+    // Requests that still end there create the health record again, so it is
+    // removed once more after the last of them.
     this->scheduler.After(kLastRequestsEndMs, [this, key = backend.key] {
       this->health.Forget(key);
     });
--- a/src/serve/relay_metrics.cc
+++ b/src/serve/relay_metrics.cc
@@ -16,30 +16,32 @@
 RelayMetrics::RelayMetrics()
     : requests(this->registry.AddCounter(
           {"meadowthread_relay_requests_total",
-           "Requests by how they ended.",
+           "Requests by outcome.",
            {"route", "service", "outcome", "reason"}})),
-      attempts(this->registry.AddCounter({"meadowthread_relay_attempts_total",
-                                          "Sendings to backend servers.",
-                                          {"service"}})),
-      moves(
-          this->registry.AddCounter({"meadowthread_relay_moves_total",
-                                     "Streams that went on at another engine.",
-                                     {"service"}})),
-      refused(this->registry.AddCounter(
-          {"meadowthread_relay_entries_refused_total",
-           "Readings of documents in the store that name nothing to use.",
-           {"kind", "field"}})),
+      attempts(this->registry.AddCounter(
+          {"meadowthread_relay_attempts_total",
+           "Attempts to send requests to backend servers.",
+           {"service"}})),
+      moves(this->registry.AddCounter(
+          {"meadowthread_relay_moves_total",
+           "Streams that continued at another engine.",
+           {"service"}})),
+      refused(
+          this->registry.AddCounter({"meadowthread_relay_entries_refused_total",
+                                     "Reads of invalid documents in the store.",
+                                     {"kind", "field"}})),
       first(this->registry.AddSummary(
           {"meadowthread_relay_first_seconds",
-           "Arrival to the answer, or to a stream's first event.",
+           "Time from arrival to the answer, or to a stream's first event.",
            {"route"}})),
       longest_gap(this->registry.AddSummary(
           {"meadowthread_relay_longest_gap_seconds",
            "Longest time between two events of one stream.",
            {"route"}})),
-      total(this->registry.AddSummary({"meadowthread_relay_total_seconds",
-                                       "Arrival to the end.",
-                                       {"route"}})),
+      total(this->registry.AddSummary(
+          {"meadowthread_relay_total_seconds",
+           "Time from arrival to the end of the request.",
+           {"route"}})),
       state(this->registry.AddGauge(
           {"meadowthread_relay_state", "State of this host.", {"what"}})) {}
 
