--- a/src/allocation/allocation_participant.h
+++ b/src/allocation/allocation_participant.h
@@ -47,7 +47,7 @@
 /// engine groups that are assigned to this host.
 class AllocationParticipant final : public AllocationReceiver,
                                     public LoadSink,
-                                    public LoadAudience {
+                                    public LoadRecipients {
  public:
   using AttemptListener = std::function<void(const EngineAttempt& attempt)>;
 
@@ -106,7 +106,7 @@
   void OnNotes(std::string_view host,
                std::span<const EngineLoadNote> notes) override;
 
-  // LoadAudience
+  // LoadRecipients
   bool IsEverybody() const override { return !this->client.IsShared(); }
   std::vector<std::string> HostsFor(std::string_view engine) const override;
 
--- a/src/cli/operator_options.h
+++ b/src/cli/operator_options.h
@@ -25,14 +25,14 @@
 
   /// @brief The halves that the settings file tells of, once Address was
   /// called; nothing without such a file.
-  const std::optional<HalfSettings>& Half() const { return this->half; }
+  const std::optional<DeploymentSettings>& Half() const { return this->half; }
 
  private:
   TCLAP::ValueArg<std::string> object_api;
   TCLAP::ValueArg<std::string> host_list;
   TCLAP::ValueArg<std::string> settings;
   TCLAP::ValueArg<int> timeout_ms;
-  std::optional<HalfSettings> half;
+  std::optional<DeploymentSettings> half;
 };
 
 /// @brief The argument `--author` of commands that change something.
--- a/src/cli/ownership_move_command.cc
+++ b/src/cli/ownership_move_command.cc
@@ -76,10 +76,10 @@
   TCLAP::ValueArg<int> wait_s;
 };
 
-std::string AddressOf(const std::optional<HalfSettings>& half,
+std::string AddressOf(const std::optional<DeploymentSettings>& half,
                       const std::string& name) {
   if (half.has_value()) {
-    for (const HalfAddress& address : half->addresses) {
+    for (const DeploymentAddress& address : half->addresses) {
       if (address.half == name) {
         return address.url;
       }
@@ -115,7 +115,8 @@
   }
 
  private:
-  OwnershipMoverSettings SettingsOf(const std::optional<HalfSettings>& half) {
+  OwnershipMoverSettings SettingsOf(
+      const std::optional<DeploymentSettings>& half) {
     OwnershipMoverSettings settings;
     settings.default_owner = this->arguments.default_owner.getValue();
     if (settings.default_owner.empty() && half.has_value()) {
--- a/src/cli/platform_command.h
+++ b/src/cli/platform_command.h
@@ -19,7 +19,7 @@
   Platform& platform;
   Console& console;
   /// The halves that `--settings` tells of; nothing without such a file.
-  const std::optional<HalfSettings>& half;
+  const std::optional<DeploymentSettings>& half;
 };
 
 /// @brief The arguments of one run, and the run itself.
--- a/src/configuration/service_catalog.cc
+++ b/src/configuration/service_catalog.cc
@@ -138,10 +138,10 @@
   return services;
 }
 
-CallRule ServiceCatalog::RuleOf(std::string_view workspace,
-                                std::string_view service,
-                                std::string_view method,
-                                std::string_view path) const {
+RepeatRule ServiceCatalog::RuleOf(std::string_view workspace,
+                                  std::string_view service,
+                                  std::string_view method,
+                                  std::string_view path) const {
   // Servers differ in how they interpret unusual spellings of a path. A call
   // that matches no rule here but reaches the marked resource there could be
   // run twice.
@@ -151,11 +151,11 @@
   for (const ServicePtr& each : this->ServicesOf(workspace)) {
     for (const NonRepeatableCalls& calls : each->not_repeatable.services) {
       if (Matches(calls, service, upper, normal)) {
-        return CallRule{true, each->not_repeatable.key_form};
+        return RepeatRule{true, each->not_repeatable.key_form};
       }
     }
   }
-  return CallRule{};
+  return RepeatRule{};
 }
 
 std::vector<std::string> ServiceCatalog::Workspaces() const {
--- a/src/configuration/tests/view_feeder_test.cc
+++ b/src/configuration/tests/view_watcher_test.cc
@@ -1,4 +1,4 @@
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 
 #include <criterion/criterion.h>
 
@@ -61,13 +61,13 @@
   ManualScheduler scheduler{&this->clock};
   ReplicatedView view{this->clock, kKinds};
   bool is_watcher = true;
-  KindFeeder synchronizer{kTemplatesKind,
-                          this->store,
-                          this->view,
-                          this->scheduler,
-                          this->clock,
-                          {.host = "a", .seed = 1},
-                          [this] { return this->is_watcher; }};
+  KindWatcher watcher{kTemplatesKind,
+                      this->store,
+                      this->view,
+                      this->scheduler,
+                      this->clock,
+                      {.host = "a", .seed = 1},
+                      [this] { return this->is_watcher; }};
 
   void Write(std::string_view name, std::int64_t expected) {
     this->store.Put("templates", name, "x", expected, [](const auto&) {});
@@ -93,7 +93,7 @@
 Test(a_watching_host, lists_once_and_then_follows_changes) {
   Fixture f;
   f.Write("x", 0);
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(50);
   cr_assert(f.VersionOf("x") == 1 && f.store.lists == 1);
   f.Write("x", 1);
@@ -106,7 +106,7 @@
 Test(a_watching_host, repairs_what_watches_lost) {
   Fixture f;
   f.Write("y", 0);
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(50);
   f.store.loses_events = true;
   f.Write("x", 0);
@@ -124,7 +124,7 @@
 Test(a_non_watching_host, reads_the_store_on_request) {
   Fixture f;
   f.Write("x", 0);
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(50);
   f.is_watcher = false;
   // The view was confirmed recently, so the host doesn't read.
@@ -132,7 +132,7 @@
   f.Write("x", 1);
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 1);
-  f.synchronizer.Hurry();
+  f.watcher.Hurry();
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 2);
   // The request holds for one read only.
@@ -143,7 +143,7 @@
 
 Test(a_watching_host, lists_again_when_its_revision_is_gone) {
   Fixture f;
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(500);
   const int lists = f.store.lists;
   f.store.revision_gone = true;
@@ -154,7 +154,7 @@
 Test(a_watching_host, lists_after_a_malformed_watch_response) {
   Fixture f;
   f.Write("x", 0);
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(500);
   f.store.malformed = true;
   f.Write("x", 1);
@@ -168,29 +168,27 @@
   Fixture f;
   f.Write("x", 0);
   f.store.memory.SetDown(true);
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(60'000);
-  cr_assert(f.synchronizer.State().stalled &&
-            f.synchronizer.State().failures > 5);
+  cr_assert(f.watcher.State().stalled && f.watcher.State().failures > 5);
   cr_assert(f.store.lists < 20);
   f.store.memory.SetDown(false);
   f.Run(16'000);
   cr_assert(f.VersionOf("x") == 1);
-  cr_assert(!f.synchronizer.State().stalled &&
-            f.synchronizer.State().failures == 0);
+  cr_assert(!f.watcher.State().stalled && f.watcher.State().failures == 0);
 }
 
 Test(a_watching_host, times_out_a_call_that_is_never_answered) {
   Fixture f;
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(50);
   f.store.drops_watches = true;
   f.Run(16'000);
-  cr_assert(f.synchronizer.State().stalled);
+  cr_assert(f.watcher.State().stalled);
   f.store.drops_watches = false;
   f.Write("x", 0);
   f.Run(16'000);
-  cr_assert(f.VersionOf("x") == 1 && !f.synchronizer.State().stalled);
+  cr_assert(f.VersionOf("x") == 1 && !f.watcher.State().stalled);
   {  // the old call is answered late
     const StoredObject item = {"templates", "z", 9, "late", false};
     f.store.unanswered.front()(ObjectList{9, {item}});
@@ -202,29 +200,28 @@
 // Failure: a connection stalls while the store itself still works.
 Test(a_watching_host, uses_another_connection_when_a_watch_is_overdue) {
   Fixture f;
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.store.drops_waiting_watches = true;
   f.Run(500);
   f.Write("x", 0);
   f.Run(10'000);
   cr_assert(f.VersionOf("x") == 0, "its watch may still be answered");
   f.Run(1'000);
-  cr_assert(f.VersionOf("x") == 1 && !f.synchronizer.State().stalled);
+  cr_assert(f.VersionOf("x") == 1 && !f.watcher.State().stalled);
 }
 
 // Failure: the store recovers while a host backs off, and no object changes, so
 // a watch that waits for changes would not show the recovery.
 Test(a_watching_host, notices_the_recovery_without_waiting_for_changes) {
   Fixture f;
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(50);
   f.store.memory.SetDown(true);
   f.Run(30'000);
-  cr_assert(f.synchronizer.State().stalled);
+  cr_assert(f.watcher.State().stalled);
   f.store.memory.SetDown(false);
   f.Run(15'000);
-  cr_assert(!f.synchronizer.State().stalled,
-            "within one backoff of ten seconds");
+  cr_assert(!f.watcher.State().stalled, "within one backoff of ten seconds");
 }
 
 Test(a_watching_host, counts_stale_reads_and_keeps_its_state) {
@@ -232,10 +229,9 @@
   f.Write("x", 0);
   f.view.ApplyList("templates", 0, {9, {{"templates", "x", 8, "new", false}}},
                    {1, "b"});
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(1000);
-  cr_assert(f.synchronizer.State().stale_reads > 0 &&
-            f.synchronizer.State().stalled);
+  cr_assert(f.watcher.State().stale_reads > 0 && f.watcher.State().stalled);
   cr_assert(f.VersionOf("x") == 8 && f.Confirmed().by == "b");
 }
 
@@ -244,10 +240,10 @@
   f.is_watcher = false;
   f.Write("x", 0);
   f.view.ApplyList("templates", 0, {0, {}}, {f.clock.WallMs(), "b"});
-  f.synchronizer.Start();
+  f.watcher.Start();
   f.Run(20'000);
   cr_assert(f.store.lists + f.store.watches == 0);
-  cr_assert(!f.synchronizer.State().watching);
+  cr_assert(!f.watcher.State().watching);
   f.Run(15'000);
   cr_assert(f.store.lists + f.store.watches > 0);
   cr_assert(f.VersionOf("x") == 1 && f.Confirmed().by == "a");
@@ -256,9 +252,9 @@
 Test(a_destroyed_synchronizer, gets_no_more_callbacks) {
   Fixture f;
   {
-    KindFeeder synchronizer(kTemplatesKind, f.store, f.view, f.scheduler,
-                            f.clock, {.host = "a"}, [] { return true; });
-    synchronizer.Start();
+    KindWatcher watcher(kTemplatesKind, f.store, f.view, f.scheduler, f.clock,
+                        {.host = "a"}, [] { return true; });
+    watcher.Start();
   }
   f.Run(30'000);
   cr_assert(f.store.lists == 1 && f.view.Digest("templates").revision == 0);
--- a/src/configuration/view_feeder.cc
+++ b/src/configuration/view_watcher.cc
@@ -1,4 +1,4 @@
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-KindFeeder::KindFeeder(std::string_view kind, ObjectStore& store,
-                       ReplicatedView& view, Scheduler& scheduler,
-                       const Clock& clock, const FeederOptions& options,
-                       std::function<bool()> is_watcher)
+KindWatcher::KindWatcher(std::string_view kind, ObjectStore& store,
+                         ReplicatedView& view, Scheduler& scheduler,
+                         const Clock& clock, const WatcherOptions& options,
+                         std::function<bool()> is_watcher)
     : kind(kind),
       store(store),
       view(view),
@@ -30,12 +30,12 @@
   this->state.kind = std::string(kind);
 }
 
-void KindFeeder::Start() {
+void KindWatcher::Start() {
   this->listed_ms = this->clock.MonotonicMs();
   this->ReadNext();
 }
 
-void KindFeeder::ReadNext() {
+void KindWatcher::ReadNext() {
   this->state.watching = this->MustRead();
   if (!this->state.watching) {
     this->SetStalled(false, "not_watching");
@@ -53,7 +53,7 @@
 // recent read reads the store itself, as the watchers are then gone or
 // unreachable. Every host also lists periodically: if a watch lost an event
 // below a watermark that peers have adopted, no peer's delta will contain it.
-bool KindFeeder::MustRead() const {
+bool KindWatcher::MustRead() const {
   if (this->clock.MonotonicMs() - this->listed_ms >= this->options.repair_ms) {
     return true;
   }
@@ -66,9 +66,9 @@
 }
 
 // A host that isn't watching checks this flag every `idle_ms`.
-void KindFeeder::Hurry() { this->read_requested = true; }
+void KindWatcher::Hurry() { this->read_requested = true; }
 
-KindFeeder::ReadKind KindFeeder::ChooseReadKind() const {
+KindWatcher::ReadKind KindWatcher::ChooseReadKind() const {
   if (this->must_list) {
     return ReadKind::kFullList;
   }
@@ -78,7 +78,7 @@
                                                   : ReadKind::kWatch;
 }
 
-void KindFeeder::Send(ReadKind read_kind, std::int64_t wait_ms) {
+void KindWatcher::Send(ReadKind read_kind, std::int64_t wait_ms) {
   Read read;
   read.kind = read_kind;
   read.number = ++this->reads;
@@ -109,8 +109,8 @@
   }
 }
 
-void KindFeeder::OnAnswer(const Read& read,
-                          const absl::StatusOr<ObjectList>& answer) {
+void KindWatcher::OnAnswer(const Read& read,
+                           const absl::StatusOr<ObjectList>& answer) {
   // This call has timed out and the next one is pending. The items of its late
   // response are applied like offers, without raising the watermark.
   if (!this->pending || read.number != this->reads) {
@@ -131,7 +131,7 @@
   this->Take(read, *answer);
 }
 
-void KindFeeder::Take(const Read& read, const ObjectList& list) {
+void KindWatcher::Take(const Read& read, const ObjectList& list) {
   const Confirmation confirmation = {this->ConfirmedAt(read, list),
                                      this->options.host};
   if (!this->view.ApplyList(this->kind, read.since, list, confirmation)) {
@@ -156,7 +156,7 @@
                  [this] { this->ReadNext(); });
 }
 
-void KindFeeder::OnFailure(const absl::Status& status) {
+void KindWatcher::OnFailure(const absl::Status& status) {
   // After a malformed response, a watch from the same revision would return the
   // same malformed objects, so the next call is a list.
   const ErrorId id = DetailOf(status).id;
@@ -171,7 +171,7 @@
 
 // A call on another connection shows whether the store or only the connection
 // has stalled. A late response to the first call is still applied.
-void KindFeeder::RepeatOverdueWatch(std::uint64_t number) {
+void KindWatcher::RepeatOverdueWatch(std::uint64_t number) {
   if (!this->pending || number != this->reads) {
     return;
   }
@@ -180,14 +180,14 @@
   this->TimeOutAfter(this->options.answer_margin_ms - this->options.overdue_ms);
 }
 
-void KindFeeder::TimeOutAfter(std::int64_t delay_ms) {
+void KindWatcher::TimeOutAfter(std::int64_t delay_ms) {
   this->RunAfter(delay_ms,
                  [this, number = this->reads] { this->TimeOut(number); });
 }
 
 // The store should complete every call in time. If a call is lost, the timeout
 // keeps the view from stalling forever.
-void KindFeeder::TimeOut(std::uint64_t number) {
+void KindWatcher::TimeOut(std::uint64_t number) {
   if (!this->pending || number != this->reads) {
     return;
   }
@@ -195,7 +195,7 @@
   this->OnFailure(absl::DeadlineExceededError("call timed out"));
 }
 
-void KindFeeder::SetStalled(bool stalled, std::string_view why) {
+void KindWatcher::SetStalled(bool stalled, std::string_view why) {
   if (this->state.stalled == stalled) {
     return;
   }
@@ -208,7 +208,7 @@
 
 // The log is rate-limited: a skipped object is returned by every list, and by
 // watches whenever it is rewritten, which may be at each heartbeat.
-void KindFeeder::RecordSkipped(std::int64_t count) {
+void KindWatcher::RecordSkipped(std::int64_t count) {
   this->state.passed_over += count;
   const std::int64_t now_ms = this->clock.MonotonicMs();
   const bool is_due = this->skipped_logged_ms < 0 ||
@@ -225,15 +225,15 @@
 
 // The time of the read is known only as a lower bound. A list was read after it
 // was sent; a watch that ended without changes, after its whole wait time.
-std::int64_t KindFeeder::ConfirmedAt(const Read& read,
-                                     const ObjectList& list) const {
+std::int64_t KindWatcher::ConfirmedAt(const Read& read,
+                                      const ObjectList& list) const {
   const std::int64_t took_ms = this->clock.MonotonicMs() - read.sent_ms;
   const bool wait_elapsed = read.kind == ReadKind::kWatch &&
                             list.items.empty() && took_ms >= read.wait_ms;
   return read.sent_wall_ms + (wait_elapsed ? read.wait_ms : 0);
 }
 
-std::int64_t KindFeeder::Backoff() {
+std::int64_t KindWatcher::Backoff() {
   constexpr int kMaxDoublings = 20;
   const int consecutive_failures =
       std::max(this->state.failures, this->malformed);
@@ -244,63 +244,63 @@
 
 // From 0.5 to 1.5 times the delay, so that hosts that failed together retry at
 // different times.
-std::int64_t KindFeeder::Jitter(std::int64_t delay_ms) {
+std::int64_t KindWatcher::Jitter(std::int64_t delay_ms) {
   std::uniform_int_distribution<std::int64_t> spread(0, delay_ms);
   return delay_ms / 2 + spread(this->random);
 }
 
-void KindFeeder::RunAfter(std::int64_t delay_ms,
-                          const std::function<void()>& task) {
+void KindWatcher::RunAfter(std::int64_t delay_ms,
+                           const std::function<void()>& task) {
   this->scheduler.After(delay_ms, this->life.Guarded(task));
 }
 
-std::vector<FedKind> FedAlike(std::span<const std::string_view> kinds,
-                              const FeederOptions& options) {
-  std::vector<FedKind> result;
+std::vector<KindWithOptions> WithSameOptions(
+    std::span<const std::string_view> kinds, const WatcherOptions& options) {
+  std::vector<KindWithOptions> result;
   for (const std::string_view kind : kinds) {
     result.push_back({kind, options, {}});
   }
   return result;
 }
 
-ViewFeeder::ViewFeeder(std::span<const FedKind> kinds, ObjectStore& store,
-                       ReplicatedView& view, Scheduler& scheduler,
-                       const Clock& clock,
-                       const std::function<bool()>& is_watcher) {
+ViewWatcher::ViewWatcher(std::span<const KindWithOptions> kinds,
+                         ObjectStore& store, ReplicatedView& view,
+                         Scheduler& scheduler, const Clock& clock,
+                         const std::function<bool()>& is_watcher) {
   std::uint64_t number = 0;
-  for (const FedKind& config : kinds) {
-    FeederOptions own = config.options;
+  for (const KindWithOptions& config : kinds) {
+    WatcherOptions own = config.options;
     own.seed += ++number;
-    this->synchronizers.push_back(std::make_unique<KindFeeder>(
+    this->watchers.push_back(std::make_unique<KindWatcher>(
         config.kind, store, view, scheduler, clock, own,
         config.is_watcher ? config.is_watcher : is_watcher));
   }
 }
 
-void ViewFeeder::Start() {
-  for (const std::unique_ptr<KindFeeder>& synchronizer : this->synchronizers) {
-    synchronizer->Start();
+void ViewWatcher::Start() {
+  for (const std::unique_ptr<KindWatcher>& watcher : this->watchers) {
+    watcher->Start();
   }
 }
 
-void ViewFeeder::Hurry(std::string_view kind) {
-  for (const auto& synchronizer : this->synchronizers) {
-    if (synchronizer->State().kind == kind) {
-      synchronizer->Hurry();
+void ViewWatcher::Hurry(std::string_view kind) {
+  for (const auto& watcher : this->watchers) {
+    if (watcher->State().kind == kind) {
+      watcher->Hurry();
     }
   }
 }
 
-void ViewFeeder::OnAnswered(const std::function<void()>& callback) {
-  for (const auto& synchronizer : this->synchronizers) {
-    synchronizer->OnAnswered(callback);
+void ViewWatcher::OnAnswered(const std::function<void()>& callback) {
+  for (const auto& watcher : this->watchers) {
+    watcher->OnAnswered(callback);
   }
 }
 
-std::vector<FeederState> ViewFeeder::States() const {
-  std::vector<FeederState> states;
-  for (const std::unique_ptr<KindFeeder>& synchronizer : this->synchronizers) {
-    states.push_back(synchronizer->State());
+std::vector<WatcherState> ViewWatcher::States() const {
+  std::vector<WatcherState> states;
+  for (const std::unique_ptr<KindWatcher>& watcher : this->watchers) {
+    states.push_back(watcher->State());
   }
   return states;
 }
--- a/src/configuration/view_feeder.h
+++ b/src/configuration/view_watcher.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_CONFIGURATION_VIEW_FEEDER_H_
-#define MEADOWTHREAD_CONFIGURATION_VIEW_FEEDER_H_
+#ifndef MEADOWTHREAD_CONFIGURATION_VIEW_WATCHER_H_
+#define MEADOWTHREAD_CONFIGURATION_VIEW_WATCHER_H_
 
 #include <cstdint>
 #include <functional>
@@ -19,7 +19,7 @@
 namespace meadowthread {
 
 /// @brief How a host reads the object store; times in milliseconds.
-struct FeederOptions {
+struct WatcherOptions {
   std::string host;        ///< this host's name, given in confirmations
   std::uint64_t seed = 0;  ///< seed of the jitter; must differ between hosts
   std::int64_t wait_ms = 10'000;  ///< how long a watch call waits for changes
@@ -46,7 +46,7 @@
 };
 
 /// @brief Status of the synchronization of one kind.
-struct FeederState {
+struct WatcherState {
   std::string kind;
   bool watching = false;         ///< this host reads the object store itself
   bool stalled = false;          ///< reads, but the last call failed
@@ -62,12 +62,12 @@
 ///
 /// Lists all objects, then watches from the view's watermark on. As watches may
 /// lose events, periodically lists again from the last listed revision.
-class KindFeeder {
+class KindWatcher {
  public:
   /// @param[in] is_watcher whether this host is to watch now
-  KindFeeder(std::string_view kind, ObjectStore& store, ReplicatedView& view,
-             Scheduler& scheduler, const Clock& clock,
-             const FeederOptions& options, std::function<bool()> is_watcher);
+  KindWatcher(std::string_view kind, ObjectStore& store, ReplicatedView& view,
+              Scheduler& scheduler, const Clock& clock,
+              const WatcherOptions& options, std::function<bool()> is_watcher);
 
   /// @brief Starts reading; continues until this object is destroyed.
   void Start();
@@ -81,7 +81,7 @@
     this->on_answered = callback;
   }
 
-  FeederState State() const { return this->state; }
+  WatcherState State() const { return this->state; }
 
  private:
   enum class ReadKind { kFullList, kRepair, kWatch };
@@ -116,11 +116,11 @@
   ReplicatedView& view;
   Scheduler& scheduler;
   const Clock& clock;
-  FeederOptions options;
+  WatcherOptions options;
   std::function<bool()> is_watcher;
   std::function<void()> on_answered;
   std::mt19937_64 random;
-  FeederState state;
+  WatcherState state;
   std::uint64_t reads = 0;  ///< also the number of the latest call
   bool pending = false;
   bool must_list = true;
@@ -135,41 +135,41 @@
 };
 
 /// @brief A kind with the options for reading it.
-struct FedKind {
+struct KindWithOptions {
   std::string_view kind;
-  FeederOptions options;
+  WatcherOptions options;
   /// Whether this host is to watch this kind now; unset: the rule of the
-  /// ViewFeeder.
+  /// ViewWatcher.
   std::function<bool()> is_watcher = {};
 };
 
 /// @brief Gives several kinds the same options.
-std::vector<FedKind> FedAlike(std::span<const std::string_view> kinds,
-                              const FeederOptions& options);
+std::vector<KindWithOptions> WithSameOptions(
+    std::span<const std::string_view> kinds, const WatcherOptions& options);
 
 /// @brief Keeps all kinds of a view up to date with the object store.
-class ViewFeeder {
+class ViewWatcher {
  public:
   /// @param[in] is_watcher whether this host is to watch now; only some hosts
   /// watch, and they pass changes on to the others
-  ViewFeeder(std::span<const FedKind> kinds, ObjectStore& store,
-             ReplicatedView& view, Scheduler& scheduler, const Clock& clock,
-             const std::function<bool()>& is_watcher);
+  ViewWatcher(std::span<const KindWithOptions> kinds, ObjectStore& store,
+              ReplicatedView& view, Scheduler& scheduler, const Clock& clock,
+              const std::function<bool()>& is_watcher);
 
   void Start();
 
-  /// @brief As KindFeeder::Hurry, for one kind.
+  /// @brief As KindWatcher::Hurry, for one kind.
   void Hurry(std::string_view kind);
 
-  /// @brief As KindFeeder::OnAnswered, for every kind.
+  /// @brief As KindWatcher::OnAnswered, for every kind.
   void OnAnswered(const std::function<void()>& callback);
 
-  std::vector<FeederState> States() const;
+  std::vector<WatcherState> States() const;
 
  private:
-  std::vector<std::unique_ptr<KindFeeder>> synchronizers;
+  std::vector<std::unique_ptr<KindWatcher>> watchers;
 };
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_CONFIGURATION_VIEW_FEEDER_H_
+#endif  // MEADOWTHREAD_CONFIGURATION_VIEW_WATCHER_H_
--- a/src/exchange/load_datagrams.cc
+++ b/src/exchange/load_datagrams.cc
@@ -75,7 +75,7 @@
 }
 
 LoadDatagrams::LoadDatagrams(DatagramHub& hub, LoadSource& source,
-                             LoadSink& sink, const LoadAudience& audience,
+                             LoadSink& sink, const LoadRecipients& audience,
                              const Clock& clock, Scheduler& scheduler)
     : hub(hub),
       source(source),
--- a/src/exchange/load_datagrams.h
+++ b/src/exchange/load_datagrams.h
@@ -28,7 +28,7 @@
  public:
   /// @param[in] hub,source,sink,audience,clock,scheduler outlive this
   LoadDatagrams(DatagramHub& hub, LoadSource& source, LoadSink& sink,
-                const LoadAudience& audience, const Clock& clock,
+                const LoadRecipients& audience, const Clock& clock,
                 Scheduler& scheduler);
   LoadDatagrams(const LoadDatagrams&) = delete;
   LoadDatagrams& operator=(const LoadDatagrams&) = delete;
@@ -50,7 +50,7 @@
   DatagramHub& hub;
   LoadSource& source;
   LoadSink& sink;
-  const LoadAudience& audience;
+  const LoadRecipients& audience;
   const Clock& clock;
   Scheduler& scheduler;
   std::vector<EngineLoadNote> sent_notes;
--- a/src/exchange/load_note.h
+++ b/src/exchange/load_note.h
@@ -41,9 +41,9 @@
 };
 
 /// @brief Selects which hosts are sent the load of an engine.
-class LoadAudience {
+class LoadRecipients {
  public:
-  virtual ~LoadAudience() = default;
+  virtual ~LoadRecipients() = default;
 
   /// @brief Whether every host is sent the load of every engine.
   virtual bool IsEverybody() const = 0;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -87,7 +87,7 @@
   ServiceCatalog::ServicePtr service;
 };
 
-Gateway::Gateway(const GatewayParts& deps) : deps(deps) {
+Gateway::Gateway(const GatewayDependencies& deps) : deps(deps) {
   this->deps.session.observer = this;
 }
 
@@ -392,7 +392,7 @@
   metadata.request = start.request;
   metadata.model = start.caller_request.model;
   metadata.created_unix_s = start.arrived_ms / 1000;
-  const SessionParts& session_deps = this->deps.session;
+  const SessionDependencies& session_deps = this->deps.session;
   const std::uint64_t id = ++this->last_session;
   auto caller = std::make_unique<CallerStream>(
       std::move(writer), metadata, mode, session_deps.options.bounds);
@@ -495,7 +495,7 @@
   }
 }
 
-int Gateway::HandOverStreams() {
+int Gateway::DisconnectResumableStreams() {
   int cut = 0;
   for (const auto& [id, session] : this->sessions) {
     cut += session->DisconnectForResume() ? 1 : 0;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -12,15 +12,15 @@
 #include "gateway/caller_identity.h"
 #include "gateway/generation_session.h"
 #include "gateway/service_forwarder.h"
-#include "gateway/session_parts.h"
+#include "gateway/session_dependencies.h"
 #include "gateway/work_gate.h"
 #include "net/http_server.h"
 
 namespace meadowthread {
 
 /// @brief Dependencies of the gateway and of its sessions.
-struct GatewayParts {
-  SessionParts session;  ///< the gateway sets its observer to itself
+struct GatewayDependencies {
+  SessionDependencies session;  ///< the gateway sets its observer to itself
   const ServiceCatalog& catalog;
   WorkGate& gate;
   ServiceForwarder& forwarder;
@@ -40,7 +40,7 @@
 /// @brief HTTP service for callers (paths in docs/INTERFACES.md, section 6).
 class Gateway final : public HttpService, public SessionObserver {
  public:
-  explicit Gateway(const GatewayParts& deps);
+  explicit Gateway(const GatewayDependencies& deps);
   ~Gateway() override;
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
@@ -74,7 +74,7 @@
 
   /// @brief Disconnects the streams whose callers can resume at another host.
   /// @return number of disconnected streams
-  int HandOverStreams();
+  int DisconnectResumableStreams();
 
   /// @brief Ends requests with newly quarantined content that are queued or
   /// were sent but have no answer yet.
@@ -103,7 +103,7 @@
   GenerationSession* FindSession(std::string_view request);
   void RemoveEndedSessions();
 
-  GatewayParts deps;
+  GatewayDependencies deps;
   std::map<std::uint64_t, std::unique_ptr<GenerationSession>> sessions;
   std::map<std::string, std::uint64_t, std::less<>> by_request;
   std::uint64_t last_session = 0;
--- a/src/gateway/generation_session.cc
+++ b/src/gateway/generation_session.cc
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-std::string EngineStartKey(std::string_view engine,
-                           std::string_view incarnation) {
+std::string EngineInstanceKey(std::string_view engine,
+                              std::string_view incarnation) {
   return absl::StrCat(AbslView(engine), "/", AbslView(incarnation));
 }
 
@@ -45,7 +45,7 @@
   return "ended";
 }
 
-GenerationSession::GenerationSession(const SessionParts& deps,
+GenerationSession::GenerationSession(const SessionDependencies& deps,
                                      const SessionStart& start,
                                      std::unique_ptr<CallerStream> caller)
     : deps(deps),
@@ -294,7 +294,7 @@
   const std::string& url = this->engine.base_url;
   const std::size_t scheme = url.find(kSchemeSeparator);
   return ServerInstance{
-      EngineStartKey(this->engine.engine, this->engine_incarnation),
+      EngineInstanceKey(this->engine.engine, this->engine_incarnation),
       scheme == std::string::npos
           ? url
           : url.substr(scheme + kSchemeSeparator.size())};
--- a/src/gateway/generation_session.h
+++ b/src/gateway/generation_session.h
@@ -11,7 +11,7 @@
 #include "engine/engine_stream.h"
 #include "gateway/caller_request.h"
 #include "gateway/caller_stream.h"
-#include "gateway/session_parts.h"
+#include "gateway/session_dependencies.h"
 #include "quarantine/guarded_run.h"
 #include "relay/attempt_outcome.h"
 
@@ -30,8 +30,8 @@
 std::string_view SessionPhaseName(SessionPhase phase);
 
 /// @brief Key of one incarnation of an engine in quarantine records.
-std::string EngineStartKey(std::string_view engine,
-                           std::string_view incarnation);
+std::string EngineInstanceKey(std::string_view engine,
+                              std::string_view incarnation);
 
 /// @brief Inputs of a new session.
 struct SessionStart {
@@ -49,7 +49,7 @@
 /// to its final outcome.
 class GenerationSession final : public GenerationSink {
  public:
-  GenerationSession(const SessionParts& deps, const SessionStart& start,
+  GenerationSession(const SessionDependencies& deps, const SessionStart& start,
                     std::unique_ptr<CallerStream> caller);
   ~GenerationSession() override;
   GenerationSession(const GenerationSession&) = delete;
@@ -152,7 +152,7 @@
   bool MayStartNewGeneration() const;
   absl::Status WithEarlierOutcome(const absl::Status& status) const;
 
-  SessionParts deps;
+  SessionDependencies deps;
   SessionStart start;
   GuardedRun guarded;
   std::unique_ptr<CallerStream> caller;
--- a/src/gateway/service_backends.cc
+++ b/src/gateway/service_backend_feed.cc
@@ -1,15 +1,16 @@
-#include "gateway/service_backends.h"
+#include "gateway/service_backend_feed.h"
 
 #include <utility>
 
 namespace meadowthread {
 
-ServiceBackends::ServiceBackends(HostDirectory& hosts, BackendList& backends)
+ServiceBackendFeed::ServiceBackendFeed(HostDirectory& hosts,
+                                       BackendList& backends)
     : hosts(hosts), backends(backends) {
   hosts.AddListener([this] { this->UpdateBackends(); });
 }
 
-void ServiceBackends::UpdateBackends() {
+void ServiceBackendFeed::UpdateBackends() {
   std::set<std::string> current;
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kBackend)) {
     BackendEntry entry;
--- a/src/gateway/service_backends.h
+++ b/src/gateway/service_backend_feed.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_GATEWAY_SERVICE_BACKENDS_H_
-#define MEADOWTHREAD_GATEWAY_SERVICE_BACKENDS_H_
+#ifndef MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_FEED_H_
+#define MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_FEED_H_
 
 #include <set>
 #include <string>
@@ -11,13 +11,13 @@
 
 /// @brief Keeps the list of backend servers up to date with the plain services'
 /// servers in the host list.
-class ServiceBackends {
+class ServiceBackendFeed {
  public:
   /// @param[in] hosts,backends must outlive this object, which must outlive the
   /// source of updates to `hosts`
-  ServiceBackends(HostDirectory& hosts, BackendList& backends);
-  ServiceBackends(const ServiceBackends&) = delete;
-  ServiceBackends& operator=(const ServiceBackends&) = delete;
+  ServiceBackendFeed(HostDirectory& hosts, BackendList& backends);
+  ServiceBackendFeed(const ServiceBackendFeed&) = delete;
+  ServiceBackendFeed& operator=(const ServiceBackendFeed&) = delete;
 
  private:
   void UpdateBackends();
@@ -29,4 +29,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_GATEWAY_SERVICE_BACKENDS_H_
+#endif  // MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_FEED_H_
--- a/src/gateway/service_wire.cc
+++ b/src/gateway/service_backend_protocol.cc
@@ -1,11 +1,11 @@
-#include "gateway/service_wire.h"
+#include "gateway/service_backend_protocol.h"
 
 #include "absl/strings/str_cat.h"
 
 namespace meadowthread {
 
-HttpRequest ServiceWire::RequestFor(const RelayRequest& request,
-                                    const SendTerms& terms) const {
+HttpRequest ServiceBackendProtocol::RequestFor(const RelayRequest& request,
+                                               const SendTerms& terms) const {
   HttpRequest http;
   http.method = request.method;
   http.url = absl::StrCat("http://", terms.address, request.target);
@@ -17,8 +17,8 @@
 
 // The interface of plain servers has no response for "call not run", so every
 // response is taken to mean that the call ran.
-AnswerMeaning ServiceWire::Read(int /*http_status*/,
-                                std::span<const HttpHeader> /*headers*/) const {
+AnswerMeaning ServiceBackendProtocol::Read(
+    int /*http_status*/, std::span<const HttpHeader> /*headers*/) const {
   return AnswerMeaning::kRan;
 }
 
--- a/src/gateway/service_wire.h
+++ b/src/gateway/service_backend_protocol.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_GATEWAY_SERVICE_WIRE_H_
-#define MEADOWTHREAD_GATEWAY_SERVICE_WIRE_H_
+#ifndef MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_PROTOCOL_H_
+#define MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_PROTOCOL_H_
 
 #include <span>
 
@@ -9,7 +9,7 @@
 
 /// @brief Protocol of plain backend servers (docs/INTERFACES.md): calls are
 /// passed on as the caller sent them, with the request id as an extra header.
-class ServiceWire final : public BackendProtocol {
+class ServiceBackendProtocol final : public BackendProtocol {
  public:
   HttpRequest RequestFor(const RelayRequest& request,
                          const SendTerms& terms) const override;
@@ -21,4 +21,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_GATEWAY_SERVICE_WIRE_H_
+#endif  // MEADOWTHREAD_GATEWAY_SERVICE_BACKEND_PROTOCOL_H_
--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -84,8 +84,8 @@
 void ServiceForwarder::Forward(const ServiceCall& call,
                                std::unique_ptr<ResponseWriter> writer,
                                std::function<void()> ended) {
-  const CallRule rule = this->deps.catalog.RuleOf(call.workspace, call.service,
-                                                  call.method, call.path);
+  const RepeatRule rule = this->deps.catalog.RuleOf(
+      call.workspace, call.service, call.method, call.path);
   const std::uint64_t number = ++this->last_number;
   auto added = std::make_unique<PendingCall>();
   added->id = call.request;
--- a/src/gateway/session_parts.h
+++ b/src/gateway/session_dependencies.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_GATEWAY_SESSION_PARTS_H_
-#define MEADOWTHREAD_GATEWAY_SESSION_PARTS_H_
+#ifndef MEADOWTHREAD_GATEWAY_SESSION_DEPENDENCIES_H_
+#define MEADOWTHREAD_GATEWAY_SESSION_DEPENDENCIES_H_
 
 #include <cstdint>
 #include <optional>
@@ -67,7 +67,7 @@
 };
 
 /// @brief Dependencies of a session; all must outlive it.
-struct SessionParts {
+struct SessionDependencies {
   const Clock& clock;
   Scheduler& scheduler;
   EngineClient& engines;
@@ -100,4 +100,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_GATEWAY_SESSION_PARTS_H_
+#endif  // MEADOWTHREAD_GATEWAY_SESSION_DEPENDENCIES_H_
--- a/src/gateway/tests/service_backends_test.cc
+++ b/src/gateway/tests/service_backend_feed_test.cc
@@ -1,11 +1,11 @@
 // Host list updates of plain backend servers, and the protocol used to call
 // them.
-#include "gateway/service_backends.h"
+#include "gateway/service_backend_feed.h"
 
 #include <criterion/criterion.h>
 
 #include "base/manual_scheduler.h"
-#include "gateway/service_wire.h"
+#include "gateway/service_backend_protocol.h"
 
 namespace meadowthread {
 namespace {
@@ -26,10 +26,10 @@
   HostDirectory hosts;
   NoEntryGracePeriod grace_period;
   BackendList backends{this->clock, this->scheduler, this->grace_period};
-  ServiceBackends feed{this->hosts, this->backends};
+  ServiceBackendFeed feed{this->hosts, this->backends};
 };
 
-Test(service_backends, follow_the_host_list) {
+Test(service_backend_feed, follow_the_host_list) {
   BackendFeedFixture fixture;
   fixture.hosts.Apply({1, {Server("b-1"), Server("b-2")}});
   cr_assert(fixture.backends.Usable("rounds").size() == 2);
@@ -39,7 +39,7 @@
   cr_assert(fixture.backends.Usable("rounds")[0]->entry.id == "b-2");
 }
 
-Test(service_backends, skip_leaving_server_until_it_is_live_again) {
+Test(service_backend_feed, skip_leaving_server_until_it_is_live_again) {
   BackendFeedFixture fixture;
   HostEntry leaving = Server("b-1");
   leaving.leaving = true;
@@ -49,7 +49,7 @@
   cr_assert(fixture.backends.Usable("rounds").size() == 1);
 }
 
-Test(service_backends, ignore_engines_and_entry_hosts) {
+Test(service_backend_feed, ignore_engines_and_entry_hosts) {
   BackendFeedFixture fixture;
   HostEntry engine = Server("e-1");
   engine.role = HostRole::kEngine;
@@ -59,7 +59,7 @@
   cr_assert(fixture.backends.Count() == 0);
 }
 
-Test(service_wire, keeps_target_and_headers_and_adds_request_id) {
+Test(service_backend_protocol, keeps_target_and_headers_and_adds_request_id) {
   RelayRequest request;
   request.id = "r-1";
   request.method = "POST";
@@ -67,15 +67,15 @@
   request.headers = {{"Idempotency-Key", "k"}};
   SendTerms terms;
   terms.address = "10.0.0.1:80";
-  const HttpRequest sent = ServiceWire().RequestFor(request, terms);
+  const HttpRequest sent = ServiceBackendProtocol().RequestFor(request, terms);
   cr_assert(sent.url == "http://10.0.0.1:80/notes/%2F7?x=%7e");
   cr_assert(FindHeader(sent.headers, "Meadowthread-Request") == "r-1");
   cr_assert(FindHeader(sent.headers, "Idempotency-Key") == "k");
 }
 
-Test(service_wire, takes_every_response_as_call_ran) {
+Test(service_backend_protocol, takes_every_response_as_call_ran) {
   for (const int status : {200, 421, 429, 503}) {
-    cr_assert(ServiceWire().Read(status, {}) == AnswerMeaning::kRan);
+    cr_assert(ServiceBackendProtocol().Read(status, {}) == AnswerMeaning::kRan);
   }
 }
 
--- a/src/serve/dead_host_detector.h
+++ b/src/serve/dead_host_detector.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "serve/host_entries.h"
+#include "serve/entry_host_registry.h"
 
 namespace meadowthread {
 
--- a/src/serve/detail/relay_host_impl.h
+++ b/src/serve/detail/relay_host_impl.h
@@ -12,7 +12,7 @@
 
 #include "allocation/allocation_participant.h"
 #include "configuration/replicated_view.h"
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 #include "exchange/datagrams.h"
 #include "exchange/load_datagrams.h"
 #include "exchange/stop_datagrams.h"
@@ -31,9 +31,9 @@
 #include "serve/crash_gossip_datagrams.h"
 #include "serve/crash_record_store.h"
 #include "serve/dead_host_detector.h"
+#include "serve/entry_host_registry.h"
 #include "serve/exchange_participant.h"
 #include "serve/fleet_load_adapter.h"
-#include "serve/host_entries.h"
 #include "serve/invalid_entry_reporter.h"
 #include "serve/relay_host.h"
 #include "serve/relay_metrics.h"
@@ -42,7 +42,7 @@
 #include "serve/store_uptime_exchange.h"
 #include "serve/text_service.h"
 #include "serve/unreported_stream_estimator.h"
-#include "serve/watcher_choice.h"
+#include "serve/watcher_selection.h"
 
 namespace meadowthread {
 
@@ -97,7 +97,7 @@
   std::unique_ptr<ObjectStore> store;
   std::array<std::string_view, 5> kinds;
   ReplicatedView view;
-  ViewFeeder feeder;
+  ViewWatcher feeder;
   HostDirectory hosts;
   ExchangeParticipant exchange;
   EntryHostRegistry host_registry;
--- a/src/serve/engine_monitor.h
+++ b/src/serve/engine_monitor.h
@@ -12,7 +12,7 @@
 #include "base/clock.h"
 #include "base/scheduler.h"
 #include "engine/engine_client.h"
-#include "gateway/session_parts.h"
+#include "gateway/session_dependencies.h"
 #include "hosts/host_directory.h"
 #include "policy/fleet_state.h"
 
--- a/src/serve/host_entries.cc
+++ b/src/serve/entry_host_registry.cc
@@ -1,4 +1,4 @@
-#include "serve/host_entries.h"
+#include "serve/entry_host_registry.h"
 
 #include <utility>
 
--- a/src/serve/host_entries.h
+++ b/src/serve/entry_host_registry.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_HOST_ENTRIES_H_
-#define MEADOWTHREAD_SERVE_HOST_ENTRIES_H_
+#ifndef MEADOWTHREAD_SERVE_ENTRY_HOST_REGISTRY_H_
+#define MEADOWTHREAD_SERVE_ENTRY_HOST_REGISTRY_H_
 
 #include <cstdint>
 #include <functional>
@@ -88,4 +88,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_HOST_ENTRIES_H_
+#endif  // MEADOWTHREAD_SERVE_ENTRY_HOST_REGISTRY_H_
--- a/src/serve/feeder_options.cc
+++ b/src/serve/feeder_options.cc
@@ -5,7 +5,7 @@
 
 #include "exchange/exchange_settings.h"
 #include "relay/relay_dependencies.h"
-#include "serve/watcher_choice.h"
+#include "serve/watcher_selection.h"
 
 namespace meadowthread {
 namespace {
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-FeederOptions RelayFeederOptions(std::string_view host, std::uint64_t seed) {
-  FeederOptions options;
+WatcherOptions RelayFeederOptions(std::string_view host, std::uint64_t seed) {
+  WatcherOptions options;
   options.host = std::string(host);
   options.seed = seed;
   // A connection that hangs since a network failure is detected only after a
@@ -38,16 +38,16 @@
 
 // Zones are emptied rarely, and a watch that times out costs as much as one
 // that returns a change, so these watches wait longer.
-FeederOptions EmptiedZonesFeederOptions(std::string_view host,
-                                        std::uint64_t seed) {
-  FeederOptions options = RelayFeederOptions(host, seed);
+WatcherOptions EmptiedZonesFeederOptions(std::string_view host,
+                                         std::uint64_t seed) {
+  WatcherOptions options = RelayFeederOptions(host, seed);
   options.wait_ms = 2'500;
   options.self_watch_ms = 5'500;
   return options;
 }
 
-FeederOptions HostFeederOptions(std::string_view host, std::uint64_t seed) {
-  FeederOptions options;
+WatcherOptions HostFeederOptions(std::string_view host, std::uint64_t seed) {
+  WatcherOptions options;
   options.host = std::string(host);
   options.seed = seed;
   // Operators' changes have to be in force within five seconds, even if every
--- a/src/serve/feeder_options.h
+++ b/src/serve/feeder_options.h
@@ -4,23 +4,23 @@
 #include <cstdint>
 #include <string_view>
 
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 #include "serve/propagation_delays.h"
 #include "settings/settings.h"
 
 namespace meadowthread {
 
 /// @brief Options with which relay hosts read the store.
-FeederOptions RelayFeederOptions(std::string_view host, std::uint64_t seed);
+WatcherOptions RelayFeederOptions(std::string_view host, std::uint64_t seed);
 
 /// @brief Options with which relay hosts read which availability zones are
 /// emptied.
-FeederOptions EmptiedZonesFeederOptions(std::string_view host,
-                                        std::uint64_t seed);
+WatcherOptions EmptiedZonesFeederOptions(std::string_view host,
+                                         std::uint64_t seed);
 
 /// @brief Options with which entry hosts of the native interface (RunServe)
 /// read the platform.
-FeederOptions HostFeederOptions(std::string_view host, std::uint64_t seed);
+WatcherOptions HostFeederOptions(std::string_view host, std::uint64_t seed);
 
 /// @brief The maximum delays on the path from the store to relay hosts.
 PropagationPath RelayPropagationPath(const HostExchangeSettings& exchange);
--- a/src/serve/host_metrics.h
+++ b/src/serve/host_metrics.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "gateway/session_parts.h"
+#include "gateway/session_dependencies.h"
 #include "metrics/metric_registry.h"
 
 namespace meadowthread {
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -16,10 +16,10 @@
 #include "claims/counting_claim_service.h"
 #include "claims/store_claim_service.h"
 #include "configuration/service_catalog.h"
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 #include "gateway/gateway.h"
-#include "gateway/service_backends.h"
-#include "gateway/service_wire.h"
+#include "gateway/service_backend_feed.h"
+#include "gateway/service_backend_protocol.h"
 #include "hosts/host_list_poller.h"
 #include "net/http_server.h"
 #include "net/listen_check.h"
@@ -148,7 +148,7 @@
   HostDirectory hosts;
   HostListPoller host_list;
   std::int64_t incarnation;
-  ViewFeeder feeder;
+  ViewWatcher feeder;
   OwnershipParticipant ownership;
   ExchangeParticipant exchange;
   LearnedLengthModel lengths;
@@ -168,10 +168,10 @@
   HostMetrics metrics;
   HostGate gate;
   PlacementParticipant placement;
-  ServiceWire service_wire;
+  ServiceBackendProtocol service_backend_protocol;
   NoEntryGracePeriod grace_periods;
   BackendList backends;
-  ServiceBackends service_backends;
+  ServiceBackendFeed service_backend_feed;
   BackendHealth health;
   RetryBudgets service_retries;
   RelayMetrics service_metrics;
@@ -199,8 +199,8 @@
       host_list(this->client, this->scheduler, this->hosts,
                 with.platform.host_list, with.platform.host_list_period_ms),
       incarnation(this->clock.WallMs()),
-      feeder(FedAlike(kViewKinds,
-                      HostFeederOptions(with.host.name, this->random())),
+      feeder(WithSameOptions(kViewKinds,
+                             HostFeederOptions(with.host.name, this->random())),
              this->store, this->view, this->scheduler, this->clock,
              [this] { return this->IsWatcher(); }),
       ownership(with, this->incarnation, this->clock, this->scheduler,
@@ -244,7 +244,7 @@
                  this->catalog, this->hosts, this->engines, this->gate,
                  this->ownership.View()}),
       backends(this->clock, this->scheduler, this->grace_periods),
-      service_backends(this->hosts, this->backends),
+      service_backend_feed(this->hosts, this->backends),
       service_retries({with.policy.retry_budget_ratio, kExtraServiceRetries}),
       quarantine(this->listen_check, this->clock, this->scheduler),
       rate_limiter(with.host.name),
@@ -252,26 +252,26 @@
                     this->store, this->view, this->clock, this->scheduler,
                     this->random()),
       forwarder({{this->clock, this->scheduler, this->client,
-                  this->service_wire, this->backends, this->health,
+                  this->service_backend_protocol, this->backends, this->health,
                   this->service_retries, this->service_metrics,
                   this->quarantine, this->rate_limiter, this->random},
                  this->catalog,
                  this->claims}) {
-  SessionParts session = {this->clock,
-                          this->scheduler,
-                          this->engine_client,
-                          this->engines,
-                          this->dispatcher,
-                          this->fleet,
-                          this->retries,
-                          this->limits,
-                          this->claims,
-                          this->quarantine,
-                          this->tokens,
-                          nullptr,
-                          MakeSessionOptions(with),
-                          this->random};
-  GatewayParts gateway_parts = {
+  SessionDependencies session = {this->clock,
+                                 this->scheduler,
+                                 this->engine_client,
+                                 this->engines,
+                                 this->dispatcher,
+                                 this->fleet,
+                                 this->retries,
+                                 this->limits,
+                                 this->claims,
+                                 this->quarantine,
+                                 this->tokens,
+                                 nullptr,
+                                 MakeSessionOptions(with),
+                                 this->random};
+  GatewayDependencies gateway_parts = {
       session,
       this->catalog,
       this->gate,
@@ -309,7 +309,7 @@
   this->engines.on_report = [this](const LoadReport& report) {
     this->metrics.OnReport(report);
     if (const auto ended = this->engine_restarts.Observe(report)) {
-      this->quarantine.NoteGone(EngineStartKey(report.engine, *ended));
+      this->quarantine.NoteGone(EngineInstanceKey(report.engine, *ended));
     }
   };
 }
@@ -402,7 +402,7 @@
   this->gate.Close();
   this->stopping = true;
   if (times > 1) {
-    const int cut = this->gateway->HandOverStreams();
+    const int cut = this->gateway->DisconnectResumableStreams();
     LogLine("hand-over").Add("streams", cut).Write();
   }
   this->LogStopWaits();
--- a/src/serve/ownership_participant.cc
+++ b/src/serve/ownership_participant.cc
@@ -16,12 +16,12 @@
 // second.
 constexpr std::int64_t kRewriteMs = 30'000;
 
-OwnershipSettings MakeOwnershipSettings(const HalfSettings& half) {
+OwnershipSettings MakeOwnershipSettings(const DeploymentSettings& half) {
   OwnershipSettings settings;
   settings.deployment = half.name;
   settings.default_owner = half.default_owner;
   settings.has_other_deployment = !half.addresses.empty();
-  for (const HalfAddress& address : half.addresses) {
+  for (const DeploymentAddress& address : half.addresses) {
     if (address.half == half.default_owner) {
       settings.default_address = address.url;
     }
--- a/src/serve/propagation_delays.cc
+++ b/src/serve/propagation_delays.cc
@@ -10,13 +10,13 @@
 namespace {
 
 // Jitter extends a backoff by up to half.
-std::int64_t LongestBackoffMs(const FeederOptions& feeder) {
+std::int64_t LongestBackoffMs(const WatcherOptions& feeder) {
   return feeder.most_backoff_ms + feeder.most_backoff_ms / 2;
 }
 
 // Time until a hanging connection is detected: the wait of the unanswered
 // watch, and the delay until the read over another connection.
-std::int64_t SilentConnectionMs(const FeederOptions& feeder) {
+std::int64_t SilentConnectionMs(const WatcherOptions& feeder) {
   return feeder.wait_ms + feeder.overdue_ms;
 }
 
--- a/src/serve/propagation_delays.h
+++ b/src/serve/propagation_delays.h
@@ -5,14 +5,14 @@
 #include <string_view>
 #include <vector>
 
-#include "configuration/view_feeder.h"
+#include "configuration/view_watcher.h"
 
 namespace meadowthread {
 
 /// @brief The delays between a change in the store and a host that acts on it,
 /// in milliseconds.
 struct PropagationPath {
-  FeederOptions feeder;         ///< of the hosts that read the store
+  WatcherOptions feeder;        ///< of the hosts that read the store
   std::int64_t stagger_ms = 0;  ///< maximum additional pause between watches
   std::int64_t round_ms = 0;    ///< maximum interval between a host's exchanges
   std::int64_t connect_ms = 0;  ///< maximum from the choice of a server to the
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -41,7 +41,7 @@
 constexpr std::int64_t kMsPerSecond = 1'000;
 // Other hosts' entries only improve performance, so their changes may be
 // delayed, and the entries of a whole fleet that starts come in a single read.
-FeederOptions HostEntriesFeederOptions(FeederOptions options) {
+WatcherOptions HostEntriesFeederOptions(WatcherOptions options) {
   options.wait_ms = 10'000;
   options.pace_ms = 500;
   // Two watches, each with its wait and answer margin.
@@ -51,7 +51,7 @@
 
 // Crash records reach other hosts by gossip; the copy in the store is only for
 // hosts that reach no other host, and for operators.
-FeederOptions QuarantineFeederOptions(FeederOptions options) {
+WatcherOptions QuarantineFeederOptions(WatcherOptions options) {
   options.wait_ms = 25'000;
   options.pace_ms = 500;
   // Two watches, each with its wait and answer margin.
@@ -79,11 +79,11 @@
           static_cast<std::size_t>(settings.policy.direct_hosts)};
 }
 
-std::vector<FedKind> FedKinds(const RelayKinds& kinds,
-                              const FeederOptions& options,
-                              const std::function<std::int64_t()>& stagger_ms,
-                              const std::function<bool()>& is_zone_watcher) {
-  FeederOptions staggered = options;
+std::vector<KindWithOptions> FedKinds(
+    const RelayObjectKinds& kinds, const WatcherOptions& options,
+    const std::function<std::int64_t()>& stagger_ms,
+    const std::function<bool()>& is_zone_watcher) {
+  WatcherOptions staggered = options;
   staggered.stagger_ms = stagger_ms;
   return {
       {kinds.plan, options},
@@ -332,7 +332,7 @@
   set("backends", this->backends.Count());
   set("entries_refused", this->invalid_entries.InvalidCount());
   set("zones_emptied", this->backends.EmptiedZones());
-  for (const FeederState& state : this->feeder.States()) {
+  for (const WatcherState& state : this->feeder.States()) {
     set("passed_over_" + state.kind, state.passed_over);
   }
   set("peers_alive", this->exchange.PeersAlive());
@@ -360,9 +360,9 @@
 
 void RelayHost::Impl::PollEnginesDuringStall() {
   const std::string_view kind = this->kinds[1];
-  const std::vector<FeederState> states = this->feeder.States();
-  this->store_stalls.RecordOwn(
-      std::any_of(states.begin(), states.end(), [kind](const FeederState& one) {
+  const std::vector<WatcherState> states = this->feeder.States();
+  this->store_stalls.RecordOwn(std::any_of(
+      states.begin(), states.end(), [kind](const WatcherState& one) {
         return one.kind == kind && one.stalled;
       }));
   const bool is_stalled =
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -11,7 +11,7 @@
 #include "base/log_line.h"
 #include "serve/detail/relay_host_impl.h"
 #include "serve/engine_listing.h"
-#include "serve/watcher_choice.h"
+#include "serve/watcher_selection.h"
 
 namespace meadowthread {
 namespace {
@@ -26,7 +26,7 @@
 }  // namespace
 
 void RelayHost::Impl::ApplyViewChange(const ViewChange& change) {
-  const RelayKinds& names = this->platform.Kinds();
+  const RelayObjectKinds& names = this->platform.Kinds();
   for (const StoredObject& object : change.items) {
     if (change.kind == names.plan && object.name == names.plan_name) {
       this->ApplyRoutingConfig(object);
@@ -46,7 +46,7 @@
 // The configuration waits until the emptied zones are known: a host that serves
 // before would send requests to them.
 void RelayHost::Impl::ApplyPendingConfig() {
-  const RelayKinds& names = this->platform.Kinds();
+  const RelayObjectKinds& names = this->platform.Kinds();
   if (this->emptied_zones_known || !this->IsLoaded(names.emptied_zones)) {
     return;
   }
@@ -67,7 +67,7 @@
   absl::StatusOr<RoutingConfig> read =
       object.deleted ? absl::StatusOr<RoutingConfig>(
                            absl::NotFoundError("the configuration was removed"))
-                     : this->platform.ReadPlan(object.value);
+                     : this->platform.ReadRoutingConfig(object.value);
   this->ReportReadResult(object, read.status());
   if (read.ok()) {
     this->routing_config.Activate(*std::move(read), object.version);
@@ -96,7 +96,7 @@
     return;
   }
   const absl::StatusOr<BackendEntry> entry =
-      this->platform.ReadBackend(object.name, object.value);
+      this->platform.ReadBackendEntry(object.name, object.value);
   this->ReportReadResult(object, entry.status());
   if (entry.ok() && !this->ChangesToUnknownService(*entry)) {
     this->backends.Set(*entry);
--- a/src/serve/relay_platform.h
+++ b/src/serve/relay_platform.h
@@ -17,7 +17,7 @@
 
 /// @brief The kinds and names of the store objects that a relay host reads and
 /// writes.
-struct RelayKinds {
+struct RelayObjectKinds {
   std::string plan;        ///< kind of the routing configuration
   std::string plan_name;   ///< name of its object
   std::string backends;    ///< kind of the backend servers' entries
@@ -35,7 +35,7 @@
   virtual ~RelayPlatform() = default;
 
   /// @brief The kinds and names of the store objects.
-  virtual const RelayKinds& Kinds() const = 0;
+  virtual const RelayObjectKinds& Kinds() const = 0;
 
   /// @brief Creates the client of the store.
   /// @param[in] client outlives the result
@@ -55,13 +55,13 @@
   virtual std::string_view ReadyPath() const = 0;
 
   /// @brief Parses a routing configuration; an error names the invalid field.
-  virtual absl::StatusOr<RoutingConfig> ReadPlan(
+  virtual absl::StatusOr<RoutingConfig> ReadRoutingConfig(
       std::string_view text) const = 0;
 
   /// @brief Parses a backend server's entry.
   /// @param[in] id name of the entry in the store
   /// @param[in] text the entry as stored
-  virtual absl::StatusOr<BackendEntry> ReadBackend(
+  virtual absl::StatusOr<BackendEntry> ReadBackendEntry(
       std::string_view id, std::string_view text) const = 0;
 };
 
--- a/src/serve/run_relay.cc
+++ b/src/serve/run_relay.cc
@@ -4,7 +4,7 @@
 
 #include "serve/detail/start_and_run.h"
 #include "serve/relay_host.h"
-#include "serve/termination.h"
+#include "serve/termination_signals.h"
 
 namespace meadowthread {
 
@@ -15,7 +15,7 @@
   char* arguments[] = {program, nullptr};
   QCoreApplication application(argument_count, arguments);
   std::unique_ptr<RelayHost> host;
-  const Termination termination(
+  const TerminationSignals termination(
       [&host] {
         if (host != nullptr) {
           host->Stop();
--- a/src/serve/serve.cc
+++ b/src/serve/serve.cc
@@ -6,7 +6,7 @@
 
 #include "serve/detail/start_and_run.h"
 #include "serve/host_process.h"
-#include "serve/termination.h"
+#include "serve/termination_signals.h"
 
 namespace meadowthread {
 namespace {
@@ -22,7 +22,7 @@
   QCoreApplication application(argument_count, arguments);
   int stops_asked = kNoStopAsked;
   std::unique_ptr<HostProcess> host;
-  const Termination termination([&stops_asked, &host] {
+  const TerminationSignals termination([&stops_asked, &host] {
     ++stops_asked;
     if (host != nullptr) {
       host->Stop(stops_asked);
--- a/src/serve/termination.cc
+++ b/src/serve/termination_signals.cc
@@ -1,4 +1,4 @@
-#include "serve/termination.h"
+#include "serve/termination_signals.h"
 
 #include <sys/signalfd.h>
 #include <unistd.h>
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-Termination::Termination(std::function<void()> on_stop,
-                         std::function<void()> on_reload)
+TerminationSignals::TerminationSignals(std::function<void()> on_stop,
+                                       std::function<void()> on_reload)
     : on_stop(std::move(on_stop)), on_reload(std::move(on_reload)) {
   const sigset_t set = Signals(static_cast<bool>(this->on_reload));
   // Must run before any thread is started, so that all threads inherit the
@@ -36,12 +36,12 @@
                    this->notifier.get(), [this] { this->Read(); });
 }
 
-Termination::~Termination() {
+TerminationSignals::~TerminationSignals() {
   this->notifier.reset();
   close(this->descriptor);
 }
 
-void Termination::Read() {
+void TerminationSignals::Read() {
   signalfd_siginfo info;
   while (read(this->descriptor, &info, sizeof(info)) == sizeof(info)) {
     (info.ssi_signo == SIGHUP ? this->on_reload : this->on_stop)();
--- a/src/serve/termination.h
+++ b/src/serve/termination_signals.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_TERMINATION_H_
-#define MEADOWTHREAD_SERVE_TERMINATION_H_
+#ifndef MEADOWTHREAD_SERVE_TERMINATION_SIGNALS_H_
+#define MEADOWTHREAD_SERVE_TERMINATION_SIGNALS_H_
 
 #include <QSocketNotifier>
 #include <functional>
@@ -8,16 +8,16 @@
 namespace meadowthread {
 
 /// @brief Delivers SIGTERM, SIGINT and SIGHUP on the event loop.
-class Termination {
+class TerminationSignals {
  public:
   /// @param[in] on_stop called once for each SIGTERM and SIGINT
   /// @param[in] on_reload called once for each SIGHUP; if null, SIGHUP is not
   /// handled and terminates the process
-  explicit Termination(std::function<void()> on_stop,
-                       std::function<void()> on_reload = nullptr);
-  ~Termination();
-  Termination(const Termination&) = delete;
-  Termination& operator=(const Termination&) = delete;
+  explicit TerminationSignals(std::function<void()> on_stop,
+                              std::function<void()> on_reload = nullptr);
+  ~TerminationSignals();
+  TerminationSignals(const TerminationSignals&) = delete;
+  TerminationSignals& operator=(const TerminationSignals&) = delete;
 
  private:
   void Read();
@@ -30,4 +30,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_TERMINATION_H_
+#endif  // MEADOWTHREAD_SERVE_TERMINATION_SIGNALS_H_
--- a/src/serve/tests/host_entries_test.cc
+++ b/src/serve/tests/entry_host_registry_test.cc
@@ -1,6 +1,6 @@
 // The entries of entry hosts in the store, including invalid entries by other
 // writers.
-#include "serve/host_entries.h"
+#include "serve/entry_host_registry.h"
 
 #include <criterion/criterion.h>
 
--- a/src/serve/tests/watcher_choice_test.cc
+++ b/src/serve/tests/watcher_selection_test.cc
@@ -1,4 +1,4 @@
-#include "serve/watcher_choice.h"
+#include "serve/watcher_selection.h"
 
 #include <criterion/criterion.h>
 
--- a/src/serve/watcher_choice.h
+++ b/src/serve/watcher_selection.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_SERVE_WATCHER_CHOICE_H_
-#define MEADOWTHREAD_SERVE_WATCHER_CHOICE_H_
+#ifndef MEADOWTHREAD_SERVE_WATCHER_SELECTION_H_
+#define MEADOWTHREAD_SERVE_WATCHER_SELECTION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -48,4 +48,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_SERVE_WATCHER_CHOICE_H_
+#endif  // MEADOWTHREAD_SERVE_WATCHER_SELECTION_H_
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -50,18 +50,19 @@
   section.Finish();
 }
 
-bool HasAddress(const HalfSettings& half, std::string_view name) {
-  return std::any_of(
-      half.addresses.begin(), half.addresses.end(),
-      [name](const HalfAddress& address) { return address.half == name; });
+bool HasAddress(const DeploymentSettings& half, std::string_view name) {
+  return std::any_of(half.addresses.begin(), half.addresses.end(),
+                     [name](const DeploymentAddress& address) {
+                       return address.half == name;
+                     });
 }
 
-void Read(YamlSection section, HalfSettings* half) {
+void Read(YamlSection section, DeploymentSettings* half) {
   section.Name("name", &half->name);
   half->default_owner = half->name;
   section.Name("default_owner", &half->default_owner);
   section.List("addresses", [half](YamlSection& item) {
-    HalfAddress address;
+    DeploymentAddress address;
     item.Name("half", &address.half, Presence::kRequired);
     item.Url("url", &address.url, Presence::kRequired);
     if (address.half == half->name || HasAddress(*half, address.half)) {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -39,24 +39,26 @@
 };
 
 /// @brief Address that callers are redirected to for another deployment.
-struct HalfAddress {
+struct DeploymentAddress {
   std::string half;
   std::string url;
 
-  friend bool operator==(const HalfAddress&, const HalfAddress&) = default;
+  friend bool operator==(const DeploymentAddress&,
+                         const DeploymentAddress&) = default;
 };
 
 /// @brief Which deployment this host belongs to. While work moves from one
 /// system to another, both deployments share the object store; settings call
 /// each of them a `half`.
-struct HalfSettings {
+struct DeploymentSettings {
   std::string name = "main";
   /// Owner of workspaces and engines without an ownership object; by default
   /// this host's deployment.
   std::string default_owner = "main";
-  std::vector<HalfAddress> addresses;  ///< of the other deployments
+  std::vector<DeploymentAddress> addresses;  ///< of the other deployments
 
-  friend bool operator==(const HalfSettings&, const HalfSettings&) = default;
+  friend bool operator==(const DeploymentSettings&,
+                         const DeploymentSettings&) = default;
 };
 
 /// @brief Limits for connections and requests of callers.
@@ -162,7 +164,7 @@
 struct Settings {
   HostSettings host;
   PlatformSettings platform;
-  HalfSettings half;
+  DeploymentSettings half;
   CallerSettings callers;
   AnswerSettings answers;
   PolicySettings policy;
--- a/tests/soak/relay_world.cc
+++ b/tests/soak/relay_world.cc
@@ -1,16 +1,16 @@
 #include <QUrl>
 
 #include "absl/strings/str_cat.h"
-#include "platform/names.h"
 #include "platform/tests/relay_fleet.h"
+#include "platform/wire_names.h"
 #include "soak/world.h"
 
 namespace meadowthread::soak {
 namespace {
 
 using nlohmann::json;
-using tests::EventCaller;
 using tests::RelayFleet;
+using tests::StreamCaller;
 
 constexpr int kEventMs = 1;
 constexpr int kPlainServers = 2;
@@ -193,7 +193,7 @@
 }
 
 int RelayWorld::EventsOf(const Answer& answer) {
-  EventCaller events(this->fleet.Client());
+  StreamCaller events(this->fleet.Client());
   events.OnHead(answer.status, answer.headers);
   events.OnData(answer.body);
   events.OnEnd({});
