--- a/fuzz/objects_fuzzer.cc
+++ b/fuzz/objects_fuzzer.cc
@@ -28,7 +28,7 @@
   }
   const absl::StatusOr<HostList> hosts = DecodeHostList(text);
   if (hosts.ok()) {
-    fuzz::Require(!hosts->hosts.empty() || hosts->passed_over == 0,
+    fuzz::Require(!hosts->hosts.empty() || hosts->skipped_entries == 0,
                   "a list of nothing that can be read");
     for (const HostEntry& host : hosts->hosts) {
       fuzz::Require(!host.name.empty() && !host.address.empty(),
--- a/fuzz/peers_fuzzer.cc
+++ b/fuzz/peers_fuzzer.cc
@@ -26,7 +26,7 @@
     for (const nlohmann::json& one : datagram->payload) {
       const absl::StatusOr<CrashRecord> record = CrashRecordFrom(one);
       if (record.ok()) {
-        book.Take(*record, record->cleared_ms);
+        book.Apply(*record, record->cleared_ms);
       }
     }
     const absl::StatusOr<std::vector<StoredObject>> items =
--- a/src/allocation/allocation_datagrams.cc
+++ b/src/allocation/allocation_datagrams.cc
@@ -58,7 +58,7 @@
   if (host == this->self) {
     this->receiver.OnMessage(host, message);
   } else {
-    this->hub.SendToOne(topic, ToJson(message), host);
+    this->hub.SendToHost(topic, ToJson(message), host);
   }
 }
 
@@ -93,11 +93,11 @@
 }
 
 void AllocationDatagrams::RequestLoadReports() {
-  this->hub.SendToSome(kReportLoadsTopic, json::array(), this->hub.Peers());
+  this->hub.SendToRandom(kReportLoadsTopic, json::array(), this->hub.Peers());
 }
 
 void AllocationDatagrams::SendHeartbeats() {
-  this->hub.SendToSome(kHeartbeatTopic, json::array(), this->hub.Peers());
+  this->hub.SendToRandom(kHeartbeatTopic, json::array(), this->hub.Peers());
 }
 
 }  // namespace meadowthread
--- a/src/configuration/kind_view.cc
+++ b/src/configuration/kind_view.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool KindView::Take(const StoredObject& object, bool is_from_store) {
+bool KindView::Apply(const StoredObject& object, bool is_from_store) {
   if (object.kind != this->kind) {
     return false;
   }
@@ -55,22 +55,22 @@
 // The floor may come from a peer whose watch lost an event. An object that
 // the store itself returns in a read at or above this watermark certainly
 // exists.
-void KindView::TakeShown(std::int64_t revision,
-                         std::span<const StoredObject> items,
-                         std::vector<StoredObject>* changed) {
+void KindView::ApplyStoreRead(std::int64_t revision,
+                              std::span<const StoredObject> items,
+                              std::vector<StoredObject>* changed) {
   const bool is_stale = revision < this->watermark;
   for (const StoredObject& item : items) {
-    if (!is_stale && !item.deleted && this->Take(item, true)) {
+    if (!is_stale && !item.deleted && this->Apply(item, true)) {
       changed->push_back(item);
     }
   }
 }
 
-bool KindView::TakeWhole(std::int64_t since, std::int64_t revision, bool full,
-                         std::span<const StoredObject> items,
-                         std::vector<StoredObject>* changed) {
+bool KindView::ApplyRange(std::int64_t since, std::int64_t revision, bool full,
+                          std::span<const StoredObject> items,
+                          std::vector<StoredObject>* changed) {
   for (const StoredObject& item : items) {
-    if (this->Take(item)) {
+    if (this->Apply(item)) {
       changed->push_back(item);
     }
   }
--- a/src/configuration/kind_view.h
+++ b/src/configuration/kind_view.h
@@ -29,22 +29,23 @@
   /// @brief Stores an object unless the same or a newer version is known.
   /// @return whether it was stored
   /// @complexity logarithmic
-  bool Take(const StoredObject& object) { return this->Take(object, false); }
+  bool Apply(const StoredObject& object) { return this->Apply(object, false); }
 
   /// @brief Applies the live objects of a read of the object store at
   /// `revision`, even those at or below the floor, unless the read is stale.
   /// @param[out] changed the objects that were stored are appended
-  void TakeShown(std::int64_t revision, std::span<const StoredObject> items,
-                 std::vector<StoredObject>* changed);
+  void ApplyStoreRead(std::int64_t revision,
+                      std::span<const StoredObject> items,
+                      std::vector<StoredObject>* changed);
 
   /// @brief Applies all changes after `since` up to `revision`. Raises the
   /// watermark if there is no gap after it and `revision` isn't below it.
   /// @param[in] full items are all live objects up to `revision`
   /// @param[out] changed stored and removed objects are appended
   /// @return whether the watermark is now `revision`
-  bool TakeWhole(std::int64_t since, std::int64_t revision, bool full,
-                 std::span<const StoredObject> items,
-                 std::vector<StoredObject>* changed);
+  bool ApplyRange(std::int64_t since, std::int64_t revision, bool full,
+                  std::span<const StoredObject> items,
+                  std::vector<StoredObject>* changed);
 
   /// @brief Records a confirmation of a read at `revision` if that is the
   /// watermark and no later confirmation is known.
@@ -63,7 +64,7 @@
   std::vector<const StoredObject*> Live() const;
 
  private:
-  bool Take(const StoredObject& object, bool is_from_store);
+  bool Apply(const StoredObject& object, bool is_from_store);
   void RemoveAbsent(std::int64_t revision, std::span<const StoredObject> items,
                     std::vector<StoredObject>* changed);
   void RaiseFloor(std::int64_t revision);
--- a/src/configuration/replicated_view.cc
+++ b/src/configuration/replicated_view.cc
@@ -26,7 +26,7 @@
   delta.items = list.items;
   if (KindView* view = this->KindOf(kind); view != nullptr) {
     std::vector<StoredObject> changed;
-    view->TakeShown(list.revision, list.items, &changed);
+    view->ApplyStoreRead(list.revision, list.items, &changed);
     this->NotifyListeners(kind, changed);
   }
   return this->ApplyDelta(delta);
@@ -38,7 +38,7 @@
     return false;
   }
   std::vector<StoredObject> changed;
-  const bool reached_revision = view->TakeWhole(
+  const bool reached_revision = view->ApplyRange(
       delta.since, delta.revision, delta.full, delta.items, &changed);
   if (reached_revision) {
     this->Confirm(view, delta.revision, delta.confirmed);
@@ -52,7 +52,7 @@
   int stored = 0;
   for (const StoredObject& item : items) {
     KindView* view = this->KindOf(item.kind);
-    if (view != nullptr && view->Take(item)) {
+    if (view != nullptr && view->Apply(item)) {
       changed[item.kind].push_back(item);
       ++stored;
     }
--- a/src/configuration/service_catalog.cc
+++ b/src/configuration/service_catalog.cc
@@ -138,10 +138,10 @@
   return services;
 }
 
-RepeatRule ServiceCatalog::RuleOf(std::string_view workspace,
-                                  std::string_view service,
-                                  std::string_view method,
-                                  std::string_view path) const {
+RepeatRule ServiceCatalog::RepeatRuleFor(std::string_view workspace,
+                                         std::string_view service,
+                                         std::string_view method,
+                                         std::string_view path) const {
   // Servers differ in how they interpret unusual spellings of a path. A call
   // that matches no rule here but reaches the marked resource there could be
   // run twice.
--- a/src/configuration/service_catalog.h
+++ b/src/configuration/service_catalog.h
@@ -71,8 +71,9 @@
   /// @brief Whether a call to a plain service needs an Idempotency-Key, which
   /// is so if any template of the workspace requires it.
   /// @param[in] path as received; it is normalized before matching
-  RepeatRule RuleOf(std::string_view workspace, std::string_view service,
-                    std::string_view method, std::string_view path) const;
+  RepeatRule RepeatRuleFor(std::string_view workspace, std::string_view service,
+                           std::string_view method,
+                           std::string_view path) const;
 
   /// @brief All workspaces that have a service, by name.
   std::vector<std::string> Workspaces() const;
--- a/src/configuration/tests/service_catalog_test.cc
+++ b/src/configuration/tests/service_catalog_test.cc
@@ -158,13 +158,18 @@
   for (const char* path :
        {"/notes", "/notes/7", "//notes", "/x/../notes", "/%6Eotes", "notes?a=b",
         "/./notes", "/x%2F..%2Fnotes"}) {
-    cr_assert(f.catalog.RuleOf("makati", "rounds", "post", path).needs_key,
-              "%s", path);
+    cr_assert(
+        f.catalog.RepeatRuleFor("makati", "rounds", "post", path).needs_key,
+        "%s", path);
   }
-  cr_assert(!f.catalog.RuleOf("makati", "rounds", "POST", "/x").needs_key);
-  cr_assert(!f.catalog.RuleOf("makati", "rounds", "GET", "/notes").needs_key);
-  cr_assert(!f.catalog.RuleOf("makati", "gate", "POST", "/notes").needs_key);
-  cr_assert(!f.catalog.RuleOf("pasig", "rounds", "POST", "/notes").needs_key);
+  cr_assert(
+      !f.catalog.RepeatRuleFor("makati", "rounds", "POST", "/x").needs_key);
+  cr_assert(
+      !f.catalog.RepeatRuleFor("makati", "rounds", "GET", "/notes").needs_key);
+  cr_assert(
+      !f.catalog.RepeatRuleFor("makati", "gate", "POST", "/notes").needs_key);
+  cr_assert(
+      !f.catalog.RepeatRuleFor("pasig", "rounds", "POST", "/notes").needs_key);
 }
 
 Test(a_template_object, keeps_its_latest_versions_within_the_size_limit) {
--- a/src/configuration/tests/view_watcher_test.cc
+++ b/src/configuration/tests/view_watcher_test.cc
@@ -132,7 +132,7 @@
   f.Write("x", 1);
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 1);
-  f.watcher.Hurry();
+  f.watcher.RequestRead();
   f.Run(1'500);
   cr_assert(f.VersionOf("x") == 2);
   // The request holds for one read only.
--- a/src/configuration/view_watcher.cc
+++ b/src/configuration/view_watcher.cc
@@ -66,7 +66,7 @@
 }
 
 // A host that isn't watching checks this flag every `idle_ms`.
-void KindWatcher::Hurry() { this->read_requested = true; }
+void KindWatcher::RequestRead() { this->read_requested = true; }
 
 KindWatcher::ReadKind KindWatcher::ChooseReadKind() const {
   if (this->must_list) {
@@ -128,10 +128,10 @@
   if (this->on_answered) {
     this->on_answered();
   }
-  this->Take(read, *answer);
+  this->ApplyResponse(read, *answer);
 }
 
-void KindWatcher::Take(const Read& read, const ObjectList& list) {
+void KindWatcher::ApplyResponse(const Read& read, const ObjectList& list) {
   const Confirmation confirmation = {this->ConfirmedAt(read, list),
                                      this->options.host};
   if (!this->view.ApplyList(this->kind, read.since, list, confirmation)) {
@@ -209,7 +209,7 @@
 // The log is rate-limited: a skipped object is returned by every list, and by
 // watches whenever it is rewritten, which may be at each heartbeat.
 void KindWatcher::RecordSkipped(std::int64_t count) {
-  this->state.passed_over += count;
+  this->state.skipped_objects += count;
   const std::int64_t now_ms = this->clock.MonotonicMs();
   const bool is_due = this->skipped_logged_ms < 0 ||
                       now_ms - this->skipped_logged_ms >= kSkippedLogIntervalMs;
@@ -218,7 +218,7 @@
     LogLine("objects-passed-over")
         .Add("kind", this->kind)
         .Add("now", count)
-        .Add("since_start", this->state.passed_over)
+        .Add("since_start", this->state.skipped_objects)
         .WriteImportant();
   }
 }
@@ -283,10 +283,10 @@
   }
 }
 
-void ViewWatcher::Hurry(std::string_view kind) {
+void ViewWatcher::RequestRead(std::string_view kind) {
   for (const auto& watcher : this->watchers) {
     if (watcher->State().kind == kind) {
-      watcher->Hurry();
+      watcher->RequestRead();
     }
   }
 }
--- a/src/configuration/view_watcher.h
+++ b/src/configuration/view_watcher.h
@@ -55,7 +55,7 @@
   std::int64_t last_answer_unix_ms = 0;  ///< 0: none yet
   /// Objects skipped in responses, as their name or version could not be
   /// parsed.
-  std::int64_t passed_over = 0;
+  std::int64_t skipped_objects = 0;
 };
 
 /// @brief Keeps one kind of a view up to date with the object store.
@@ -74,7 +74,7 @@
 
   /// @brief Makes this host read the object store itself, whether or not it is
   /// a watcher, as a newer state is known to exist there.
-  void Hurry();
+  void RequestRead();
 
   /// @brief Calls `callback` at each successful response, before it is applied.
   void OnAnswered(const std::function<void()>& callback) {
@@ -99,7 +99,7 @@
   ReadKind ChooseReadKind() const;
   void Send(ReadKind kind, std::int64_t wait_ms);
   void OnAnswer(const Read& read, const absl::StatusOr<ObjectList>& answer);
-  void Take(const Read& read, const ObjectList& list);
+  void ApplyResponse(const Read& read, const ObjectList& list);
   void OnFailure(const absl::Status& status);
   void RepeatOverdueWatch(std::uint64_t number);
   void TimeOutAfter(std::int64_t delay_ms);
@@ -158,8 +158,8 @@
 
   void Start();
 
-  /// @brief As KindWatcher::Hurry, for one kind.
-  void Hurry(std::string_view kind);
+  /// @brief As KindWatcher::RequestRead, for one kind.
+  void RequestRead(std::string_view kind);
 
   /// @brief As KindWatcher::OnAnswered, for every kind.
   void OnAnswered(const std::function<void()>& callback);
--- a/src/engine/engine_client.cc
+++ b/src/engine/engine_client.cc
@@ -28,7 +28,7 @@
                   {"Accept", "text/event-stream"}};
   http.body = EncodeGenerationRequest(request);
   http.connect_timeout_ms = this->limits.connect_timeout_ms;
-  http.idle_timeout_ms = this->limits.silence_ms;
+  http.idle_timeout_ms = this->limits.idle_timeout_ms;
   http.send_once = true;
   http.reuse_idle_ms = 0;
   auto stream =
@@ -45,7 +45,7 @@
   http.url = absl::StrCat(GenerationUrl(engine, generation), "?from=", from);
   http.headers = {{"Accept", "text/event-stream"}};
   http.connect_timeout_ms = this->limits.connect_timeout_ms;
-  http.idle_timeout_ms = this->limits.silence_ms;
+  http.idle_timeout_ms = this->limits.idle_timeout_ms;
   auto stream =
       std::make_unique<EngineStream>(this->client, engine.engine, sink);
   stream->Open(http);
--- a/src/engine/engine_client.h
+++ b/src/engine/engine_client.h
@@ -10,9 +10,10 @@
 namespace meadowthread {
 
 /// @brief Timeouts of requests to engines.
-struct EngineLimits {
+struct EngineTimeouts {
   std::int64_t connect_timeout_ms = 1000;
-  std::int64_t silence_ms = 10'000;  ///< longest gap between bytes of a stream
+  std::int64_t idle_timeout_ms =
+      10'000;  ///< longest gap between bytes of a stream
   std::int64_t control_timeout_ms = 2000;
 };
 
@@ -22,7 +23,7 @@
   using LoadDone = std::function<void(const absl::StatusOr<LoadReport>&)>;
 
   /// @param[in] client outlives this object and every stream it opens
-  EngineClient(HttpClient& client, const EngineLimits& limits)
+  EngineClient(HttpClient& client, const EngineTimeouts& limits)
       : client(client), limits(limits) {}
 
   /// @brief Starts a generation and streams it. The HTTP client sends the
@@ -46,7 +47,7 @@
 
  private:
   HttpClient& client;
-  EngineLimits limits;
+  EngineTimeouts limits;
 };
 
 }  // namespace meadowthread
--- a/src/exchange/bench/consistency.cc
+++ b/src/exchange/bench/consistency.cc
@@ -32,7 +32,7 @@
 struct Variant {
   const char* name;
   bool push_to_behind;
-  int news_fanout;
+  int push_fanout;
 };
 
 constexpr Variant kVariants[] = {
@@ -86,7 +86,7 @@
 void RunRow(const Variant& variant, int hosts, Frozen frozen, int trials) {
   ExchangeSettings settings;
   settings.push_to_behind = variant.push_to_behind;
-  settings.news_fanout = variant.news_fanout;
+  settings.push_fanout = variant.push_fanout;
   const fake::FleetShape shape = ShapeOf(hosts);
   fake::FakeFleet fleet(shape, settings, kSeed);
   SetDelays(&fleet, shape);
--- a/src/exchange/bench/cost.cc
+++ b/src/exchange/bench/cost.cc
@@ -79,7 +79,7 @@
   Load(&fleet, row.items);
   BusyHost busy;
   for (int host = 0; row.loads && host < row.hosts; ++host) {
-    fleet.At(host).exchanger.CarryLoads(&busy, &busy);
+    fleet.At(host).exchanger.EnableLoadNotes(&busy, &busy);
   }
   fleet.Run(kWarmUpMs);
   const FleetTotals before = TotalsOf(&fleet);
--- a/src/exchange/datagrams.cc
+++ b/src/exchange/datagrams.cc
@@ -133,8 +133,8 @@
   return true;
 }
 
-void DatagramHub::SendToSome(std::string_view topic, const json& payload,
-                             std::size_t count) {
+void DatagramHub::SendToRandom(std::string_view topic, const json& payload,
+                               std::size_t count) {
   this->Refill();
   const std::string bytes =
       EncodeDatagram({std::string(topic), this->host, payload});
@@ -146,8 +146,8 @@
   }
 }
 
-void DatagramHub::SendToOne(std::string_view topic, const json& payload,
-                            std::string_view to) {
+void DatagramHub::SendToHost(std::string_view topic, const json& payload,
+                             std::string_view to) {
   const auto found =
       std::lower_bound(this->peers.begin(), this->peers.end(), to,
                        [](const Target& peer, std::string_view name) {
--- a/src/exchange/datagrams.h
+++ b/src/exchange/datagrams.h
@@ -64,7 +64,8 @@
 
   /// @brief Calls `listener` with the sender of each valid datagram whose topic
   /// is registered.
-  void OnHeard(const std::function<void(std::string_view host)>& listener) {
+  void SetSenderListener(
+      const std::function<void(std::string_view host)>& listener) {
     this->sender_listener = listener;
   }
 
@@ -74,13 +75,13 @@
 
   /// @brief Sends to up to `count` random peers regardless of the rate limit,
   /// for changes that other hosts wait for.
-  void SendToSome(std::string_view topic, const nlohmann::json& payload,
-                  std::size_t count);
+  void SendToRandom(std::string_view topic, const nlohmann::json& payload,
+                    std::size_t count);
 
   /// @brief Sends to one host regardless of the rate limit; does nothing if the
   /// host is not a known peer.
-  void SendToOne(std::string_view topic, const nlohmann::json& payload,
-                 std::string_view host);
+  void SendToHost(std::string_view topic, const nlohmann::json& payload,
+                  std::string_view host);
 
   std::size_t Peers() const { return this->peers.size(); }
 
--- a/src/exchange/exchange_budget.cc
+++ b/src/exchange/exchange_budget.cc
@@ -12,7 +12,7 @@
 ExchangeBudget::ExchangeBudget(const ExchangeSettings& exchange_settings,
                                const Clock& clock)
     : settings(exchange_settings),
-      regular(this->settings.news_bytes_per_second,
+      regular(this->settings.regular_bytes_per_second,
               this->settings.regular_burst_bytes, clock),
       bulk(this->settings.bulk_bytes_per_second,
            this->settings.bulk_burst_bytes, clock) {}
--- a/src/exchange/exchange_settings.h
+++ b/src/exchange/exchange_settings.h
@@ -15,7 +15,7 @@
   std::int64_t round_ms = 500;
   double round_jitter = 0.2;  ///< fraction of `round_ms`, plus or minus
   int partners = 2;           ///< peers called in a round
-  int news_fanout = 3;        ///< peers that a change is pushed to; 0: none
+  int push_fanout = 3;        ///< peers that a change is pushed to; 0: none
   std::int64_t push_delay_ms = 20;   ///< batches changes before a push
   std::int64_t push_retry_ms = 200;  ///< delay of a push while out of bytes
   std::int64_t call_timeout_ms = 1000;
@@ -23,7 +23,7 @@
   /// Whether a peer whose response shows that it is behind is sent what it
   /// lacks.
   bool push_to_behind = true;
-  std::int64_t news_bytes_per_second = 25000;
+  std::int64_t regular_bytes_per_second = 25000;
   std::int64_t regular_burst_bytes = 100000;
   /// Not spent on own calls: reserved for what peers send, which can't be
   /// refused.
--- a/src/exchange/exchanger.cc
+++ b/src/exchange/exchanger.cc
@@ -43,7 +43,7 @@
       budget(exchange_settings, exchange_parts.clock),
       random(seed) {}
 
-void Exchanger::CarryLoads(LoadSource* source, LoadSink* sink) {
+void Exchanger::EnableLoadNotes(LoadSource* source, LoadSink* sink) {
   this->load_source = source;
   this->load_sink = sink;
 }
@@ -123,7 +123,7 @@
 }
 
 void Exchanger::SchedulePush(std::int64_t delay_ms) {
-  if (this->push_scheduled || this->settings.news_fanout == 0) {
+  if (this->push_scheduled || this->settings.push_fanout == 0) {
     return;
   }
   this->push_scheduled = true;
@@ -139,7 +139,7 @@
     return;
   }
   // Rounds reach the peers that a smaller fan-out leaves out.
-  const int fanout = this->budget.IsLow() ? 1 : this->settings.news_fanout;
+  const int fanout = this->budget.IsLow() ? 1 : this->settings.push_fanout;
   this->PushChangesTo(fanout, kPushRetries);
   for (const KindDigest& digest : this->parts.source.Digests()) {
     this->pushed_revisions[digest.kind] = digest.revision;
@@ -290,8 +290,8 @@
                      DetailFor(ErrorId::kRejectedByPeer, message->from),
                      "the caller has the same name as this host");
   }
-  const bool restarted =
-      this->parts.directory.OnHeard(message->from, message->incarnation);
+  const bool restarted = this->parts.directory.SetSenderListener(
+      message->from, message->incarnation);
   this->ApplyMessage(*message, restarted);
   ++this->stats.served;
   std::vector<KindUpdate> views =
--- a/src/exchange/exchanger.h
+++ b/src/exchange/exchanger.h
@@ -81,7 +81,7 @@
   /// @brief Sends and receives load notes with the messages.
   /// @param[in] source of the notes of this host; outlives this
   /// @param[in] sink receives the notes of other hosts; outlives this
-  void CarryLoads(LoadSource* source, LoadSink* sink);
+  void EnableLoadNotes(LoadSource* source, LoadSink* sink);
 
   /// @brief Starts the rounds.
   void Start();
--- a/src/exchange/load_datagrams.cc
+++ b/src/exchange/load_datagrams.cc
@@ -39,7 +39,7 @@
   note->in_flight = value[1].get<std::int64_t>();
   note->reserved_tokens = value[2].get<std::int64_t>();
   note->held_tokens = value[3].get<std::int64_t>();
-  note->reading_tokens = value[4].get<std::int64_t>();
+  note->prefill_backlog = value[4].get<std::int64_t>();
   note->copies = value[5].get<int>();
   return true;
 }
@@ -50,7 +50,7 @@
   json payload = json::array();
   for (const EngineLoadNote& note : notes) {
     payload.push_back({note.engine, note.in_flight, note.reserved_tokens,
-                       note.held_tokens, note.reading_tokens, note.copies});
+                       note.held_tokens, note.prefill_backlog, note.copies});
   }
   return payload;
 }
@@ -111,7 +111,7 @@
         this->sent_notes.begin(), this->sent_notes.end(),
         [&note](const EngineLoadNote& old) {
           return old.engine == note.engine && old.in_flight == note.in_flight &&
-                 old.reading_tokens == note.reading_tokens &&
+                 old.prefill_backlog == note.prefill_backlog &&
                  old.copies == note.copies;
         });
     if (!same) {
@@ -142,7 +142,7 @@
       const auto part = std::span(host_notes)
                             .subspan(from, std::min(kMaxNotesPerPacket,
                                                     host_notes.size() - from));
-      this->hub.SendToOne(kTopic, LoadsJson({part.begin(), part.end()}), host);
+      this->hub.SendToHost(kTopic, LoadsJson({part.begin(), part.end()}), host);
     }
   }
 }
--- a/src/exchange/load_datagrams.h
+++ b/src/exchange/load_datagrams.h
@@ -37,7 +37,7 @@
   void Start();
 
   /// @brief Sends all notes at the next interval, for a host that has none.
-  void TellAllSoon() { this->all_sent_ms = 0; }
+  void SendAllSoon() { this->all_sent_ms = 0; }
 
  private:
   void SendAndReschedule();
--- a/src/exchange/load_note.h
+++ b/src/exchange/load_note.h
@@ -18,8 +18,8 @@
   std::int64_t in_flight = 0;        ///< sequences
   std::int64_t reserved_tokens = 0;  ///< estimated use of the engine's memory
   std::int64_t as_of_unix_ms = 0;
-  std::int64_t held_tokens = 0;     ///< current use of the engine's memory
-  std::int64_t reading_tokens = 0;  ///< of prompts, prefill still pending
+  std::int64_t held_tokens = 0;      ///< current use of the engine's memory
+  std::int64_t prefill_backlog = 0;  ///< of prompts, prefill still pending
   int copies = 0;  ///< of runs, in transfer on the engine's link for the host
   /// What the policy expects, in its own order and units; empty: not sent.
   std::vector<std::int64_t> outlook = {};
--- a/src/exchange/peer_directory.cc
+++ b/src/exchange/peer_directory.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 PeerDirectory::PeerDirectory(std::string_view self_name,
-                             const HostLocation& self_place,
+                             const PeerLocation& self_place,
                              const PeerSettings& peer_settings,
                              std::uint64_t seed, const Clock& peer_clock)
     : self(self_name),
@@ -111,7 +111,8 @@
                                 share(this->random));
 }
 
-bool PeerDirectory::OnHeard(std::string_view name, std::int64_t incarnation) {
+bool PeerDirectory::SetSenderListener(std::string_view name,
+                                      std::int64_t incarnation) {
   const auto found = this->peers.find(name);
   if (found == this->peers.end() ||
       incarnation < found->second.liveness.incarnation) {
--- a/src/exchange/peer_directory.h
+++ b/src/exchange/peer_directory.h
@@ -15,17 +15,17 @@
 namespace meadowthread {
 
 /// @brief Availability zone and region of a host.
-struct HostLocation {
+struct PeerLocation {
   std::string zone;
   std::string region;
 
-  friend bool operator==(const HostLocation&, const HostLocation&) = default;
+  friend bool operator==(const PeerLocation&, const HostLocation&) = default;
 };
 
 /// @brief One host of the host list.
 struct PeerEntry {
   RpcPeer peer;
-  HostLocation place;
+  PeerLocation place;
 };
 
 /// @brief Settings of peer selection and backoff.
@@ -60,7 +60,7 @@
  public:
   /// @param[in] self this host's name; it is never chosen
   /// @param[in] clock outlives this
-  PeerDirectory(std::string_view self, const HostLocation& place,
+  PeerDirectory(std::string_view self, const PeerLocation& place,
                 const PeerSettings& settings, std::uint64_t seed,
                 const Clock& clock);
 
@@ -85,7 +85,7 @@
   /// @brief The peer called. A message of an earlier incarnation is ignored, as
   /// it says nothing about the present one.
   /// @return whether it has restarted since its last message
-  bool OnHeard(std::string_view name, std::int64_t incarnation);
+  bool SetSenderListener(std::string_view name, std::int64_t incarnation);
 
   bool IsSuspected(std::string_view name) const;
   bool IsKnown(std::string_view name) const;
@@ -109,7 +109,7 @@
   const Peer* Draw(Candidates* candidates);
 
   std::string self;
-  HostLocation place;
+  PeerLocation place;
   PeerSettings settings;
   const Clock& clock;
   std::mt19937_64 random;
--- a/src/exchange/stop_datagrams.cc
+++ b/src/exchange/stop_datagrams.cc
@@ -47,14 +47,14 @@
   if (left_ms <= 0) {
     return;
   }
-  this->TellEnd(left_ms);
+  this->AnnounceExit(left_ms);
   this->scheduler.After(
       StopRepeatMs(this->hub.Peers()),
       this->life.Guarded([this] { this->AnnounceAndReschedule(); }));
 }
 
-void StopDatagrams::TellEnd(std::int64_t back_in_ms) {
-  this->hub.SendToSome(kTopic, json::array({back_in_ms}), this->hub.Peers());
+void StopDatagrams::AnnounceExit(std::int64_t back_in_ms) {
+  this->hub.SendToRandom(kTopic, json::array({back_in_ms}), this->hub.Peers());
 }
 
 void StopDatagrams::Receive(std::string_view host, const json& payload) {
@@ -69,7 +69,7 @@
   this->return_times_ms[std::string(host)] = this->clock.MonotonicMs() + in_ms;
 }
 
-std::int64_t StopDatagrams::BackInMs(std::string_view host) const {
+std::int64_t StopDatagrams::AvailableInMs(std::string_view host) const {
   const auto found = this->return_times_ms.find(host);
   if (found == this->return_times_ms.end()) {
     return 0;
--- a/src/exchange/stop_datagrams.h
+++ b/src/exchange/stop_datagrams.h
@@ -36,7 +36,7 @@
 
   /// @brief Announces once that this host's process exits now.
   /// @param[in] back_in_ms time from now until it accepts requests again
-  void TellEnd(std::int64_t back_in_ms);
+  void AnnounceExit(std::int64_t back_in_ms);
 
   /// @brief Receives another host's announcement.
   /// @param[in] payload [milliseconds until it accepts requests again]
@@ -44,7 +44,7 @@
 
   /// @brief Milliseconds until a host accepts requests again; 0 if it announced
   /// no stop or the time has passed.
-  std::int64_t BackInMs(std::string_view host) const;
+  std::int64_t AvailableInMs(std::string_view host) const;
 
  private:
   void AnnounceAndReschedule();
--- a/src/exchange/tests/exchanger_test.cc
+++ b/src/exchange/tests/exchanger_test.cc
@@ -198,7 +198,7 @@
     fleet.Run(kSecondMs / 10);
   }
   const std::int64_t rate =
-      settings.news_bytes_per_second + settings.bulk_bytes_per_second;
+      settings.regular_bytes_per_second + settings.bulk_bytes_per_second;
   const std::int64_t burst =
       settings.regular_burst_bytes + settings.bulk_burst_bytes;
   for (int host = 0; host < fleet.Size(); ++host) {
@@ -263,9 +263,9 @@
   FakeFleet fleet({4, 4, 2}, {}, 12);
   Notes notes;
   Notes quiet;
-  fleet.At(0).exchanger.CarryLoads(&notes, &notes);
-  fleet.At(1).exchanger.CarryLoads(&notes, &quiet);
-  fleet.At(2).exchanger.CarryLoads(&notes, &notes);
+  fleet.At(0).exchanger.EnableLoadNotes(&notes, &notes);
+  fleet.At(1).exchanger.EnableLoadNotes(&notes, &quiet);
+  fleet.At(2).exchanger.EnableLoadNotes(&notes, &notes);
   fleet.Run(20 * kSecondMs);
   cr_assert(notes.heard.size() == 2 && quiet.heard.empty());
   const std::vector<EngineLoadNote>& from = notes.heard.at("host-2");
--- a/src/exchange/tests/fake_fleet.h
+++ b/src/exchange/tests/fake_fleet.h
@@ -27,7 +27,7 @@
 /// @brief One host with the real exchange on a fake network.
 class FakeHost {
  public:
-  FakeHost(const std::string& name, const HostLocation& place,
+  FakeHost(const std::string& name, const PeerLocation& place,
            std::int64_t incarnation, const ExchangeSettings& settings,
            std::uint64_t seed, FakeNetwork& network, ManualScheduler& scheduler,
            const ManualClock& clock)
--- a/src/exchange/tests/peer_directory_test.cc
+++ b/src/exchange/tests/peer_directory_test.cc
@@ -89,9 +89,9 @@
   given.directory.OnFailed("mid-1");
   given.directory.OnFailed("mid-1");
   cr_assert(given.directory.IsSuspected("mid-1"));
-  cr_assert(!given.directory.OnHeard("mid-1", 99));
+  cr_assert(!given.directory.SetSenderListener("mid-1", 99));
   cr_assert(given.directory.IsSuspected("mid-1"));
-  cr_assert(given.directory.OnHeard("mid-1", 101));
+  cr_assert(given.directory.SetSenderListener("mid-1", 101));
   cr_assert(!given.directory.IsSuspected("mid-1"));
 }
 
--- a/src/exchange/tests/view_datagrams_test.cc
+++ b/src/exchange/tests/view_datagrams_test.cc
@@ -129,7 +129,7 @@
   note.in_flight = 2;
   note.reserved_tokens = 8'000;
   note.held_tokens = 6'100;
-  note.reading_tokens = 3'000;
+  note.prefill_backlog = 3'000;
   const auto read = LoadsFrom("a", LoadsJson({note}));
   cr_assert(read.ok() && read->size() == 1 && read->front() == note);
   cr_assert(!LoadsFrom("a", nlohmann::json::array({1})).ok());
--- a/src/exchange/view_datagrams.cc
+++ b/src/exchange/view_datagrams.cc
@@ -116,7 +116,7 @@
     return;
   }
   if (SizeOf(change.items) <= kMaxItemBytes) {
-    this->hub.SendToSome(kTopic, ItemsJson(change.items), kFanout);
+    this->hub.SendToRandom(kTopic, ItemsJson(change.items), kFanout);
     return;
   }
   this->AnnounceRevision(std::string(change.kind),
@@ -128,8 +128,8 @@
   std::int64_t& announced = this->announced_revisions[kind];
   if (revision > announced) {
     announced = revision;
-    this->hub.SendToSome(kRevisionTopic, json::array({kind, revision}),
-                         kFanout);
+    this->hub.SendToRandom(kRevisionTopic, json::array({kind, revision}),
+                           kFanout);
   }
 }
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -395,7 +395,7 @@
   const SessionDependencies& session_deps = this->deps.session;
   const std::uint64_t id = ++this->last_session;
   auto caller = std::make_unique<CallerStream>(
-      std::move(writer), metadata, mode, session_deps.options.bounds);
+      std::move(writer), metadata, mode, session_deps.options.delivery_limits);
   this->by_request[start.request] = id;
   const auto added =
       this->sessions.emplace(id, std::make_unique<GenerationSession>(
--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -84,7 +84,7 @@
 void ServiceForwarder::Forward(const ServiceCall& call,
                                std::unique_ptr<ResponseWriter> writer,
                                std::function<void()> ended) {
-  const RepeatRule rule = this->deps.catalog.RuleOf(
+  const RepeatRule rule = this->deps.catalog.RepeatRuleFor(
       call.workspace, call.service, call.method, call.path);
   const std::uint64_t number = ++this->last_number;
   auto added = std::make_unique<PendingCall>();
--- a/src/gateway/session_dependencies.h
+++ b/src/gateway/session_dependencies.h
@@ -57,7 +57,7 @@
 
 /// @brief Timeouts and limits of sessions.
 struct SessionOptions {
-  DeliveryLimits bounds;
+  DeliveryLimits delivery_limits;
   std::int64_t keepalive_ms = 15'000;
   std::int64_t resume_expiry_ms = 600'000;
   std::int64_t orphan_timeout_ms = 30'000;
--- a/src/placement/group_controller.cc
+++ b/src/placement/group_controller.cc
@@ -36,7 +36,7 @@
       lease(PlacementLeaseName(deployment, settings.groups, group),
             settings.lease, context.store, context.clock, context.nonces),
       order_sender(context.http, this->lease, context.ownership, context.clock),
-      engine_client(context.http, EngineLimits{}),
+      engine_client(context.http, EngineTimeouts{}),
       table(settings.engines, context.clock),
       budget(GroupShare(settings), context.clock) {}
 
--- a/src/serve/crash_gossip_datagrams.h
+++ b/src/serve/crash_gossip_datagrams.h
@@ -16,11 +16,11 @@
 
   void SendToRandom(std::string_view topic, const nlohmann::json& payload,
                     std::size_t count) override {
-    this->hub.SendToSome(topic, payload, count);
+    this->hub.SendToRandom(topic, payload, count);
   }
   void SendToHost(std::string_view topic, const nlohmann::json& payload,
                   std::string_view host) override {
-    this->hub.SendToOne(topic, payload, host);
+    this->hub.SendToHost(topic, payload, host);
   }
 
   /// @brief Delivers messages from other hosts to the gossip.
--- a/src/serve/exchange_participant.cc
+++ b/src/serve/exchange_participant.cc
@@ -16,9 +16,9 @@
 ExchangeSettings MakeExchangeSettings(const HostExchangeSettings& with) {
   ExchangeSettings settings;
   settings.round_ms = with.period_ms;
-  settings.news_fanout = with.fanout;
+  settings.push_fanout = with.fanout;
   const auto bytes = static_cast<double>(with.bytes_per_second);
-  settings.news_bytes_per_second =
+  settings.regular_bytes_per_second =
       static_cast<std::int64_t>(bytes * kNewsShare);
   settings.bulk_bytes_per_second =
       static_cast<std::int64_t>(bytes * (1.0 - kNewsShare));
--- a/src/serve/exchange_participant.h
+++ b/src/serve/exchange_participant.h
@@ -32,8 +32,8 @@
 
   /// @brief Sends and receives load notes as well.
   /// @param[in] notes outlives this
-  void CarryLoads(FleetLoadAdapter* notes) {
-    this->exchanger.CarryLoads(notes, notes);
+  void EnableLoadNotes(FleetLoadAdapter* notes) {
+    this->exchanger.EnableLoadNotes(notes, notes);
   }
 
   /// @brief Listens on the control port and starts the exchange rounds.
--- a/src/serve/fleet_load_adapter.cc
+++ b/src/serve/fleet_load_adapter.cc
@@ -58,7 +58,7 @@
     note.reserved_tokens = std::lround(load.forecast.PeakMean());
     note.as_of_unix_ms = load.as_of_unix_ms;
     note.held_tokens = load.kv_held;
-    note.reading_tokens = load.reading;
+    note.prefill_backlog = load.reading;
     note.copies = load.copies;
     note.outlook = detail::EncodeForecast(load.forecast);
     fresh.push_back(std::move(note));
@@ -98,7 +98,7 @@
     load.as_of_unix_ms = note.as_of_unix_ms;
     load.in_flight = static_cast<int>(note.in_flight);
     load.kv_held = note.held_tokens;
-    load.reading = note.reading_tokens;
+    load.reading = note.prefill_backlog;
     load.copies = note.copies;
     // For notes without an outlook, the reserved tokens serve as a flat
     // forecast.
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -63,8 +63,10 @@
 
 SessionOptions MakeSessionOptions(const Settings& settings) {
   SessionOptions options;
-  options.bounds.slow_caller_bytes = settings.callers.slow_caller_bytes;
-  options.bounds.whole_answer_bytes = settings.callers.whole_answer_bytes;
+  options.delivery_limits.slow_caller_bytes =
+      settings.callers.slow_caller_bytes;
+  options.delivery_limits.whole_answer_bytes =
+      settings.callers.whole_answer_bytes;
   options.keepalive_ms = settings.callers.keepalive_ms;
   options.resume_expiry_ms = settings.answers.resume_expiry_ms;
   options.orphan_timeout_ms = settings.answers.orphan_timeout_ms;
@@ -214,7 +216,7 @@
                  MakeAdmissionOptions(with.policy)),
       retries(RetryBudgetOptions{with.policy.retry_budget_ratio}),
       engine_client(this->client,
-                    EngineLimits{1000, with.answers.engine_silence_ms, 2000}),
+                    EngineTimeouts{1000, with.answers.engine_silence_ms, 2000}),
       engines({this->clock, this->scheduler, this->hosts, this->engine_client,
                this->fleet, this->random,
                [this](std::string_view engine) {
@@ -286,7 +288,7 @@
   this->gateway = std::make_unique<Gateway>(gateway_parts);
   this->server =
       std::make_unique<HttpServer>(this->gateway.get(), MakeServerLimits(with));
-  this->exchange.CarryLoads(&this->load_adapter);
+  this->exchange.EnableLoadNotes(&this->load_adapter);
   this->quarantine.AddListener([this](const CrashRecordId& quarantined) {
     this->gateway->EndQuarantined(quarantined);
   });
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -86,7 +86,7 @@
   WatcherOptions staggered = options;
   staggered.stagger_ms = stagger_ms;
   return {
-      {kinds.plan, options},
+      {kinds.routing_config, options},
       {kinds.backends, staggered, {}},
       {kinds.hosts, HostEntriesFeederOptions(options), {}},
       {kinds.quarantine, QuarantineFeederOptions(options), {}},
@@ -111,7 +111,7 @@
     : settings(with),
       platform(on),
       store(on.MakeStore(this->store_client, with.store)),
-      kinds({on.Kinds().plan, on.Kinds().backends, on.Kinds().hosts,
+      kinds({on.Kinds().routing_config, on.Kinds().backends, on.Kinds().hosts,
              on.Kinds().quarantine, on.Kinds().emptied_zones}),
       view(this->clock, this->kinds),
       feeder(FedKinds(
@@ -144,10 +144,11 @@
                     this->store_outages, this->random,
                     [this] { return this->OtherStoreReaders(); }),
       view_datagrams(
-          std::vector<std::string>{on.Kinds().backends, on.Kinds().plan,
+          std::vector<std::string>{on.Kinds().backends,
+                                   on.Kinds().routing_config,
                                    on.Kinds().emptied_zones},
           this->view, this->hub, this->scheduler,
-          [this](std::string_view kind) { this->feeder.Hurry(kind); }),
+          [this](std::string_view kind) { this->feeder.RequestRead(kind); }),
       quarantine(this->listen_check, this->clock, this->scheduler),
       rate_limiter(with.host.name),
       crash_datagrams(this->hub),
@@ -221,14 +222,14 @@
     this->allocation.ReportPrefill(seen);
   });
   this->allocation.SetLoadReporter(
-      [this] { this->load_datagrams.TellAllSoon(); });
+      [this] { this->load_datagrams.SendAllSoon(); });
   this->host_registry.SetListener(
       [this](const std::vector<EntryHost>& known) { this->ApplyHosts(known); });
   this->host_registry.OnRead(
       [this](const StoredObject& object, const absl::Status& read) {
         this->ReportReadResult(object, read);
       });
-  this->hub.OnHeard([this](std::string_view host) {
+  this->hub.SetSenderListener([this](std::string_view host) {
     this->dead_hosts.NoteHeard(host);
     this->allocation.NoteHeard(host);
   });
@@ -333,7 +334,7 @@
   set("entries_refused", this->invalid_entries.InvalidCount());
   set("zones_emptied", this->backends.EmptiedZones());
   for (const WatcherState& state : this->feeder.States()) {
-    set("passed_over_" + state.kind, state.passed_over);
+    set("passed_over_" + state.kind, state.skipped_objects);
   }
   set("peers_alive", this->exchange.PeersAlive());
   set("quarantined", this->quarantine.Count());
@@ -376,7 +377,7 @@
   for (const HostEntry* const host : this->hosts.OfRole(HostRole::kEntry)) {
     const bool stops = host->name == this->settings.host.name
                            ? this->stop_plan.has_value()
-                           : this->stop_datagrams.BackInMs(host->name) > 0;
+                           : this->stop_datagrams.AvailableInMs(host->name) > 0;
     if (!stops) {
       hosts.push_back({host->name, host->zone});
     }
@@ -454,7 +455,7 @@
       .Add("callers_owed", work.callers_owed)
       .WriteImportant();
   if (this->exiting) {
-    this->stop_datagrams.TellEnd(kRestartMs);
+    this->stop_datagrams.AnnounceExit(kRestartMs);
     QCoreApplication::quit();
   } else {
     this->relay.EndForShutdown();
@@ -468,7 +469,7 @@
     if (host->name != this->settings.host.name) {
       const std::int64_t back_in_ms =
           this->settings.policy.stops_are_told
-              ? this->stop_datagrams.BackInMs(host->name)
+              ? this->stop_datagrams.AvailableInMs(host->name)
               : 0;
       known.push_back({host->zone, back_in_ms});
     }
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -28,7 +28,8 @@
 void RelayHost::Impl::ApplyViewChange(const ViewChange& change) {
   const RelayObjectKinds& names = this->platform.Kinds();
   for (const StoredObject& object : change.items) {
-    if (change.kind == names.plan && object.name == names.plan_name) {
+    if (change.kind == names.routing_config &&
+        object.name == names.routing_config_name) {
       this->ApplyRoutingConfig(object);
     } else if (change.kind == names.backends) {
       this->ApplyBackendEntry(object);
@@ -52,7 +53,7 @@
   }
   this->emptied_zones_known = true;
   const StoredObject* const object =
-      this->view.Find(names.plan, names.plan_name);
+      this->view.Find(names.routing_config, names.routing_config_name);
   if (object != nullptr && this->routing_config.Config() == nullptr) {
     this->ApplyRoutingConfig(*object);
   }
--- a/src/serve/relay_platform.h
+++ b/src/serve/relay_platform.h
@@ -18,11 +18,11 @@
 /// @brief The kinds and names of the store objects that a relay host reads and
 /// writes.
 struct RelayObjectKinds {
-  std::string plan;        ///< kind of the routing configuration
-  std::string plan_name;   ///< name of its object
-  std::string backends;    ///< kind of the backend servers' entries
-  std::string hosts;       ///< kind of the entry hosts' own entries
-  std::string quarantine;  ///< kind of the crash records
+  std::string routing_config;       ///< kind of the routing configuration
+  std::string routing_config_name;  ///< name of its object
+  std::string backends;             ///< kind of the backend servers' entries
+  std::string hosts;                ///< kind of the entry hosts' own entries
+  std::string quarantine;           ///< kind of the crash records
   /// Kind of the objects that mark availability zones as emptied, each named
   /// after its zone.
   std::string emptied_zones;
--- a/src/serve/store_stall_detector.cc
+++ b/src/serve/store_stall_detector.cc
@@ -39,8 +39,8 @@
   const bool is_due = is_stalled && now_ms - this->sent_ms >= kRepeatMs;
   if (is_change || is_due) {
     this->sent_ms = now_ms;
-    this->hub.SendToSome(kTopic, nlohmann::json::array({is_stalled}),
-                         this->hub.Peers());
+    this->hub.SendToRandom(kTopic, nlohmann::json::array({is_stalled}),
+                           this->hub.Peers());
   }
   this->is_stalled = is_stalled;
 }
--- a/src/serve/store_uptime_exchange.cc
+++ b/src/serve/store_uptime_exchange.cc
@@ -63,7 +63,7 @@
   std::sample(all.begin(), all.end(), std::back_inserter(asked), count,
               this->random);
   for (const std::string& host : asked) {
-    this->hub.SendToOne(kQueryTopic, json::array(), host);
+    this->hub.SendToHost(kQueryTopic, json::array(), host);
   }
 }
 
@@ -72,7 +72,7 @@
   const std::optional<StoreUptime>& own = this->outages.Own();
   if (own.has_value()) {
     const std::int64_t now_ms = this->clock.MonotonicMs();
-    this->hub.SendToOne(
+    this->hub.SendToHost(
         kReplyTopic, json::array({now_ms - own->from_ms, now_ms - own->to_ms}),
         host);
   }
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -52,7 +52,7 @@
   std::string BackendUrl(int n) const;
   std::string StoreUrl() const;
   /// @brief From now on hosts read and are given other ports than these have.
-  void ReachStoreBy(int host, int port) { this->store_links[host] = port; }
+  void SetStorePort(int host, int port) { this->store_links[host] = port; }
   void ReachEngineBy(int n, int port) { this->engine_links[n] = port; }
   Process& Host(int n) { return *this->hosts.at(n); }
   Process& Engines() { return *this->engines; }
--- a/tests/soak/relay_world.cc
+++ b/tests/soak/relay_world.cc
@@ -122,7 +122,7 @@
         std::make_unique<FaultProxy>(this->fleet.CallersPort(n)));
     this->store_links.push_back(
         std::make_unique<FaultProxy>(this->fleet.StorePort()));
-    this->fleet.ReachStoreBy(n, this->store_links.back()->Port());
+    this->fleet.SetStorePort(n, this->store_links.back()->Port());
     this->fleet.StartHost(n);
   }
   return tests::WaitFor([this] { return this->fleet.AreReady(); });
--- a/tests/soak/serve_world.cc
+++ b/tests/soak/serve_world.cc
@@ -86,7 +86,7 @@
         QUrl(QString::fromStdString(this->fleet.HostUrl(n))).port()));
     this->store_links.push_back(std::make_unique<FaultProxy>(
         QUrl(QString::fromStdString(this->fleet.StoreUrl())).port()));
-    this->fleet.ReachStoreBy(n, this->store_links.back()->Port());
+    this->fleet.SetStorePort(n, this->store_links.back()->Port());
     this->fleet.StartHost(n);
   }
   return tests::WaitFor([this] {
