--- a/src/net/client_connection.cc
+++ b/src/net/client_connection.cc
@@ -18,20 +18,20 @@
 
 constexpr std::size_t kHeadLimit = std::size_t{64} * 1024;
 constexpr std::int64_t kMsPerSecond = 1000;
-// A peer that says how long it keeps a resting connection says it in whole
-// seconds, counted from when it sent the answer.
-constexpr std::int64_t kRestMarginMs = 700;
+// Subtracted from the peer's Keep-Alive timeout, which is in whole seconds and
+// starts when the peer sends the response.
+constexpr std::int64_t kKeepAliveMarginMs = 700;
 constexpr std::uint16_t kHttpPort = 80;
 constexpr std::uint16_t kHttpsPort = 443;
 
-std::int64_t RestLimitOf(const MessageHead& head) {
+std::int64_t KeepAliveLimitOf(const MessageHead& head) {
   const std::string_view value = FindHeader(head.headers, "Keep-Alive");
   for (absl::string_view part : absl::StrSplit(AbslView(value), ',')) {
     part = absl::StripAsciiWhitespace(part);
     std::int64_t seconds = 0;
     if (absl::StartsWithIgnoreCase(part, "timeout=") &&
         absl::SimpleAtoi(part.substr(8), &seconds)) {
-      return seconds * kMsPerSecond - kRestMarginMs;
+      return seconds * kMsPerSecond - kKeepAliveMarginMs;
     }
   }
   return std::numeric_limits<std::int64_t>::max();
@@ -95,7 +95,7 @@
   return parts;
 }
 
-ClientConnection::ClientConnection(ExchangeOwner& owner, UrlParts peer,
+ClientConnection::ClientConnection(ExchangeObserver& owner, UrlParts peer,
                                    std::unique_ptr<StreamSocket> socket)
     : owner(owner),
       peer(std::move(peer)),
@@ -109,7 +109,7 @@
   this->call = for_call;
   this->echo = request.answer_echo;
   this->head_told = false;
-  this->passing_over = false;
+  this->discarding = false;
   this->answered = false;
   this->http_status = 0;
   this->sent_before = this->socket->SentBytes();
@@ -119,20 +119,20 @@
   this->socket->Write(request.body);
 }
 
-bool ClientConnection::MayHaveLeft() const {
+bool ClientConnection::MayHaveSentBytes() const {
   return this->socket->SentBytes() > this->sent_before;
 }
 
 void ClientConnection::OnBytes(std::string_view bytes) {
   if (this->call == 0) {
-    this->owner.OnRestEnded(*this);
+    this->owner.OnIdleConnectionEnded(*this);
     return;
   }
   this->answered = true;
-  this->Pump(this->reader.Feed(bytes));
+  this->ProcessMessages(this->reader.Feed(bytes));
 }
 
-void ClientConnection::Pump(ReadState state) {
+void ClientConnection::ProcessMessages(ReadState state) {
   const HttpCallId mine = this->call;
   while (this->call == mine && mine != 0) {
     if (state == ReadState::kMalformed || state == ReadState::kHeadTooLarge) {
@@ -140,17 +140,17 @@
       return;
     }
     if (this->reader.Head() != nullptr && !this->head_told) {
-      // An interim answer is whole with its head; the final one follows.
+      // A 1xx response has no body; the final response follows.
       if (this->reader.Head()->http_status < http_code::kFirstFinal) {
         state = this->reader.Next();
         continue;
       }
-      if (!this->TellHead()) {
+      if (!this->ReportHead()) {
         return;
       }
     }
     const std::string data = this->reader.TakeBody();
-    if (!data.empty() && !this->passing_over) {
+    if (!data.empty() && !this->discarding) {
       this->owner.OnExchangeData(*this, data);
       if (this->call != mine) {
         return;
@@ -159,24 +159,24 @@
     if (state != ReadState::kWhole) {
       return;
     }
-    if (!this->passing_over) {
-      this->FinishWhole(false);
+    if (!this->discarding) {
+      this->FinishResponse(false);
       return;
     }
     this->head_told = false;
-    this->passing_over = false;
+    this->discarding = false;
     state = this->reader.Next();
   }
 }
 
-/// @return false where the call was cancelled meanwhile
-bool ClientConnection::TellHead() {
+/// @return false if the callback cancelled the call
+bool ClientConnection::ReportHead() {
   const HttpCallId mine = this->call;
   const MessageHead& head = *this->reader.Head();
   this->head_told = true;
-  this->passing_over = this->BelongsToAnother(head);
-  if (this->passing_over) {
-    this->owner.OnAnswerPassedOver(*this);
+  this->discarding = this->IsForeignResponse(head);
+  if (this->discarding) {
+    this->owner.OnForeignResponse(*this);
     return true;
   }
   this->http_status = head.http_status;
@@ -184,7 +184,7 @@
   return this->call == mine;
 }
 
-bool ClientConnection::BelongsToAnother(const MessageHead& head) const {
+bool ClientConnection::IsForeignResponse(const MessageHead& head) const {
   if (this->echo.name.empty()) {
     return false;
   }
@@ -192,11 +192,12 @@
   return !value.empty() && value != this->echo.value;
 }
 
-void ClientConnection::FinishWhole(bool by_close) {
+void ClientConnection::FinishResponse(bool by_close) {
   const MessageHead& head = *this->reader.Head();
-  this->rest_limit_ms = RestLimitOf(head);
-  // A request that is not wholly out yet would go on where the peer may read
-  // the next one; bytes beyond the answer belong to no request.
+  this->keep_alive_limit_ms = KeepAliveLimitOf(head);
+  // Not reusable if part of the request is still unsent, since it would run
+  // into the next request, or if bytes follow the response, since they answer
+  // no request.
   const bool reusable = !by_close && head.keep_alive && !head.until_close &&
                         this->socket->PendingBytes() == 0 &&
                         this->reader.RestBytes() == 0;
@@ -209,18 +210,18 @@
 
 void ClientConnection::OnEnded(SocketEnd end) {
   if (this->call == 0) {
-    this->owner.OnRestEnded(*this);
+    this->owner.OnIdleConnectionEnded(*this);
     return;
   }
-  if (end == SocketEnd::kConnectFailed || !this->MayHaveLeft()) {
+  if (end == SocketEnd::kConnectFailed || !this->MayHaveSentBytes()) {
     this->Fail(ErrorId::kConnectFailed, "the connection could not be made");
     return;
   }
   const bool ended_whole = end == SocketEnd::kFinished && this->head_told &&
-                           !this->passing_over &&
+                           !this->discarding &&
                            this->reader.FeedEnd() == ReadState::kWhole;
   if (ended_whole) {
-    this->FinishWhole(true);
+    this->FinishResponse(true);
     return;
   }
   this->Fail(ErrorId::kConnectionLost, end == SocketEnd::kReset
@@ -232,7 +233,7 @@
   ErrorDetail detail;
   detail.id = id;
   detail.peer = this->peer.authority;
-  const bool left = this->MayHaveLeft();
+  const bool left = this->MayHaveSentBytes();
   detail.step = left ? "read-answer" : "connect";
   HttpEnd end;
   end.http_status = this->http_status;
@@ -249,7 +250,7 @@
   this->owner.OnExchangeEnd(*this, told);
 }
 
-void ClientConnection::Drop() {
+void ClientConnection::AbortSilently() {
   this->call = 0;
   this->socket->SetHandler(nullptr);
   this->socket->Abort();
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -13,67 +13,71 @@
 
 namespace meadowthread::detail {
 
-/// @brief Where a URL leads.
+/// @brief The parts of an http:// or https:// URL that a request needs.
 struct UrlParts {
   bool tls = false;
   std::string host;
   std::uint16_t port = 0;
-  std::string authority;  ///< host and port as given, for the Host header
+  std::string authority;  ///< host and port as in the URL, for the Host header
   std::string target;     ///< path and query, byte for byte
 
-  /// @brief Names the peer in the pool.
+  /// @brief The key under which the connection pool keeps connections to this
+  /// peer.
   std::string PoolKey() const;
 };
 
-/// @brief Splits a URL; an empty host where it is none.
+/// @brief Splits a URL; `host` is empty if the URL is not valid.
 UrlParts SplitUrl(std::string_view url);
 
 class ClientConnection;
 
-/// @brief How an exchange on a connection ended.
+/// @brief How one request/response exchange on a connection ended.
 struct ExchangeEnd {
   HttpEnd end;
-  bool answered = false;  ///< a byte of an answer came
+  bool answered = false;  ///< at least one byte of a response was received
   bool reusable = false;
 };
 
-/// @brief Told of an exchange; these calls may destroy the connection later in
-/// the turn, never at once.
-class ExchangeOwner {
+/// @brief Callbacks for the events of an exchange. They must not destroy the
+/// connection directly; it may be destroyed later in the same turn of the event
+/// loop.
+class ExchangeObserver {
  public:
-  virtual ~ExchangeOwner() = default;
+  virtual ~ExchangeObserver() = default;
   virtual void OnExchangeHead(ClientConnection& from, int http_status,
                               const MessageHead& head) = 0;
   virtual void OnExchangeData(ClientConnection& from,
                               std::string_view data) = 0;
   virtual void OnExchangeEnd(ClientConnection& from,
                              const ExchangeEnd& end) = 0;
-  virtual void OnAnswerPassedOver(ClientConnection& from) = 0;
-  /// @brief A resting connection ended, or spoke without being asked.
-  virtual void OnRestEnded(ClientConnection& from) = 0;
+  virtual void OnForeignResponse(ClientConnection& from) = 0;
+  /// @brief An idle pooled connection was closed, or received bytes although no
+  /// request was outstanding.
+  virtual void OnIdleConnectionEnded(ClientConnection& from) = 0;
 };
 
-/// @brief One connection to a peer: one exchange at a time.
+/// @brief A client's HTTP/1.1 connection to one peer. It carries one
+/// request/response exchange at a time.
 class ClientConnection final : public StreamSocketHandler {
  public:
   /// @param[in] owner outlives the connection
-  ClientConnection(ExchangeOwner& owner, UrlParts peer,
+  ClientConnection(ExchangeObserver& owner, UrlParts peer,
                    std::unique_ptr<StreamSocket> socket);
   ~ClientConnection() override = default;
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  /// @brief Sends a request; the connection must rest or be new.
+  /// @brief Sends a request; the connection must be idle or new.
   void Begin(HttpCallId for_call, const HttpRequest& request,
              const UrlParts& url);
 
-  /// @brief The exchange is over and the connection waits for its next one.
-  void Rest() { this->call = 0; }
+  /// @brief Marks the connection as idle after an exchange.
+  void MarkIdle() { this->call = 0; }
 
-  /// @brief Forgets the exchange and breaks the connection.
-  void Drop();
+  /// @brief Aborts the connection without reporting the end of its exchange.
+  void AbortSilently();
 
-  /// @brief Ends the exchange with an error.
+  /// @brief Reports the end of the exchange with an error.
   void Fail(ErrorId id, std::string_view what);
 
   void SetPaused(bool paused) { this->socket->SetPaused(paused); }
@@ -84,8 +88,9 @@
   bool IsQuiet() const { return this->socket->IsQuiet(); }
   bool WasUsed() const { return this->exchanges > 1; }
 
-  /// @brief How long the peer keeps it at rest, milliseconds.
-  std::int64_t RestLimitMs() const { return this->rest_limit_ms; }
+  /// @brief How long the peer keeps the connection open while idle, in
+  /// milliseconds.
+  std::int64_t KeepAliveLimitMs() const { return this->keep_alive_limit_ms; }
 
   // StreamSocketHandler
   void OnConnected() override { this->connected = true; }
@@ -93,14 +98,14 @@
   void OnEnded(SocketEnd end) override;
 
  private:
-  void Pump(ReadState state);
-  bool TellHead();
-  bool BelongsToAnother(const MessageHead& head) const;
-  void FinishWhole(bool by_close);
+  void ProcessMessages(ReadState state);
+  bool ReportHead();
+  bool IsForeignResponse(const MessageHead& head) const;
+  void FinishResponse(bool by_close);
   void Tell(const HttpEnd& end, bool reusable);
-  bool MayHaveLeft() const;
+  bool MayHaveSentBytes() const;
 
-  ExchangeOwner& owner;
+  ExchangeObserver& owner;
   UrlParts peer;
   std::unique_ptr<StreamSocket> socket;
   MessageReader reader;
@@ -108,12 +113,12 @@
   HttpHeader echo;
   bool connected = false;
   bool head_told = false;
-  bool passing_over = false;
+  bool discarding = false;
   bool answered = false;
   int exchanges = 0;
   int http_status = 0;
   std::int64_t sent_before = 0;
-  std::int64_t rest_limit_ms = 0;
+  std::int64_t keep_alive_limit_ms = 0;
 };
 
 }  // namespace meadowthread::detail
--- a/src/net/fetch.cc
+++ b/src/net/fetch.cc
@@ -8,7 +8,7 @@
 namespace meadowthread {
 namespace {
 
-// Deletes itself once the call has ended: nobody else holds it.
+// Has no other owner, so it deletes itself when the call ends.
 class FetchHandler final : public HttpHandler {
  public:
   FetchHandler(HttpClient& client, std::size_t limit_bytes,
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -12,13 +12,14 @@
 
 namespace meadowthread {
 
-/// @brief One header of a request or an answer; names compare without case.
+/// @brief A header of an HTTP request or response; names are case-insensitive.
 struct HttpHeader {
   std::string name;
   std::string value;
 };
 
-/// @brief A request to be sent.
+/// @brief An HTTP request to send, with its timeouts and rules for reuse and
+/// resending.
 struct HttpRequest {
   std::string method = "GET";
   std::string url;
@@ -26,47 +27,52 @@
   std::string body;
   std::int64_t connect_timeout_ms = 1000;
   std::int64_t total_timeout_ms = 0;  ///< 0: no limit
-  std::int64_t idle_timeout_ms = 0;   ///< longest silence; 0: no limit
-  /// Never sent twice, whatever becomes of its connection. Others are sent a
-  /// second time where a connection that was used before ended unanswered.
+  std::int64_t idle_timeout_ms =
+      0;  ///< longest time without data from the peer; 0: no limit
+  /// The request is never sent twice. Other requests are resent once if a
+  /// reused connection ended before any byte of the response was received.
   bool send_once = false;
-  /// Longest rest of a connection that may be used again. A peer may have
-  /// closed or forgotten it: what is sent then is lost, and unknown.
+  /// Longest idle time after which a pooled connection is still reused. The
+  /// peer may have closed or forgotten a connection that was idle for longer;
+  /// it is then unknown whether a request sent on it was processed.
   std::int64_t reuse_idle_ms = 8'000;
-  /// A header that answers repeat: another one's belongs to another request
-  /// and is passed over. Without a name nothing is compared.
+  /// A header that the response echoes. A response with another value belongs
+  /// to another request and is discarded. An empty name turns the check off.
   HttpHeader answer_echo;
 };
 
-/// @brief How a call ended.
+/// @brief How an HTTP call ended.
 struct HttpEnd {
-  /// OK once the whole answer came; else kConnectFailed (nothing was sent),
-  /// kConnectionLost or kPeerSilent, with step and peer.
+  /// OK if the complete response was received; otherwise kConnectFailed
+  /// (nothing was sent), kConnectionLost, kPeerSilent or kPeerMalformed, with
+  /// step and peer.
   absl::Status status;
-  int http_status = 0;                 ///< 0 where no answer's head came
-  bool request_may_have_left = false;  ///< false: certainly no byte was sent
-  bool ended_by_close = false;  ///< nothing but an orderly close ended the body
+  int http_status = 0;  ///< 0 if no response head was received
+  bool request_may_have_left =
+      false;                    ///< false: no byte of the request was sent
+  bool ended_by_close = false;  ///< the body had no length and ended when the
+                                ///< peer closed the connection
 };
 
-/// @brief What a caller of the client is told, on the event loop's thread.
+/// @brief Receives the response to one call, on the event loop's thread.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
 
-  /// @brief The answer's head came.
+  /// @brief The status and headers of the response were received.
   virtual void OnHead(int http_status, std::span<const HttpHeader> headers) = 0;
 
-  /// @brief A piece of the answer's body came.
+  /// @brief A part of the response body was received.
   virtual void OnData(std::string_view data) = 0;
 
-  /// @brief The call ended; nothing follows. Not called after Cancel.
+  /// @brief The call ended; this is the last callback. Not called after Cancel.
   virtual void OnEnd(const HttpEnd& end) = 0;
 };
 
-/// @brief Names a call in progress; 0 names none.
+/// @brief Identifies a call in progress; 0 is never used.
 using HttpCallId = std::uint64_t;
 
-/// @brief Sends requests without blocking, on the event loop.
+/// @brief Sends HTTP requests asynchronously on the event loop.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
@@ -76,28 +82,28 @@
   virtual HttpCallId Start(const HttpRequest& request,
                            HttpHandler* handler) = 0;
 
-  /// @brief Ends a call at once; its handler hears no more of it.
+  /// @brief Aborts a call; its handler gets no further callback.
   virtual void Cancel(HttpCallId call) = 0;
 
-  /// @brief Stops or goes on reading a call's answer (back pressure).
+  /// @brief Pauses or resumes reading a call's response (backpressure).
   virtual void SetPaused(HttpCallId call, bool paused) = 0;
 };
 
-/// @brief A whole answer.
+/// @brief A complete HTTP response.
 struct HttpResponse {
   int http_status = 0;
   std::vector<HttpHeader> headers;
   std::string body;
 };
 
-/// @brief How a whole fetch ended: `end.status` tells whether `response` is
-/// whole.
+/// @brief The result of Fetch; `response` is complete only if `end.status` is
+/// OK.
 struct HttpFetched {
   HttpEnd end;
   HttpResponse response;
 };
 
-/// @brief Sends a request and gathers its whole answer.
+/// @brief Sends a request and collects the complete response.
 /// @param[in] client outlives the call
 /// @param[in] limit_bytes a longer body ends the call as kPeerMalformed
 /// @param[in] done called once, on the event loop
@@ -105,7 +111,7 @@
            std::size_t limit_bytes,
            const std::function<void(const HttpFetched&)>& done);
 
-/// @brief The value of a header, empty where it is missing.
+/// @brief The value of a header; empty if there is none.
 std::string_view FindHeader(std::span<const HttpHeader> headers,
                             std::string_view name);
 
--- a/src/net/http_code.h
+++ b/src/net/http_code.h
@@ -1,7 +1,8 @@
 #ifndef MEADOWTHREAD_NET_HTTP_CODE_H_
 #define MEADOWTHREAD_NET_HTTP_CODE_H_
 
-/// Status codes of HTTP (RFC 9110), as plain numbers: peers may send any.
+/// HTTP status codes (RFC 9110). They are plain integers because peers may send
+/// any value.
 namespace meadowthread::http_code {
 
 inline constexpr int kOk = 200;
@@ -19,7 +20,7 @@
 inline constexpr int kBadGateway = 502;
 inline constexpr int kUnavailable = 503;
 
-/// Lower ones are interim answers.
+/// Lower codes are interim (1xx) responses.
 inline constexpr int kFirstFinal = 200;
 inline constexpr int kFirstSuccess = 200;
 inline constexpr int kFirstRedirect = 300;
--- a/src/net/http_headers.cc
+++ b/src/net/http_headers.cc
@@ -12,8 +12,9 @@
 namespace meadowthread {
 namespace {
 
-// RFC 9110, 7.6.1, with the older names that some peers still send; the last
-// two belong to the framing that each connection has of its own.
+// The hop-by-hop headers of RFC 9110, section 7.6.1, and older ones that some
+// peers still send. The last two concern the body, which each connection
+// transfers in its own way.
 constexpr std::array<std::string_view, 11> kConnectionHeaders = {
     "Connection", "Keep-Alive",        "Proxy-Connection",
     "TE",         "Trailer",           "Proxy-Authenticate",
@@ -26,7 +27,7 @@
   return absl::EqualsIgnoreCase(AbslView(left), AbslView(right));
 }
 
-bool HasWord(std::string_view value, std::string_view word) {
+bool ContainsToken(std::string_view value, std::string_view word) {
   for (const absl::string_view part : absl::StrSplit(AbslView(value), ',')) {
     if (absl::EqualsIgnoreCase(absl::StripAsciiWhitespace(part),
                                AbslView(word))) {
@@ -45,7 +46,7 @@
                     [&header](std::string_view name) {
                       return SameHeader(header.name, name);
                     });
-    if (!own && !HasWord(named, header.name)) {
+    if (!own && !ContainsToken(named, header.name)) {
       kept.push_back(header);
     }
   }
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -10,20 +10,21 @@
 
 namespace meadowthread {
 
-/// @brief Whether two header names are the same.
+/// @brief Compares two header names without regard to case.
 bool SameHeader(std::string_view left, std::string_view right);
 
-/// @brief The headers that concern more than one connection, in their order;
-/// those of the body's framing are left out too.
+/// @brief Returns the end-to-end headers in their order, without hop-by-hop
+/// headers and those that frame the body.
 std::vector<HttpHeader> EndToEndHeaders(std::span<const HttpHeader> headers);
 
-/// @brief Whether a comma-separated header value has the word.
-bool HasWord(std::string_view value, std::string_view word);
+/// @brief Whether a comma-separated header value contains `word`, ignoring
+/// case.
+bool ContainsToken(std::string_view value, std::string_view word);
 
-/// @brief A header line for each of the headers.
+/// @brief Appends one header line per header to `out`.
 void AppendHeaders(std::span<const HttpHeader> headers, std::string* out);
 
-/// @brief The usual words for a status.
+/// @brief The standard reason phrase of a status code.
 std::string_view ReasonPhrase(int http_status);
 
 }  // namespace meadowthread
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -25,9 +25,10 @@
 namespace meadowthread {
 namespace {
 
-// Qt's own 50 make a burst of connections wait for their SYN to be repeated.
+// With Qt's default of 50, a burst of connections overflows the queue and has
+// to wait for SYN retransmissions.
 constexpr int kBacklog = 4096;
-// How late a time limit may be noticed.
+// Interval between checks of the connections' timeouts.
 constexpr std::chrono::milliseconds kCheckPeriod{250};
 
 absl::Status ListenError(std::string_view what, std::string_view peer) {
@@ -65,7 +66,7 @@
   return configuration;
 }
 
-/// @brief Hands over accepted descriptors as they are.
+/// @brief Passes on accepted descriptors without wrapping them in Qt sockets.
 class PlainListener final : public QTcpServer {
  public:
   explicit PlainListener(std::function<void(int)> accepted)
@@ -84,8 +85,8 @@
 
 namespace detail {
 
-/// @brief The listener with its connections.
-class ServerCore final : public ConnectionHost {
+/// @brief The listening socket and the open connections of an HttpServer.
+class ServerCore final : public ServerContext {
  public:
   ServerCore(HttpService* service, const ServerLimits& limits);
   ~ServerCore() override;
@@ -104,17 +105,17 @@
   std::int64_t NowMs() const override { return this->clock.MonotonicMs(); }
   HttpService& Service() override { return *this->service; }
   bool IsClosing() const override { return this->closing; }
-  bool Hold(std::int64_t bytes) override;
-  void Release(std::int64_t bytes) override { this->held -= bytes; }
-  void NoteCut() override { ++this->answers_cut; }
-  void Forget(StreamSocketHandler* connection) override;
+  bool ReserveBytes(std::int64_t bytes) override;
+  void ReleaseBytes(std::int64_t bytes) override { this->held -= bytes; }
+  void CountInterruptedResponse() override { ++this->answers_cut; }
+  void RemoveConnection(StreamSocketHandler* connection) override;
 
  private:
   using ConnectionPtr = std::shared_ptr<ServerConnection>;
 
   void Add(std::unique_ptr<StreamSocket> socket);
   void AcceptTls(QSslServer* secure);
-  void CheckTimes();
+  void CheckTimeouts();
   std::vector<ConnectionPtr> All() const;
 
   HttpService* service;
@@ -124,7 +125,8 @@
   std::unique_ptr<QTcpServer> listener;
   QTimer check_timer;
   std::unordered_map<StreamSocketHandler*, ConnectionPtr> connections;
-  /// Those that ended in this turn: their own calls may still be on the stack.
+  /// Connections that ended in this turn of the event loop. They are destroyed
+  /// later, as their methods may still be on the call stack.
   std::vector<ConnectionPtr> ended;
   std::int64_t held = 0;
   std::int64_t answers_cut = 0;
@@ -134,14 +136,14 @@
 ServerCore::ServerCore(HttpService* service, const ServerLimits& limits)
     : service(service), limits(limits) {
   QObject::connect(&this->check_timer, &QTimer::timeout, &this->check_timer,
-                   [this] { this->CheckTimes(); });
+                   [this] { this->CheckTimeouts(); });
   this->check_timer.start(kCheckPeriod);
 }
 
 ServerCore::~ServerCore() {
-  // Writers that outlive the server find their connections gone.
+  // Writers that outlive the server hold weak pointers to these connections.
   for (const ConnectionPtr& connection : this->All()) {
-    connection->EndWithProcess();
+    connection->CloseForShutdown();
   }
   this->connections.clear();
   this->ended.clear();
@@ -197,7 +199,7 @@
   connection->Begin();
 }
 
-bool ServerCore::Hold(std::int64_t bytes) {
+bool ServerCore::ReserveBytes(std::int64_t bytes) {
   if (this->held + bytes > this->limits.max_held_bytes) {
     return false;
   }
@@ -205,7 +207,7 @@
   return true;
 }
 
-void ServerCore::Forget(StreamSocketHandler* connection) {
+void ServerCore::RemoveConnection(StreamSocketHandler* connection) {
   const auto found = this->connections.find(connection);
   if (found == this->connections.end()) {
     return;
@@ -226,17 +228,17 @@
   return all;
 }
 
-void ServerCore::CheckTimes() {
+void ServerCore::CheckTimeouts() {
   const std::int64_t now_ms = this->NowMs();
   for (const ConnectionPtr& connection : this->All()) {
-    connection->CheckTime(now_ms);
+    connection->CheckTimeouts(now_ms);
   }
 }
 
 std::size_t ServerCore::Owed() const {
-  return static_cast<std::size_t>(
-      std::count_if(this->connections.begin(), this->connections.end(),
-                    [](const auto& entry) { return entry.second->IsOwed(); }));
+  return static_cast<std::size_t>(std::count_if(
+      this->connections.begin(), this->connections.end(),
+      [](const auto& entry) { return entry.second->HasUndelivered(); }));
 }
 
 void ServerCore::CloseAll() {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -14,7 +14,7 @@
 
 namespace meadowthread {
 
-/// @brief A request as it came in.
+/// @brief A request received by the server.
 struct ServerRequest {
   std::string method;
   std::string target;  ///< path and query, byte for byte
@@ -22,21 +22,22 @@
   std::string query;
   std::vector<HttpHeader> headers;
   std::string body;
-  std::string peer;           ///< the caller's address
-  std::int64_t begun_ms = 0;  ///< monotonic: when its first byte came
+  std::string peer;  ///< the client's address
+  std::int64_t begun_ms =
+      0;  ///< monotonic clock: when its first byte was received
 };
 
-/// @brief What answers requests.
+/// @brief Handles the requests that an HttpServer receives.
 class HttpService {
  public:
   virtual ~HttpService() = default;
 
-  /// @brief Answers `request` through `writer`, now or later.
+  /// @brief Responds to `request` through `writer`, immediately or later.
   virtual void Serve(const ServerRequest& request,
                      std::unique_ptr<ResponseWriter> writer) = 0;
 };
 
-/// @brief Bounds on what a caller may send.
+/// @brief Limits on the size and duration of requests and on connections.
 struct ServerLimits {
   std::int64_t max_header_bytes = std::int64_t{32} * 1024;
   std::int64_t max_body_bytes = std::int64_t{1024} * 1024;
@@ -44,15 +45,15 @@
   std::int64_t header_timeout_ms = 10'000;
   /// From a request's first byte to its last.
   std::int64_t body_timeout_ms = 10'000;
-  /// Longest rest of a connection without a request.
+  /// Longest time that a connection may be idle between requests.
   std::int64_t idle_timeout_ms = 60'000;
-  /// Unfinished requests of all connections together, so that many long ones
-  /// can't use up the host's memory.
+  /// Total size of the request bodies that all connections hold, so that many
+  /// large ones can't exhaust the host's memory.
   std::int64_t max_held_bytes = std::int64_t{64} * 1024 * 1024;
   std::size_t max_connections = 8192;
 };
 
-/// @brief Where certificate and key lie; empty: no TLS.
+/// @brief Paths of the PEM files with certificate and key; empty: no TLS.
 struct TlsFiles {
   std::string certificate_file;
   std::string key_file;
@@ -62,7 +63,7 @@
 class ServerCore;
 }  // namespace detail
 
-/// @brief An HTTP/1.1 server on Qt's event loop.
+/// @brief An HTTP/1.1 server, with or without TLS, on Qt's event loop.
 class HttpServer {
  public:
   /// @param[in] service outlives the server
@@ -72,29 +73,30 @@
   HttpServer& operator=(const HttpServer&) = delete;
 
   /// @brief Starts to listen.
-  /// @param[in] address an IP number
-  /// @param[in] port 0: any free one
-  /// @return the port, or an error naming the address or the TLS file
+  /// @param[in] address an IP address
+  /// @param[in] port 0: any free port
+  /// @return the port, or an error that names the address or the TLS file
   absl::StatusOr<std::uint16_t> Listen(std::string_view address,
                                        std::uint16_t port, const TlsFiles& tls);
 
-  /// @brief Bounds for requests from now on.
+  /// @brief Replaces the limits; they apply from now on.
   void SetLimits(const ServerLimits& limits);
 
-  /// @brief From now on each connection ends after its present answer, and at
-  /// once where there is none.
+  /// @brief Closes idle connections now and the others after their current
+  /// response. Later connections are closed after one response.
   void CloseConnections();
 
-  /// @brief Connections that stand.
+  /// @brief Number of open connections.
   std::size_t Connections() const;
 
-  /// @brief Connections that were broken with an answer on them.
+  /// @brief Number of connections that were broken before their response was
+  /// delivered.
   std::int64_t AnswersCut() const;
 
-  /// @brief Connections whose callers may still get something: an answer counts
-  /// until the caller's kernel has it. A process that ends before this is zero
-  /// leaves what is on its way to its own kernel.
-  /// @complexity one call of the kernel a connection that rests
+  /// @brief Number of connections with an unfinished request or an undelivered
+  /// response. A response counts until the client's kernel has acknowledged it.
+  /// If the process exits before this is zero, delivery is left to its kernel.
+  /// @complexity one query of the kernel's queues per idle connection
   std::size_t Owed() const;
 
  private:
--- a/src/net/kernel_queues.cc
+++ b/src/net/kernel_queues.cc
@@ -12,9 +12,10 @@
 namespace meadowthread {
 namespace {
 
-// Of a peer that goes on sending, four times what one turn of the loop reads.
-constexpr std::size_t kDroppedBytes = std::size_t{64} * 1024;
-constexpr int kMostReads = 16;
+// Bounds what is discarded for a peer that keeps sending to 16 reads of 64 KiB,
+// four times what PlainSocket reads in one turn of the event loop.
+constexpr std::size_t kDiscardBytes = std::size_t{64} * 1024;
+constexpr int kMaxReads = 16;
 
 std::int64_t QueueOf(int descriptor, std::uint64_t which) {
   int bytes = 0;
@@ -41,15 +42,15 @@
           SilentMs(descriptor)};
 }
 
-// A socket that is closed with unread bytes resets, and its kernel forgets what
-// it had still to deliver.
+// Closing a socket with unread bytes sends a reset, and the kernel then
+// discards bytes that are not yet delivered.
 void FinishBeforeClose(int descriptor) {
   if (KernelQueuesOf(descriptor).unacknowledged == 0) {
     return;
   }
   shutdown(descriptor, SHUT_WR);
-  std::array<char, kDroppedBytes> dropped = {};
-  for (int reads = 0; reads < kMostReads; ++reads) {
+  std::array<char, kDiscardBytes> dropped = {};
+  for (int reads = 0; reads < kMaxReads; ++reads) {
     if (recv(descriptor, dropped.data(), dropped.size(), MSG_DONTWAIT) <= 0) {
       return;
     }
--- a/src/net/kernel_queues.h
+++ b/src/net/kernel_queues.h
@@ -5,19 +5,21 @@
 
 namespace meadowthread {
 
-/// @brief What the kernel knows of a TCP connection; -1 where it does not tell.
+/// @brief What the kernel reports about a TCP connection; -1 if it is unknown.
 struct KernelQueues {
-  std::int64_t unacknowledged = -1;  ///< to the peer, its end counted as one
-  std::int64_t unread = -1;          ///< from the peer
-  std::int64_t silent_ms = -1;       ///< since the peer's last acknowledgement
+  std::int64_t unacknowledged =
+      -1;  ///< bytes sent to the peer and not acknowledged; a FIN counts as one
+  std::int64_t unread = -1;     ///< bytes received from the peer and not read
+  std::int64_t silent_ms = -1;  ///< since the peer's last acknowledgement
 };
 
 /// @param[in] descriptor a TCP socket's
 KernelQueues KernelQueuesOf(int descriptor);
 
-/// @brief Ends what is sent, so that a close which follows is in order where
-/// the kernel has still something to deliver. Where it hasn't, unread bytes
-/// stay unread: the reset tells the peer that nobody had them.
+/// @brief Prepares a socket for close() so that the kernel still delivers
+/// unacknowledged bytes: shuts down sending and discards received bytes. Does
+/// nothing if all bytes are acknowledged; close() then sends a reset if there
+/// are unread bytes, which tells the peer that they were not processed.
 /// @param[in] descriptor a TCP socket's
 void FinishBeforeClose(int descriptor);
 
--- a/src/net/listen_check.cc
+++ b/src/net/listen_check.cc
@@ -12,10 +12,10 @@
 namespace meadowthread {
 namespace {
 
-/// @brief One connection that is tried; deletes itself when it is over.
-class OneCheck final : public QObject {
+/// @brief One test connection; deletes itself when it has a result.
+class PendingCheck final : public QObject {
  public:
-  OneCheck(const ListenCheck::Done& done, QObject* owner)
+  PendingCheck(const ListenCheck::Done& done, QObject* owner)
       : QObject(owner), done(done) {
     QObject::connect(&this->socket, &QTcpSocket::connected, this,
                      [this] { this->Tell(ListenState::kListens); });
@@ -63,10 +63,11 @@
   return "silent";
 }
 
-// Begun a turn later, so that an end that is known at once is told later too.
+// Starts in the next turn of the event loop, so that `done` is never called
+// from within Ask.
 void QtListenCheck::Ask(std::string_view address, std::int64_t limit_ms,
                         const Done& done) {
-  auto* const check = new OneCheck(done, &this->owner);  // ends by itself
+  auto* const check = new PendingCheck(done, &this->owner);  // deletes itself
   const bool is_address = IsIpAndPort(address);
   const QUrl to("tcp://" +
                 QString::fromUtf8(address.data(), std::ssize(address)));
--- a/src/net/listen_check.h
+++ b/src/net/listen_check.h
@@ -8,18 +8,18 @@
 
 namespace meadowthread {
 
-/// @brief What became of a connection that was only tried.
+/// @brief Result of a test connection.
 enum class ListenState {
   kListens,
-  kRefused,  ///< the machine answers, and no process takes connections there
-  kSilent,   ///< nothing answered in time
+  kRefused,  ///< the machine is up, but no process listens on the port
+  kSilent,   ///< no reply within the time limit
 };
 
 /// @brief The state's name in log lines.
 std::string_view ListenStateName(ListenState state);
 
-/// @brief Finds out whether a process takes connections, by one that is closed
-/// at once. Nothing is asked of the process.
+/// @brief Checks whether a process listens on an address by opening a
+/// connection and closing it immediately, without sending anything.
 class ListenCheck {
  public:
   using Done = std::function<void(ListenState)>;
@@ -28,19 +28,20 @@
 
   /// @param[in] address IP:PORT
   /// @param[in] limit_ms longest wait
-  /// @param[in] done told once, later
+  /// @param[in] done called once, never from within Ask
   virtual void Ask(std::string_view address, std::int64_t limit_ms,
                    const Done& done) = 0;
 };
 
-/// @brief By Qt's sockets.
+/// @brief A ListenCheck that uses Qt's sockets.
 class QtListenCheck final : public ListenCheck {
  public:
   void Ask(std::string_view address, std::int64_t limit_ms,
            const Done& done) override;
 
  private:
-  QObject owner;  ///< of the sockets: what is not over ends with it, untold
+  QObject owner;  ///< parent of the pending checks; its destruction drops them
+                  ///< without a callback
 };
 
 }  // namespace meadowthread
--- a/src/net/message_reader.cc
+++ b/src/net/message_reader.cc
@@ -18,8 +18,8 @@
 using boost::beast::error_code;
 using boost::beast::string_view;
 
-/// @brief What a parser has gathered.
-struct Gathered {
+/// @brief The parts of a message that the parser has collected.
+struct ParsedMessage {
   MessageHead head;
   bool head_done = false;
   std::string body;
@@ -28,19 +28,20 @@
   std::string length;
   std::string encoding;
   std::size_t trailer_bytes = 0;
-  std::size_t extension_bytes = 0;  ///< of the chunk with the longest ones
+  std::size_t extension_bytes = 0;  ///< largest size of one chunk's extensions
 };
 
 std::string ToString(string_view text) { return {text.data(), text.size()}; }
 
-/// @brief Boost.Beast's parser, gathering instead of filling a container: its
-/// containers would take a body's trailers for headers.
+/// @brief A Boost.Beast parser that collects the parts itself, because Beast's
+/// message containers would add trailers to the headers.
 template <bool IsRequest>
-class GatheringParser final : public http::basic_parser<IsRequest> {
+class CollectingParser final : public http::basic_parser<IsRequest> {
  public:
-  explicit GatheringParser(Gathered& gathered) : gathered(gathered) {
+  explicit CollectingParser(ParsedMessage& parsed) : parsed(parsed) {
     this->eager(true);
-    // Bounds stand with the connection, which knows the limits in force.
+    // The size limits are enforced by MessageReader and the connection, which
+    // knows the current settings.
     this->body_limit(std::numeric_limits<std::uint64_t>::max());
     this->header_limit(std::numeric_limits<std::uint32_t>::max());
   }
@@ -49,35 +50,35 @@
   void on_request_impl(http::verb /*verb*/, string_view method,
                        string_view target, int version,
                        error_code& /*error*/) override {
-    this->gathered.head.method = ToString(method);
-    this->gathered.head.target = ToString(target);
-    this->gathered.head.version = version;
+    this->parsed.head.method = ToString(method);
+    this->parsed.head.target = ToString(target);
+    this->parsed.head.version = version;
   }
 
   void on_response_impl(int code, string_view /*reason*/, int version,
                         error_code& /*error*/) override {
-    this->gathered.head.http_status = code;
-    this->gathered.head.version = version;
+    this->parsed.head.http_status = code;
+    this->parsed.head.version = version;
   }
 
   void on_field_impl(http::field field, string_view name, string_view value,
                      error_code& /*error*/) override {
-    if (this->gathered.head_done) {
-      this->gathered.trailer_bytes += name.size() + value.size();
+    if (this->parsed.head_done) {
+      this->parsed.trailer_bytes += name.size() + value.size();
       return;
     }
     if (field == http::field::content_length) {
-      ++this->gathered.lengths;
-      this->gathered.length = ToString(value);
+      ++this->parsed.lengths;
+      this->parsed.length = ToString(value);
     } else if (field == http::field::transfer_encoding) {
-      ++this->gathered.encodings;
-      this->gathered.encoding = ToString(value);
+      ++this->parsed.encodings;
+      this->parsed.encoding = ToString(value);
     }
-    this->gathered.head.headers.push_back({ToString(name), ToString(value)});
+    this->parsed.head.headers.push_back({ToString(name), ToString(value)});
   }
 
   void on_header_impl(error_code& /*error*/) override {
-    this->gathered.head_done = true;
+    this->parsed.head_done = true;
   }
 
   void on_body_init_impl(
@@ -85,52 +86,52 @@
       error_code& /*error*/) override {}
 
   std::size_t on_body_impl(string_view body, error_code& /*error*/) override {
-    this->gathered.body.append(body.data(), body.size());
+    this->parsed.body.append(body.data(), body.size());
     return body.size();
   }
 
   void on_chunk_header_impl(std::uint64_t /*size*/, string_view extensions,
                             error_code& /*error*/) override {
-    this->gathered.extension_bytes =
-        std::max(this->gathered.extension_bytes, extensions.size());
+    this->parsed.extension_bytes =
+        std::max(this->parsed.extension_bytes, extensions.size());
   }
 
   std::size_t on_chunk_body_impl(std::uint64_t /*remain*/, string_view body,
                                  error_code& /*error*/) override {
-    this->gathered.body.append(body.data(), body.size());
+    this->parsed.body.append(body.data(), body.size());
     return body.size();
   }
 
   void on_finish_impl(error_code& /*error*/) override {}
 
-  Gathered& gathered;
+  ParsedMessage& parsed;
 };
 
-/// @brief The parser of either kind with what it gathered.
+/// @brief Holds a request or response parser and what it has collected.
 class MessageParser {
  public:
   explicit MessageParser(MessageKind kind) {
     if (kind == MessageKind::kRequest) {
-      this->parser.emplace<GatheringParser<true>>(this->gathered);
+      this->parser.emplace<CollectingParser<true>>(this->parsed);
     } else {
-      this->parser.emplace<GatheringParser<false>>(this->gathered);
+      this->parser.emplace<CollectingParser<false>>(this->parsed);
     }
   }
 
-  Gathered& Got() { return this->gathered; }
+  ParsedMessage& Got() { return this->parsed; }
 
-  /// @brief Calls `use` with the parser that is in use.
+  /// @brief Calls `use` with the active parser.
   template <class Use>
   auto With(Use use) {
-    if (auto* request = std::get_if<GatheringParser<true>>(&this->parser)) {
+    if (auto* request = std::get_if<CollectingParser<true>>(&this->parser)) {
       return use(*request);
     }
-    return use(std::get<GatheringParser<false>>(this->parser));
+    return use(std::get<CollectingParser<false>>(this->parser));
   }
 
  private:
-  Gathered gathered;
-  std::variant<std::monostate, GatheringParser<true>, GatheringParser<false>>
+  ParsedMessage parsed;
+  std::variant<std::monostate, CollectingParser<true>, CollectingParser<false>>
       parser;
 };
 
@@ -139,12 +140,14 @@
 namespace {
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
-// Of unread bytes of a message, in heads: well above what the bounds on
-// extensions and trailers let pass.
-constexpr std::size_t kMostLeftHeads = 4;
-
-// A line feed alone ends a line for some readers and not for others, and a
-// line that begins with a blank belongs to the one before it for some.
+// Limit on the bytes of a message that the parser has not consumed, as a
+// multiple of the head limit. Well above what the limits on extensions and
+// trailers allow.
+constexpr std::size_t kMaxPendingHeads = 4;
+
+// Rejects bytes that HTTP implementations read differently: some accept a bare
+// line feed as the end of a line, and some join a line that begins with a blank
+// to the one before it.
 std::string_view HeadProblem(std::string_view head) {
   for (std::size_t at = 0; at < head.size(); ++at) {
     const char byte = head[at];
@@ -190,7 +193,7 @@
   if (this->state != ReadState::kMore) {
     return this->state;
   }
-  detail::Gathered& got = this->parser->Got();
+  detail::ParsedMessage& got = this->parser->Got();
   if (!got.head_done) {
     this->state = this->CheckHeadBytes();
     if (this->state != ReadState::kMore ||
@@ -211,19 +214,20 @@
   if (got.head_done && !had_head) {
     this->state = this->CheckFraming();
   }
-  // The same bounds whether they come in one piece or in many.
+  // Checked here so that the limits don't depend on how the bytes were split
+  // into reads.
   if (got.trailer_bytes > this->head_limit ||
       got.extension_bytes > this->head_limit) {
-    return this->Malformed("a chunk's head or trailers are too long");
+    return this->Malformed("chunk extensions or trailers are too long");
   }
   const bool done =
       this->parser->With([](auto& in_use) { return in_use.is_done(); });
-  // What is left of a message that is not whole is the line that begins a
-  // chunk, or its trailers with what separates them. Behind a whole one it is
-  // the next message.
+  // In an incomplete message the unconsumed bytes are the start of a chunk's
+  // size line or of the trailers. After a complete one they belong to the next
+  // message.
   if (this->state == ReadState::kMore && !done &&
-      this->pending.size() > kMostLeftHeads * this->head_limit) {
-    return this->Malformed("a chunk's head or trailers are too long");
+      this->pending.size() > kMaxPendingHeads * this->head_limit) {
+    return this->Malformed("chunk extensions or trailers are too long");
   }
   if (this->state == ReadState::kMore && done) {
     this->state = ReadState::kWhole;
@@ -232,7 +236,7 @@
 }
 
 ReadState MessageReader::CheckHeadBytes() {
-  // Peers may send an empty line after a body (RFC 9112, 2.2).
+  // Clients may send an empty line before a request (RFC 9112, section 2.2).
   while (this->kind == MessageKind::kRequest &&
          this->pending.starts_with("\r\n")) {
     this->pending.erase(0, 2);
@@ -249,18 +253,18 @@
   return found.empty() ? ReadState::kMore : this->Malformed(found);
 }
 
-// Where a length and an encoding stand together, or one of them twice, two
-// readers would find the message's end in two places.
+// With both Content-Length and Transfer-Encoding, or either of them twice, two
+// implementations could disagree on where the message ends.
 ReadState MessageReader::CheckFraming() {
-  detail::Gathered& got = this->parser->Got();
+  detail::ParsedMessage& got = this->parser->Got();
   MessageHead& head = got.head;
   if (got.lengths > 1 || got.encodings > 1 ||
       (got.lengths > 0 && got.encodings > 0)) {
-    return this->Malformed("the body's length is given twice");
+    return this->Malformed("more than one Content-Length or Transfer-Encoding");
   }
-  // The library takes a list of equal lengths too.
+  // Boost.Beast would also accept a list of equal lengths.
   if (got.lengths > 0 && !IsPlainNumber(got.length)) {
-    return this->Malformed("the body's length is no plain number");
+    return this->Malformed("Content-Length is not a plain decimal number");
   }
   const bool chunked = absl::EqualsIgnoreCase(got.encoding, "chunked");
   if (got.encodings > 0 && (!chunked || head.version < 11)) {
@@ -298,7 +302,7 @@
 }
 
 const MessageHead* MessageReader::Head() const {
-  const detail::Gathered& got = this->parser->Got();
+  const detail::ParsedMessage& got = this->parser->Got();
   return got.head_done ? &got.head : nullptr;
 }
 
--- a/src/net/message_reader.h
+++ b/src/net/message_reader.h
@@ -15,60 +15,66 @@
 
 /// @brief The start line and headers of an HTTP/1 message.
 struct MessageHead {
-  std::string method;   ///< requests: as sent, known or not
-  std::string target;   ///< requests: as sent, byte for byte
-  int http_status = 0;  ///< answers
+  std::string
+      method;  ///< requests only: as sent, also if it is not a standard method
+  std::string target;   ///< requests only: as sent, byte for byte
+  int http_status = 0;  ///< responses only
   int version = 11;     ///< 10 or 11
   std::vector<HttpHeader> headers;
-  std::optional<std::uint64_t> content_length;  ///< where one is announced
+  std::optional<std::uint64_t>
+      content_length;  ///< if the message has a Content-Length
   bool chunked = false;
-  bool keep_alive = false;   ///< the connection may be used again
-  bool until_close = false;  ///< the body ends with the connection
+  bool keep_alive = false;   ///< the connection stays open after this message
+  bool until_close = false;  ///< the body ends when the connection is closed
 };
 
-/// @brief How far a message has come.
+/// @brief State of reading a message.
 enum class ReadState { kMore, kWhole, kMalformed, kHeadTooLarge };
 
-/// @brief Which messages are read.
+/// @brief Whether requests or responses are read.
 enum class MessageKind { kRequest, kAnswer };
 
 namespace detail {
 class MessageParser;
 }  // namespace detail
 
-/// @brief Cuts a byte stream into HTTP/1 messages, strictly: whatever two
-/// readers could take in two ways is malformed.
+/// @brief Incremental parser that splits a byte stream into HTTP/1 messages. It
+/// is strict: a message whose framing two implementations could read
+/// differently is malformed (request smuggling).
 class MessageReader {
  public:
-  /// @param[in] head_limit most bytes of a start line with its headers
+  /// @param[in] head_limit largest size of the start line and headers, in bytes
   MessageReader(MessageKind kind, std::size_t head_limit);
   ~MessageReader();
   MessageReader(const MessageReader&) = delete;
   MessageReader& operator=(const MessageReader&) = delete;
 
-  /// @brief Takes the next bytes.
+  /// @brief Parses the next bytes.
   ReadState Feed(std::string_view bytes);
 
-  /// @brief The connection ended in order: whole where the body ends so.
+  /// @brief Signals that the peer closed the connection; completes a body that
+  /// ends with the connection.
   ReadState FeedEnd();
 
-  /// @brief The head, null until it is whole.
+  /// @brief The head; null until it is complete.
   const MessageHead* Head() const;
 
-  /// @brief The body's bytes that came since the last call.
+  /// @brief Returns the bytes of the body received since the last call.
   std::string TakeBody();
 
-  /// @brief What was malformed, for people.
+  /// @brief A description of what was malformed.
   const std::string& Problem() const { return this->problem; }
 
-  /// @brief Begins with a new message.
-  /// @param[in] no_body the answer to a HEAD request: its body never comes
+  /// @brief Starts a new message.
+  /// @param[in] no_body the message is the response to a HEAD request and has
+  /// no body
   void ExpectNoBody(bool no_body);
 
-  /// @brief Bytes that came after a whole message.
+  /// @brief Number of received bytes that follow a complete message.
   std::size_t RestBytes() const;
 
-  /// @brief Goes on with the next message, with what came after this one.
+  /// @brief Starts the next message and parses the bytes already received for
+  /// it.
   ReadState Next();
 
  private:
--- a/src/net/plain_socket.cc
+++ b/src/net/plain_socket.cc
@@ -19,19 +19,22 @@
 namespace {
 
 constexpr std::size_t kReadBytes = std::size_t{64} * 1024;
-// Reads of one socket in one turn, so that a fast peer does not starve others.
+// Most reads from one socket per turn of the event loop, so that a fast peer
+// does not starve others.
 constexpr int kReadsPerTurn = 4;
-// A peer whose host lost power or is cut off says nothing. Probes on a silent
-// connection, and on one that we opened bytes that nobody acknowledges, end it
-// after this long; shorter than any deadline of a generation, longer than a
-// link's hiccups. Callers are left out of the latter: the kernel counts a
-// window that a slow reader keeps closed as silence, though it answers each
-// probe. Their connections watch themselves what they take.
+// A peer whose host lost power or network sends nothing, not even a reset.
+// Keepalive probes end an idle connection after 3 + 3 * 1 s without a reply;
+// TCP_USER_TIMEOUT ends a connection that we opened if sent bytes stay
+// unacknowledged for 6 s. That is shorter than any generation deadline and
+// longer than short network interruptions. TCP_USER_TIMEOUT is not set on
+// accepted connections, because the kernel also counts the time in which a slow
+// reader keeps its window closed, though it answers every probe.
+// ServerConnection checks the progress of its client itself.
 constexpr int kDeadPeerMs = 6'000;
 constexpr int kProbeAfterS = 3;
 constexpr int kProbeEveryS = 1;
 constexpr int kProbes = 3;
-// What is sent is kept in front of the buffer up to this much.
+// Sent bytes are erased from the front of the buffer once there are this many.
 constexpr std::size_t kCompactBytes = std::size_t{16} * 1024;
 
 void SetOption(int descriptor, int level, int name, int value) {
@@ -65,7 +68,7 @@
   target.sin_family = AF_INET;
   target.sin_port = htons(port);
   if (inet_pton(AF_INET, address.c_str(), &target.sin_addr) != 1) {
-    return ConnectError(peer, "the address is no IPv4 number");
+    return ConnectError(peer, "the address is not an IPv4 address");
   }
   const int descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -133,11 +136,11 @@
 void PlainSocket::Flush() {
   this->flush_planned = false;
   if (this->connected) {
-    this->SendSome();
+    this->SendPending();
   }
 }
 
-void PlainSocket::SendSome() {
+void PlainSocket::SendPending() {
   const bool had_bytes = this->out_begin < this->out.size();
   while (this->out_begin < this->out.size()) {
     const ssize_t count =
@@ -147,11 +150,11 @@
       continue;
     }
     if (count < 0 && !WouldBlock(errno)) {
-      // What the peer sent before it closed is still to be read: an answer
-      // that came before the whole request was taken is a whole answer.
+      // Don't end the connection yet: the peer may have sent a complete
+      // response before it closed without reading the whole request.
       this->out.clear();
       this->out_begin = 0;
-      this->WatchAgain();
+      this->UpdateWatchedEvents();
       if (this->closing) {
         this->End(SocketEnd::kReset);
       }
@@ -170,15 +173,16 @@
     this->out.erase(0, this->out_begin);
     this->out_begin = 0;
   }
-  this->WatchAgain();
+  this->UpdateWatchedEvents();
   if (!this->out.empty()) {
     return;
   }
   if (this->peer_finished) {
     this->End(SocketEnd::kFinished);
   } else if (this->closing) {
-    // A socket closed with unread bytes resets, and the reset may overtake the
-    // answer: what still comes is read and dropped until the peer closes.
+    // Closing a socket with unread bytes sends a reset, which can make the peer
+    // lose the response. So only sending is shut down, and further bytes are
+    // read and discarded until the peer closes.
     shutdown(this->descriptor, SHUT_WR);
   } else if (had_bytes && this->handler != nullptr) {
     this->handler->OnDrained();
@@ -219,7 +223,7 @@
   }
   this->handler = nullptr;
   if (this->connected) {
-    this->SendSome();
+    this->SendPending();
   }
   if (this->descriptor >= 0) {
     FinishBeforeClose(this->descriptor);
@@ -242,10 +246,10 @@
 
 void PlainSocket::SetPaused(bool is_paused) {
   this->paused = is_paused;
-  this->WatchAgain();
+  this->UpdateWatchedEvents();
 }
 
-void PlainSocket::WatchAgain() {
+void PlainSocket::UpdateWatchedEvents() {
   if (this->descriptor < 0 || !this->connected) {
     return;
   }
@@ -266,12 +270,12 @@
   }
   const std::weak_ptr<bool> guard = this->alive;
   if ((events & EPOLLOUT) != 0) {
-    this->SendSome();
+    this->SendPending();
   }
   if (guard.expired() || this->descriptor < 0) {
     return;
   }
-  // A broken connection is noticed also while its bytes are not wanted.
+  // Also reads while paused if the connection is broken, to notice its end.
   const bool broken = (events & (EPOLLERR | EPOLLHUP)) != 0;
   if ((events & EPOLLIN) != 0 || broken) {
     this->Read();
@@ -287,13 +291,13 @@
     return;
   }
   this->connected = true;
-  this->WatchAgain();
+  this->UpdateWatchedEvents();
   const std::weak_ptr<bool> guard = this->alive;
   if (this->handler != nullptr) {
     this->handler->OnConnected();
   }
   if (!guard.expired() && this->descriptor >= 0 && !this->out.empty()) {
-    this->SendSome();
+    this->SendPending();
   }
 }
 
--- a/src/net/plain_socket.h
+++ b/src/net/plain_socket.h
@@ -12,16 +12,16 @@
 
 namespace meadowthread {
 
-/// @brief An IPv4 TCP connection without TLS.
+/// @brief A non-blocking IPv4 TCP connection without TLS.
 ///
-/// Not a QTcpSocket: that reports a reset as an orderly end, and how much of a
-/// request left the host can't be told from it.
+/// Doesn't use QTcpSocket, which reports a reset as an orderly close and
+/// doesn't tell how much of a request was sent.
 class PlainSocket final : public StreamSocket, private PolledSocket {
  public:
-  /// @brief Begins to connect.
+  /// @brief Starts to connect.
   /// @param[in] poller outlives the socket
-  /// @param[in] address an IP number
-  /// @return an error where the address is none or no descriptor is left
+  /// @param[in] address an IPv4 address
+  /// @return an error if the address is not valid or the socket can't be opened
   static absl::StatusOr<std::unique_ptr<PlainSocket>> Connect(
       SocketPoller& poller, const std::string& address, std::uint16_t port);
 
@@ -49,10 +49,10 @@
 
   void FinishConnect();
   void Read();
-  void SendSome();
+  void SendPending();
   void End(SocketEnd end);
   void Close();
-  void WatchAgain();
+  void UpdateWatchedEvents();
 
   SocketPoller& poller;
   int descriptor;
@@ -66,7 +66,7 @@
   bool peer_finished = false;
   bool flush_planned = false;
   std::uint32_t watched = 0;
-  /// Expires with the socket: calls to the handler may destroy it.
+  /// Lets methods detect that a callback of the handler destroyed the socket.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/net/pooled_client.cc
+++ b/src/net/pooled_client.cc
@@ -20,11 +20,12 @@
 namespace detail {
 namespace {
 
-// How late a time limit may be noticed. Limits that callers see are kept by
-// those who promise them, to the millisecond.
+// Interval between checks of the timeouts. Deadlines that clients see are
+// enforced to the millisecond by the components that set them.
 constexpr std::chrono::milliseconds kCheckPeriod{50};
-// Resting connections kept for one peer: a burst leaves no more behind.
-constexpr std::size_t kMostRestingForPeer = 16;
+// Most idle connections kept per peer, so that a burst of calls doesn't leave
+// many open.
+constexpr std::size_t kMaxIdlePerPeer = 16;
 
 bool IsNumber(const std::string& host) {
   QHostAddress address;
@@ -34,8 +35,8 @@
 
 }  // namespace
 
-/// @brief The calls in progress and the connections that rest.
-class ClientCore final : public ExchangeOwner {
+/// @brief The calls in progress and the pool of idle connections.
+class ClientCore final : public ExchangeObserver {
  public:
   ClientCore();
   ClientCore(const ClientCore&) = delete;
@@ -51,8 +52,8 @@
                       const MessageHead& head) override;
   void OnExchangeData(ClientConnection& from, std::string_view data) override;
   void OnExchangeEnd(ClientConnection& from, const ExchangeEnd& end) override;
-  void OnAnswerPassedOver(ClientConnection& from) override;
-  void OnRestEnded(ClientConnection& from) override;
+  void OnForeignResponse(ClientConnection& from) override;
+  void OnIdleConnectionEnded(ClientConnection& from) override;
 
  private:
   struct Call {
@@ -61,32 +62,32 @@
     HttpHandler* handler = nullptr;
     std::unique_ptr<ClientConnection> connection;
     std::int64_t started_ms = 0;
-    std::int64_t heard_ms = 0;
-    bool sent_again = false;
+    std::int64_t last_activity_ms = 0;
+    bool resent = false;
     bool paused = false;
   };
-  struct Resting {
+  struct IdleConnection {
     std::unique_ptr<ClientConnection> connection;
-    std::int64_t since_ms = 0;
+    std::int64_t idle_since_ms = 0;
   };
 
   void Send(HttpCallId id, Call* call);
-  std::unique_ptr<ClientConnection> TakeResting(const Call& call);
+  std::unique_ptr<ClientConnection> TakeIdle(const Call& call);
   absl::StatusOr<std::unique_ptr<StreamSocket>> Connect(const UrlParts& url);
-  void Rest(std::unique_ptr<ClientConnection> connection);
+  void KeepIdle(std::unique_ptr<ClientConnection> connection);
   void Retire(std::unique_ptr<ClientConnection> connection);
   void EndCall(HttpCallId id, const HttpEnd& end);
-  void FailLater(HttpCallId id, const absl::Status& status);
-  void CheckTimes();
+  void FailCallLater(HttpCallId id, const absl::Status& status);
+  void CheckTimeouts();
   void CheckCall(const Call& call, std::int64_t now_ms);
-  void CheckResting(std::int64_t now_ms);
-  void KeepChecking();
+  void CloseExpiredIdle(std::int64_t now_ms);
+  void StartTimeoutChecks();
 
   SystemClock clock;
   SocketPoller poller;
   QTimer check_timer;
   std::unordered_map<HttpCallId, Call> calls;
-  std::unordered_map<std::string, std::vector<Resting>> resting;
+  std::unordered_map<std::string, std::vector<IdleConnection>> idle;
   std::vector<std::unique_ptr<ClientConnection>> retired;
   HttpCallId last_id = 0;
   ClientStats stats;
@@ -94,7 +95,7 @@
 
 ClientCore::ClientCore() {
   QObject::connect(&this->check_timer, &QTimer::timeout, &this->check_timer,
-                   [this] { this->CheckTimes(); });
+                   [this] { this->CheckTimeouts(); });
 }
 
 ///////////////////
@@ -108,21 +109,21 @@
   call.url = SplitUrl(request.url);
   call.handler = handler;
   call.started_ms = this->clock.MonotonicMs();
-  call.heard_ms = call.started_ms;
-  this->KeepChecking();
+  call.last_activity_ms = call.started_ms;
+  this->StartTimeoutChecks();
   this->Send(id, &call);
   return id;
 }
 
 void ClientCore::Send(HttpCallId id, Call* call) {
-  std::unique_ptr<ClientConnection> connection = this->TakeResting(*call);
+  std::unique_ptr<ClientConnection> connection = this->TakeIdle(*call);
   if (connection != nullptr) {
     ++this->stats.reuses;
   } else {
     absl::StatusOr<std::unique_ptr<StreamSocket>> socket =
         this->Connect(call->url);
     if (!socket.ok()) {
-      this->FailLater(id, socket.status());
+      this->FailCallLater(id, socket.status());
       return;
     }
     ++this->stats.connects;
@@ -139,7 +140,8 @@
     ErrorDetail detail;
     detail.id = ErrorId::kConnectFailed;
     detail.step = "connect";
-    return MakeError(absl::StatusCode::kInvalidArgument, detail, "no URL");
+    return MakeError(absl::StatusCode::kInvalidArgument, detail,
+                     "the URL is not valid");
   }
   if (url.tls || !IsNumber(url.host)) {
     return std::make_unique<QtSocket>(NamedPeer{url.host, url.port, url.tls});
@@ -147,23 +149,23 @@
   return PlainSocket::Connect(this->poller, url.host, url.port);
 }
 
-std::unique_ptr<ClientConnection> ClientCore::TakeResting(const Call& call) {
-  const auto found = this->resting.find(call.url.PoolKey());
-  if (found == this->resting.end() || call.request.reuse_idle_ms == 0 ||
-      call.sent_again) {
+std::unique_ptr<ClientConnection> ClientCore::TakeIdle(const Call& call) {
+  const auto found = this->idle.find(call.url.PoolKey());
+  if (found == this->idle.end() || call.request.reuse_idle_ms == 0 ||
+      call.resent) {
     return nullptr;
   }
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  std::vector<Resting>& list = found->second;
-  // The one used last has rested least.
+  std::vector<IdleConnection>& list = found->second;
+  // The last in the list is the most recently used one.
   while (!list.empty()) {
-    const std::int64_t rested_ms = now_ms - list.back().since_ms;
-    if (rested_ms > call.request.reuse_idle_ms) {
+    const std::int64_t idle_ms = now_ms - list.back().idle_since_ms;
+    if (idle_ms > call.request.reuse_idle_ms) {
       return nullptr;
     }
-    Resting last = std::move(list.back());
+    IdleConnection last = std::move(list.back());
     list.pop_back();
-    if (rested_ms < last.connection->RestLimitMs() &&
+    if (idle_ms < last.connection->KeepAliveLimitMs() &&
         last.connection->IsQuiet()) {
       return std::move(last.connection);
     }
@@ -172,7 +174,7 @@
   return nullptr;
 }
 
-void ClientCore::FailLater(HttpCallId id, const absl::Status& status) {
+void ClientCore::FailCallLater(HttpCallId id, const absl::Status& status) {
   QTimer::singleShot(0, &this->check_timer, [this, id, status] {
     HttpEnd end;
     end.status = status;
@@ -211,52 +213,52 @@
     return;
   }
   Call& call = found->second;
-  // A connection that the peer had closed already: the request may be sent
-  // anew where that does no harm.
-  const bool again = !end.end.status.ok() && !end.answered && from.WasUsed() &&
-                     !call.request.send_once && !call.sent_again;
-  if (again) {
-    ++this->stats.sent_again;
-    call.sent_again = true;
+  // A reused connection may have been closed by the peer before the request
+  // arrived, so a request that is safe to repeat is sent again.
+  const bool resend = !end.end.status.ok() && !end.answered && from.WasUsed() &&
+                      !call.request.send_once && !call.resent;
+  if (resend) {
+    ++this->stats.resent;
+    call.resent = true;
     this->Retire(std::move(call.connection));
     this->Send(id, &call);
     return;
   }
   if (end.reusable && call.request.reuse_idle_ms > 0) {
-    this->Rest(std::move(call.connection));
+    this->KeepIdle(std::move(call.connection));
   }
   this->EndCall(id, end.end);
 }
 
-void ClientCore::Rest(std::unique_ptr<ClientConnection> connection) {
-  std::vector<Resting>& list = this->resting[connection->Peer().PoolKey()];
-  connection->Rest();
+void ClientCore::KeepIdle(std::unique_ptr<ClientConnection> connection) {
+  std::vector<IdleConnection>& list = this->idle[connection->Peer().PoolKey()];
+  connection->MarkIdle();
   list.push_back({std::move(connection), this->clock.MonotonicMs()});
-  if (list.size() > kMostRestingForPeer) {
+  if (list.size() > kMaxIdlePerPeer) {
     this->Retire(std::move(list.front().connection));
     list.erase(list.begin());
   }
 }
 
 void ClientCore::DropResting(std::string_view peer) {
-  const auto found = this->resting.find(std::string(peer));
-  if (found == this->resting.end()) {
+  const auto found = this->idle.find(std::string(peer));
+  if (found == this->idle.end()) {
     return;
   }
-  std::vector<Resting> dropped = std::move(found->second);
-  this->resting.erase(found);
-  for (Resting& one : dropped) {
+  std::vector<IdleConnection> dropped = std::move(found->second);
+  this->idle.erase(found);
+  for (IdleConnection& one : dropped) {
     this->Retire(std::move(one.connection));
   }
 }
 
-// A connection is destroyed later in the turn: its own calls may be on the
-// stack.
+// Destroys the connection later in the turn of the event loop, as its methods
+// may be on the call stack.
 void ClientCore::Retire(std::unique_ptr<ClientConnection> connection) {
   if (connection == nullptr) {
     return;
   }
-  connection->Drop();
+  connection->AbortSilently();
   if (this->retired.empty()) {
     QTimer::singleShot(0, &this->check_timer,
                        [this] { this->retired.clear(); });
@@ -264,30 +266,31 @@
   this->retired.push_back(std::move(connection));
 }
 
-void ClientCore::OnRestEnded(ClientConnection& from) {
-  const auto found = this->resting.find(from.Peer().PoolKey());
-  if (found == this->resting.end()) {
+void ClientCore::OnIdleConnectionEnded(ClientConnection& from) {
+  const auto found = this->idle.find(from.Peer().PoolKey());
+  if (found == this->idle.end()) {
     return;
   }
-  std::vector<Resting>& list = found->second;
-  const auto place = std::find_if(
-      list.begin(), list.end(),
-      [&from](const Resting& one) { return one.connection.get() == &from; });
+  std::vector<IdleConnection>& list = found->second;
+  const auto place = std::find_if(list.begin(), list.end(),
+                                  [&from](const IdleConnection& one) {
+                                    return one.connection.get() == &from;
+                                  });
   if (place != list.end()) {
     this->Retire(std::move(place->connection));
     list.erase(place);
   }
 }
 
-//////////////////////
-// While calls last
-//////////////////////
+//////////////////////////
+// Events of running calls
+//////////////////////////
 
 void ClientCore::OnExchangeHead(ClientConnection& from, int http_status,
                                 const MessageHead& head) {
   const auto found = this->calls.find(from.Call());
   if (found != this->calls.end()) {
-    found->second.heard_ms = this->clock.MonotonicMs();
+    found->second.last_activity_ms = this->clock.MonotonicMs();
     found->second.handler->OnHead(http_status, head.headers);
   }
 }
@@ -295,12 +298,12 @@
 void ClientCore::OnExchangeData(ClientConnection& from, std::string_view data) {
   const auto found = this->calls.find(from.Call());
   if (found != this->calls.end()) {
-    found->second.heard_ms = this->clock.MonotonicMs();
+    found->second.last_activity_ms = this->clock.MonotonicMs();
     found->second.handler->OnData(data);
   }
 }
 
-void ClientCore::OnAnswerPassedOver(ClientConnection& /*from*/) {
+void ClientCore::OnForeignResponse(ClientConnection& /*from*/) {
   ++this->stats.answers_passed;
 }
 
@@ -309,17 +312,17 @@
   if (found != this->calls.end() && found->second.connection != nullptr) {
     found->second.connection->SetPaused(paused);
     found->second.paused = paused;
-    found->second.heard_ms = this->clock.MonotonicMs();
+    found->second.last_activity_ms = this->clock.MonotonicMs();
   }
 }
 
-void ClientCore::KeepChecking() {
+void ClientCore::StartTimeoutChecks() {
   if (!this->check_timer.isActive()) {
     this->check_timer.start(kCheckPeriod);
   }
 }
 
-void ClientCore::CheckTimes() {
+void ClientCore::CheckTimeouts() {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   std::vector<HttpCallId> ids;
   ids.reserve(this->calls.size());
@@ -332,8 +335,8 @@
       this->CheckCall(found->second, now_ms);
     }
   }
-  this->CheckResting(now_ms);
-  if (this->calls.empty() && this->resting.empty()) {
+  this->CloseExpiredIdle(now_ms);
+  if (this->calls.empty() && this->idle.empty()) {
     this->check_timer.stop();
   }
 }
@@ -344,7 +347,7 @@
   }
   const HttpRequest& request = call.request;
   const std::int64_t age_ms = now_ms - call.started_ms;
-  const std::int64_t silence_ms = now_ms - call.heard_ms;
+  const std::int64_t silence_ms = now_ms - call.last_activity_ms;
   if (!call.connection->IsConnected() && !call.connection->WasUsed() &&
       age_ms >= request.connect_timeout_ms) {
     call.connection->Fail(ErrorId::kConnectFailed, "connecting took too long");
@@ -353,25 +356,27 @@
     call.connection->Fail(ErrorId::kPeerSilent, "the call took too long");
   } else if (request.idle_timeout_ms > 0 && !call.paused &&
              silence_ms >= request.idle_timeout_ms) {
-    call.connection->Fail(ErrorId::kPeerSilent, "the peer fell silent");
+    call.connection->Fail(ErrorId::kPeerSilent,
+                          "the peer sent nothing within the idle timeout");
   }
 }
 
-void ClientCore::CheckResting(std::int64_t now_ms) {
-  // Longer than any call asks for.
-  constexpr std::int64_t kLongestRestMs = 30'000;
-  for (auto place = this->resting.begin(); place != this->resting.end();) {
-    std::vector<Resting>& list = place->second;
-    for (Resting& one : list) {
+void ClientCore::CloseExpiredIdle(std::int64_t now_ms) {
+  // Longer than the `reuse_idle_ms` of any call.
+  constexpr std::int64_t kMaxIdleMs = 30'000;
+  for (auto place = this->idle.begin(); place != this->idle.end();) {
+    std::vector<IdleConnection>& list = place->second;
+    for (IdleConnection& one : list) {
       const std::int64_t limit_ms =
-          std::min(kLongestRestMs, one.connection->RestLimitMs());
-      if (now_ms - one.since_ms > limit_ms) {
+          std::min(kMaxIdleMs, one.connection->KeepAliveLimitMs());
+      if (now_ms - one.idle_since_ms > limit_ms) {
         this->Retire(std::move(one.connection));
       }
     }
-    std::erase_if(list,
-                  [](const Resting& one) { return one.connection == nullptr; });
-    place = list.empty() ? this->resting.erase(place) : std::next(place);
+    std::erase_if(list, [](const IdleConnection& one) {
+      return one.connection == nullptr;
+    });
+    place = list.empty() ? this->idle.erase(place) : std::next(place);
   }
 }
 
--- a/src/net/pooled_client.h
+++ b/src/net/pooled_client.h
@@ -13,18 +13,19 @@
 class ClientCore;
 }  // namespace detail
 
-/// @brief Counts since the start.
+/// @brief Counters since the client was created.
 struct ClientStats {
-  std::int64_t connects = 0;        ///< connections begun
-  std::int64_t reuses = 0;          ///< calls on a connection used before
-  std::int64_t sent_again = 0;      ///< calls sent a second time
-  std::int64_t answers_passed = 0;  ///< that belonged to other requests
+  std::int64_t connects = 0;  ///< connection attempts
+  std::int64_t reuses = 0;    ///< calls sent on a pooled connection
+  std::int64_t resent = 0;    ///< requests that were resent
+  std::int64_t answers_passed =
+      0;  ///< responses discarded because they belonged to another request
 };
 
 /// @brief An HTTP/1.1 client with a pool of connections, on Qt's event loop.
 ///
-/// It knows exactly whether a byte of a request has left, and sends nothing
-/// twice that may not be.
+/// It reports exactly whether any byte of a request was sent, and never resends
+/// a request with `send_once`.
 class PooledClient final : public HttpClient {
  public:
   PooledClient();
@@ -36,8 +37,7 @@
   void Cancel(HttpCallId call) override;
   void SetPaused(HttpCallId call, bool paused) override;
 
-  /// @brief Closes the connections that rest for a peer: the process at their
-  /// other end is gone.
+  /// @brief Closes the idle connections to a peer whose process has ended.
   /// @param[in] peer IP:PORT
   void DropResting(std::string_view peer);
 
--- a/src/net/problem.cc
+++ b/src/net/problem.cc
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t kMsPerSecond = 1000;
 
-// The convention's clients sort errors by this word.
+// Error type by which clients of the OpenAI-style API classify errors.
 std::string_view TypeOf(int http_status) {
   switch (http_status) {
     case 401:
@@ -126,8 +126,8 @@
         1, (detail.retry_after_ms + kMsPerSecond - 1) / kMsPerSecond);
     response.headers.push_back({"Retry-After", absl::StrCat(seconds)});
   }
-  // Clients of the convention repeat a refused request by themselves. For what
-  // may have run they are told not to.
+  // Client libraries of this API retry failed requests automatically. This
+  // header tells them not to retry a request that may have run.
   if (detail.outcome == Outcome::kUnknown ||
       detail.outcome == Outcome::kInterrupted) {
     response.headers.push_back({"X-Should-Retry", "false"});
--- a/src/net/problem.h
+++ b/src/net/problem.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread {
 
-/// @brief What a caller is told about a request that did not complete.
+/// @brief The error response to a request that did not complete.
 struct Problem {
   absl::Status status;
   std::string request;
@@ -25,7 +25,8 @@
 /// @brief The problem-details object (docs/INTERFACES.md, section 6).
 std::string ProblemJson(const Problem& problem);
 
-/// @brief The whole answer for a problem, with Retry-After where it applies.
+/// @brief The complete response for a problem, with Retry-After if the error
+/// has a retry time.
 WholeResponse ProblemResponse(const Problem& problem);
 
 }  // namespace meadowthread
--- a/src/net/qt_scheduler.h
+++ b/src/net/qt_scheduler.h
@@ -7,7 +7,8 @@
 
 namespace meadowthread {
 
-/// @brief Tasks on Qt's event loop; dropped when the scheduler goes.
+/// @brief Runs delayed tasks on Qt's event loop; pending tasks are dropped when
+/// the scheduler is destroyed.
 class QtScheduler final : public Scheduler {
  public:
   void After(std::int64_t delay_ms, std::function<void()> task) override;
--- a/src/net/qt_socket.cc
+++ b/src/net/qt_socket.cc
@@ -12,8 +12,9 @@
 namespace meadowthread {
 namespace {
 
-// A round trip between zones takes 2 ms.
-constexpr std::chrono::milliseconds kDrainCheck{5};
+// Interval between checks whether the peer has acknowledged everything; a round
+// trip between availability zones takes 2 ms.
+constexpr std::chrono::milliseconds kDrainCheckPeriod{5};
 
 }  // namespace
 
@@ -29,9 +30,10 @@
 }
 
 QtSocket::QtSocket(std::unique_ptr<QSslSocket> accepted)
-    : socket(std::move(accepted)), stood(true) {
+    : socket(std::move(accepted)), established(true) {
   this->Listen();
-  // What the handshake read along with its last record waits already.
+  // Data received together with the last handshake record is already buffered
+  // and is not signalled by readyRead.
   QMetaObject::invokeMethod(
       this, [this] { this->Read(); }, Qt::QueuedConnection);
 }
@@ -45,17 +47,17 @@
 void QtSocket::Listen() {
   QSslSocket* const from = this->socket.get();
   from->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-  const auto stands = [this] {
+  const auto report_connected = [this] {
     const bool waits_for_tls =
         this->socket->mode() != QSslSocket::UnencryptedMode &&
         !this->socket->isEncrypted();
-    if (!this->stood && !waits_for_tls && this->handler != nullptr) {
-      this->stood = true;
+    if (!this->established && !waits_for_tls && this->handler != nullptr) {
+      this->established = true;
       this->handler->OnConnected();
     }
   };
-  QObject::connect(from, &QSslSocket::connected, this, stands);
-  QObject::connect(from, &QSslSocket::encrypted, this, stands);
+  QObject::connect(from, &QSslSocket::connected, this, report_connected);
+  QObject::connect(from, &QSslSocket::encrypted, this, report_connected);
   QObject::connect(from, &QSslSocket::readyRead, this,
                    [this] { this->Read(); });
   QObject::connect(from, &QSslSocket::bytesWritten, this, [this](qint64 count) {
@@ -68,7 +70,7 @@
                    [this](QAbstractSocket::SocketError error) {
                      this->failed =
                          error != QAbstractSocket::RemoteHostClosedError;
-                     if (!this->stood) {
+                     if (!this->established) {
                        this->End(SocketEnd::kConnectFailed);
                      }
                    });
@@ -85,7 +87,8 @@
 
 void QtSocket::SetPaused(bool is_paused) {
   this->paused = is_paused;
-  // Qt goes on reading up to this much; a peer is held back beyond it.
+  // Qt buffers up to this much while paused; TCP flow control then stops the
+  // peer.
   constexpr qint64 kHeldBytes = 65'536;
   this->socket->setReadBufferSize(is_paused ? kHeldBytes : 0);
   if (!is_paused) {
@@ -105,9 +108,10 @@
   }
 }
 
-// Qt closes as soon as the kernel has taken everything. With bytes of the peer
-// unread that is a reset, by which the kernel forgets what it has to deliver:
-// the peer's are read and dropped until its kernel has ours.
+// Qt would close as soon as the kernel has accepted all bytes. If received
+// bytes are unread, closing sends a reset and the kernel discards undelivered
+// bytes. So received bytes are read and discarded until the peer has
+// acknowledged everything.
 void QtSocket::CloseWhenDrained() {
   if (this->ended || this->closing) {
     return;
@@ -121,7 +125,7 @@
       this->socket->disconnectFromHost();
     }
   });
-  this->drain_timer.start(kDrainCheck);
+  this->drain_timer.start(kDrainCheckPeriod);
 }
 
 void QtSocket::CloseNow() {
--- a/src/net/qt_socket.h
+++ b/src/net/qt_socket.h
@@ -13,20 +13,21 @@
 
 namespace meadowthread {
 
-/// @brief Where a connection by name goes.
+/// @brief The address of a peer, by host name or IP address.
 struct NamedPeer {
   std::string host;
   std::uint16_t port = 0;
   bool tls = false;
 };
 
-/// @brief A connection by Qt: with TLS, or to a host given by name.
+/// @brief A connection through QSslSocket, for TLS or for a peer given by host
+/// name.
 class QtSocket final : public QObject, public StreamSocket {
  public:
-  /// @brief Begins to connect.
+  /// @brief Starts to connect.
   explicit QtSocket(const NamedPeer& peer);
 
-  /// @brief Takes over an accepted connection, encrypted already.
+  /// @brief Takes over an accepted connection whose TLS handshake is complete.
   explicit QtSocket(std::unique_ptr<QSslSocket> accepted);
   ~QtSocket() override;
   QtSocket(const QtSocket&) = delete;
@@ -54,7 +55,7 @@
   std::unique_ptr<QSslSocket> socket;
   StreamSocketHandler* handler = nullptr;
   std::int64_t sent = 0;
-  bool stood = false;
+  bool established = false;
   bool paused = false;
   bool ended = false;
   bool failed = false;
--- a/src/net/response_writer.cc
+++ b/src/net/response_writer.cc
@@ -15,7 +15,7 @@
 ResponseWriter::~ResponseWriter() {
   const auto to = this->connection.lock();
   if (to != nullptr && !this->ended) {
-    to->BreakOff();
+    to->EndIncomplete();
   }
 }
 
@@ -85,19 +85,19 @@
   }
   this->ended = true;
   if (this->left > 0) {
-    to->BreakOff();
+    to->EndIncomplete();
     return;
   }
   if (this->chunked) {
     to->Send("0\r\n\r\n");
   }
-  to->AnswerDone();
+  to->EndResponse();
 }
 
 void ResponseWriter::Abort() {
   this->ended = true;
   if (const auto to = this->connection.lock()) {
-    to->BreakOff();
+    to->EndIncomplete();
   }
 }
 
@@ -119,13 +119,13 @@
 
 void ResponseWriter::OnClosed(std::function<void()> told) {
   if (const auto to = this->connection.lock()) {
-    to->SetClosedTold(std::move(told));
+    to->SetOnClosed(std::move(told));
   }
 }
 
 void ResponseWriter::OnDrained(std::function<void()> told) {
   if (const auto to = this->connection.lock()) {
-    to->SetDrainedTold(std::move(told));
+    to->SetOnDrained(std::move(told));
   }
 }
 
--- a/src/net/response_writer.h
+++ b/src/net/response_writer.h
@@ -18,7 +18,7 @@
 class ServerConnection;
 }  // namespace detail
 
-/// @brief A status and body to be sent in one piece.
+/// @brief A complete response: status, headers and body.
 struct WholeResponse {
   int http_status = 200;
   std::string content_type = "application/json";
@@ -26,66 +26,70 @@
   std::string body;
 };
 
-/// @brief The head of an answer whose body follows in pieces.
+/// @brief The head of a response whose body is streamed.
 struct ResponseHead {
   int http_status = 200;
-  std::vector<HttpHeader> headers;  ///< without those of the framing
-  std::optional<std::uint64_t> content_length;  ///< chunked where not known
+  std::vector<HttpHeader>
+      headers;  ///< without Content-Length and Transfer-Encoding
+  std::optional<std::uint64_t> content_length;  ///< chunked if absent
 };
 
-/// @brief Answers one request: in one piece, or piece by piece.
+/// @brief Writes the response to one request, at once or as a stream.
 ///
-/// What is written within one turn of the event loop leaves together. The
-/// connection takes its next request once the answer is whole.
+/// Writes within one turn of the event loop are sent together. The connection
+/// reads its next request when the response is complete.
 class ResponseWriter {
  public:
   explicit ResponseWriter(std::weak_ptr<detail::ServerConnection> connection);
-  /// @brief An answer that is not whole by now breaks the connection.
+  /// @brief Breaks the connection if the response is not complete.
   ~ResponseWriter();
   ResponseWriter(const ResponseWriter&) = delete;
   ResponseWriter& operator=(const ResponseWriter&) = delete;
 
   /////////////////////
-  // Writing an answer
+  // Writing a response
   /////////////////////
 
-  /// @brief Sends a whole answer; nothing may be written afterwards.
+  /// @brief Sends a complete response; nothing may be written afterwards.
   void SendWhole(const WholeResponse& response);
 
-  /// @brief Sends the head of a streamed answer.
+  /// @brief Sends the head of a streamed response with Cache-Control: no-store.
   void StartStream(int http_status, std::string_view content_type,
                    std::span<const HttpHeader> headers);
 
-  /// @brief Sends the head of an answer that is passed on.
+  /// @brief Sends a response head as given, such as that of a relayed response.
   void StartAnswer(const ResponseHead& head);
 
-  /// @brief Appends to the answer's body.
+  /// @brief Appends to the response body.
   void Write(std::string_view data);
 
-  /// @brief Ends the answer; one shorter than its length breaks the
-  /// connection instead.
+  /// @brief Completes the response; breaks the connection if the body is
+  /// shorter than the announced length.
   void FinishStream();
 
-  /// @brief Breaks the connection, so that the answer can't look whole.
+  /// @brief Breaks the connection, so that the client can't take the response
+  /// for complete.
   void Abort();
 
-  //////////////////////////
-  // The caller's connection
-  //////////////////////////
+  /////////////////////////////////
+  // State of the client connection
+  /////////////////////////////////
 
-  /// @brief Tells logs whose answer it is.
+  /// @brief Sets the request id that log lines about this response show.
   void NameAnswer(std::string_view request);
 
-  /// @brief Bytes accepted and not yet taken by the caller's connection.
+  /// @brief Bytes written that the kernel has not accepted yet.
   std::int64_t PendingBytes() const;
 
-  /// @brief Whether the caller is gone.
+  /// @brief Whether the client's connection has ended.
   bool IsClosed() const;
 
-  /// @brief Called once when the caller goes away before the answer is whole.
+  /// @brief Sets a callback for a connection that ends before the response is
+  /// complete; called once.
   void OnClosed(std::function<void()> told);
 
-  /// @brief Called whenever the connection has taken all bytes.
+  /// @brief Sets a callback for each time that the kernel has accepted all
+  /// written bytes.
   void OnDrained(std::function<void()> told);
 
  private:
@@ -93,7 +97,8 @@
   bool started = false;
   bool ended = false;
   bool chunked = false;
-  std::uint64_t left = 0;  ///< of an announced length
+  std::uint64_t left =
+      0;  ///< bytes of the announced length that are not written yet
 };
 
 }  // namespace meadowthread
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -14,20 +14,22 @@
 namespace {
 
 constexpr int kVersion11 = 11;
-// A caller that sends its next requests before the present answer ends is read
-// ahead this far: beyond it, it waits in its own kernel.
+// Most bytes of pipelined requests that are read before the current response
+// ends; reading is then paused and TCP flow control stops the client.
 constexpr std::size_t kReadAheadBytes = std::size_t{64} * 1024;
-// After the caller's kernel has the last answer: what the caller still sends is
-// dropped this long, so that a reset doesn't overtake what it has yet to read.
+// After the client's kernel has the last response, further bytes from the
+// client are discarded for this long, as a reset could make it lose data that
+// it has not read.
 constexpr std::int64_t kLingerMs = 1'000;
-// A caller whose kernel acknowledges nothing for this long is gone: its host
-// lost power or is cut off. Shorter than any deadline of a generation, longer
-// than a link's hiccups.
-constexpr std::int64_t kSilentMs = 6'000;
-// One that answers probes and takes nothing may rest as long as a stream waits
-// for its caller.
-constexpr std::int64_t kRestMs = 60'000;
-// When a request that this host had no memory for may come back.
+// A client whose kernel acknowledges nothing for this long is considered gone:
+// its host lost power or network. Shorter than any generation deadline, longer
+// than short network interruptions.
+constexpr std::int64_t kDeadClientMs = 6'000;
+// Longest time for which a client may take no data while its kernel still
+// answers probes; as long as a stream waits for its client.
+constexpr std::int64_t kMaxStallMs = 60'000;
+// Retry-After for a request that was rejected because this host had no memory
+// for its body.
 constexpr std::int64_t kNoMemoryRetryMs = 500;
 
 std::string_view PathOf(std::string_view target) {
@@ -40,13 +42,13 @@
                                       : target.substr(at + 1);
 }
 
-// Where the kernel doesn't tell what it holds, that counts as delivered: it
-// delivers by itself.
-std::int64_t OnTheWay(const SocketBacklog& left) {
+// Bytes that the peer has not acknowledged. If the kernel doesn't report its
+// queue, what it has accepted counts as delivered.
+std::int64_t UndeliveredBytes(const SocketBacklog& left) {
   return left.unsent + std::max<std::int64_t>(0, left.unacknowledged);
 }
 
-std::size_t HostHeaders(const MessageHead& head) {
+std::size_t CountHostHeaders(const MessageHead& head) {
   return static_cast<std::size_t>(std::count_if(
       head.headers.begin(), head.headers.end(), [](const HttpHeader& header) {
         return SameHeader(header.name, "Host");
@@ -55,23 +57,25 @@
 
 }  // namespace
 
-/// @brief Why a request is not taken.
+/// @brief Why a request is rejected.
 struct ServerConnection::Refusal {
   ErrorId id = ErrorId::kMalformedRequest;
   std::string what;
   std::int64_t retry_after_ms = -1;
 };
 
-ServerConnection::ServerConnection(ConnectionHost& host,
+ServerConnection::ServerConnection(ServerContext& context,
                                    std::unique_ptr<StreamSocket> socket)
-    : host(host),
+    : context(context),
       socket(std::move(socket)),
       reader(MessageKind::kRequest,
-             static_cast<std::size_t>(host.Limits().max_header_bytes)),
+             static_cast<std::size_t>(context.Limits().max_header_bytes)),
       peer(this->socket->Peer()),
-      resting_ms(host.NowMs()) {}
+      idle_since_ms(context.NowMs()) {}
 
-ServerConnection::~ServerConnection() { this->host.Release(this->held); }
+ServerConnection::~ServerConnection() {
+  this->context.ReleaseBytes(this->held);
+}
 
 void ServerConnection::Begin() { this->socket->SetHandler(this); }
 
@@ -85,7 +89,7 @@
   }
   const auto self = this->shared_from_this();
   if (this->begun_ms < 0) {
-    this->begun_ms = this->host.NowMs();
+    this->begun_ms = this->context.NowMs();
   }
   const ReadState state = this->reader.Feed(bytes);
   if (this->phase == Phase::kReading) {
@@ -122,25 +126,28 @@
   this->is_old_version = head.version < kVersion11;
   this->is_head_request = head.method == "HEAD";
   this->close_after = !head.keep_alive;
-  const std::size_t hosts = HostHeaders(head);
+  const std::size_t hosts = CountHostHeaders(head);
   if (hosts > 1 || (hosts == 0 && !this->is_old_version)) {
-    this->Refuse({ErrorId::kMalformedRequest, "not exactly one Host header"});
+    this->Refuse({ErrorId::kMalformedRequest,
+                  "the request must have exactly one Host header"});
     return;
   }
-  // The other forms of a target are for proxies, which this is not to callers.
+  // The other forms of a request target are for proxies; to its clients this is
+  // an origin server.
   if (!head.target.starts_with('/')) {
-    this->Refuse({ErrorId::kMalformedRequest, "the target is no path"});
+    this->Refuse(
+        {ErrorId::kMalformedRequest, "the request target is not a path"});
     return;
   }
   const auto limit =
-      static_cast<std::uint64_t>(this->host.Limits().max_body_bytes);
+      static_cast<std::uint64_t>(this->context.Limits().max_body_bytes);
   if (head.content_length.value_or(0) > limit) {
     this->Refuse({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
     return;
   }
   const bool has_body = head.chunked || head.content_length.value_or(0) > 0;
   if (has_body && !this->is_old_version &&
-      HasWord(FindHeader(head.headers, "Expect"), "100-continue")) {
+      ContainsToken(FindHeader(head.headers, "Expect"), "100-continue")) {
     this->socket->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 }
@@ -152,12 +159,12 @@
   }
   this->body.append(piece);
   const auto size = static_cast<std::int64_t>(this->body.size());
-  if (size > this->host.Limits().max_body_bytes) {
+  if (size > this->context.Limits().max_body_bytes) {
     this->Refuse({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
     return;
   }
   const auto more = static_cast<std::int64_t>(piece.size());
-  if (!this->host.Hold(more)) {
+  if (!this->context.ReserveBytes(more)) {
     this->Refuse({ErrorId::kHostNotReady, "too many unfinished requests",
                   kNoMemoryRetryMs});
     return;
@@ -178,11 +185,12 @@
   request.begun_ms = this->begun_ms;
   this->answer_name.clear();
   this->phase = Phase::kAnswering;
-  this->host.Service().Serve(
+  this->context.Service().Serve(
       request, std::make_unique<ResponseWriter>(this->weak_from_this()));
 }
 
-// The request is not handed on, so that it certainly did not run.
+// Rejects the request without passing it to the service, so the outcome is
+// kNotRun.
 void ServerConnection::Refuse(const Refusal& refusal) {
   LogLine line("request-refused");
   line.Add("peer", this->peer)
@@ -204,7 +212,7 @@
 }
 
 ///////////////////////
-// Writing its answer
+// Writing the response
 ///////////////////////
 
 bool ServerConnection::SendsBody(int http_status) const {
@@ -216,11 +224,12 @@
 bool ServerConnection::SendHead(const ResponseHead& head) {
   const bool has_body = this->SendsBody(head.http_status);
   this->length_known = head.content_length.has_value();
-  // A caller of the older version is told a body's end by the connection's.
+  // HTTP/1.0 has no chunked encoding: the end of the connection marks the end
+  // of the body.
   this->ends_by_close = has_body && !this->length_known && this->is_old_version;
   const bool chunked = has_body && !this->length_known && !this->ends_by_close;
   this->close_after =
-      this->close_after || this->ends_by_close || this->host.IsClosing();
+      this->close_after || this->ends_by_close || this->context.IsClosing();
   std::string text = absl::StrCat("HTTP/1.1 ", head.http_status, " ");
   text.append(ReasonPhrase(head.http_status)).append("\r\n");
   AppendHeaders(head.headers, &text);
@@ -245,14 +254,14 @@
   }
 }
 
-void ServerConnection::AnswerDone() {
+void ServerConnection::EndResponse() {
   if (this->phase != Phase::kAnswering) {
     return;
   }
-  this->closed_told = nullptr;
-  this->drained_told = nullptr;
-  this->host.Release(std::exchange(this->held, 0));
-  if (this->close_after || this->host.IsClosing()) {
+  this->on_closed = nullptr;
+  this->on_drained = nullptr;
+  this->context.ReleaseBytes(std::exchange(this->held, 0));
+  if (this->close_after || this->context.IsClosing()) {
     this->CloseAfterAnswer();
     return;
   }
@@ -263,9 +272,9 @@
   this->phase = Phase::kReading;
   this->head_taken = false;
   this->body.clear();
-  this->resting_ms = this->host.NowMs();
+  this->idle_since_ms = this->context.NowMs();
   const bool more = this->reader.RestBytes() > 0;
-  this->begun_ms = more ? this->resting_ms : -1;
+  this->begun_ms = more ? this->idle_since_ms : -1;
   if (this->paused) {
     this->paused = false;
     this->socket->SetPaused(false);
@@ -278,24 +287,25 @@
 
 void ServerConnection::CloseAfterAnswer() {
   this->phase = Phase::kEnding;
-  this->progress_ms = this->host.NowMs();
+  this->progress_ms = this->context.NowMs();
   this->has_all = false;
   this->socket->SetPaused(false);
   this->socket->CloseWhenDrained();
 }
 
-/////////////
-// Its end
-/////////////
+////////////////////////
+// Ending the connection
+////////////////////////
 
-// A framed answer can't look whole without its end, and the caller keeps what
-// was sent: a reset would throw away what it has not read yet.
-void ServerConnection::BreakOff() {
+// If the response is chunked or has a length, closing in order already shows
+// the client that it is incomplete, and the client can still read what was
+// sent; a reset would discard that.
+void ServerConnection::EndIncomplete() {
   if (this->phase != Phase::kAnswering) {
     return;
   }
-  this->closed_told = nullptr;
-  this->drained_told = nullptr;
+  this->on_closed = nullptr;
+  this->on_drained = nullptr;
   if (this->ends_by_close) {
     this->Abort("answer_broken_off");
     return;
@@ -305,16 +315,17 @@
 
 void ServerConnection::Abort(std::string_view why) {
   if (this->phase != Phase::kOver) {
-    this->LogCut(why);
+    this->LogInterruptedResponse(why);
     this->socket->Abort();
     this->End();
   }
 }
 
-// Also a connection that already waits for its next request may hold an answer.
-void ServerConnection::LogCut(std::string_view why) const {
+// A connection that already waits for its next request may still hold
+// undelivered bytes of a response.
+void ServerConnection::LogInterruptedResponse(std::string_view why) const {
   const SocketBacklog left = this->socket->Backlog();
-  if (this->phase != Phase::kAnswering && OnTheWay(left) == 0) {
+  if (this->phase != Phase::kAnswering && UndeliveredBytes(left) == 0) {
     if (left.unread > 0) {
       LogLine("request-unread")
           .Add("peer", this->peer)
@@ -324,7 +335,7 @@
     }
     return;
   }
-  this->host.NoteCut();
+  this->context.CountInterruptedResponse();
   LogLine("answer-cut")
       .Add("request", this->answer_name)
       .Add("peer", this->peer)
@@ -337,9 +348,9 @@
       .WriteImportant();
 }
 
-// A caller that has finished sending may read on. While its answer is still
-// being made that is taken for leaving: nothing else tells of a caller who
-// left.
+// A client that has shut down sending may still read. While its request is
+// being handled, the shutdown is taken as a disconnect, because nothing else
+// signals that a client has left.
 bool ServerConnection::OnFinished() {
   return this->phase != Phase::kAnswering && this->PendingBytes() > 0;
 }
@@ -352,18 +363,19 @@
   }
   const auto self = this->shared_from_this();
   this->phase = Phase::kOver;
-  this->drained_told = nullptr;
-  const std::function<void()> told = std::exchange(this->closed_told, nullptr);
-  this->host.Forget(this);
+  this->on_drained = nullptr;
+  const std::function<void()> told = std::exchange(this->on_closed, nullptr);
+  this->context.RemoveConnection(this);
   if (told) {
     told();
   }
 }
 
 void ServerConnection::OnDrained() {
-  if (this->drained_told) {
-    // A copy: the listener may end the answer, which takes it away.
-    const std::function<void()> told = this->drained_told;
+  if (this->on_drained) {
+    // Copied because the callback may end the response, which resets
+    // `on_drained`.
+    const std::function<void()> told = this->on_drained;
     told();
   }
 }
@@ -372,19 +384,19 @@
   return this->phase == Phase::kOver ? 0 : this->socket->PendingBytes();
 }
 
-void ServerConnection::SetClosedTold(std::function<void()> told) {
+void ServerConnection::SetOnClosed(std::function<void()> told) {
   if (this->phase == Phase::kAnswering) {
-    this->closed_told = std::move(told);
+    this->on_closed = std::move(told);
   }
 }
 
-void ServerConnection::SetDrainedTold(std::function<void()> told) {
+void ServerConnection::SetOnDrained(std::function<void()> told) {
   if (this->phase == Phase::kAnswering) {
-    this->drained_told = std::move(told);
+    this->on_drained = std::move(told);
   }
 }
 
-// A request that the kernel holds already is read and answered.
+// A request that is already in the kernel's receive buffer is still served.
 void ServerConnection::CloseIfIdle() {
   if (this->phase == Phase::kReading && this->begun_ms < 0 &&
       this->socket->Backlog().unread <= 0) {
@@ -392,13 +404,13 @@
   }
 }
 
-// How long the caller has taken nothing of what is on its way to it, or has had
-// everything. One byte is enough: a caller may read as slowly as it likes, and
-// its kernel takes an answer as it reads. What is written meanwhile is no
-// progress of the caller's.
-std::int64_t ServerConnection::RestMs(std::int64_t now_ms,
-                                      const SocketBacklog& left) {
-  const bool has_all = OnTheWay(left) == 0;
+// Returns for how long the client has acknowledged none of the undelivered
+// bytes, or for how long everything has been delivered. A single acknowledged
+// byte counts as progress, so a client may read slowly. New writes by the
+// server don't count.
+std::int64_t ServerConnection::StalledMs(std::int64_t now_ms,
+                                         const SocketBacklog& left) {
+  const bool has_all = UndeliveredBytes(left) == 0;
   const std::int64_t taken = this->socket->SentBytes() -
                              std::max<std::int64_t>(0, left.unacknowledged);
   if (has_all != this->has_all || taken != this->taken) {
@@ -409,34 +421,38 @@
   return now_ms - this->progress_ms;
 }
 
-bool ServerConnection::IsGone(std::int64_t rest_ms, const SocketBacklog& left) {
+bool ServerConnection::IsClientGone(std::int64_t stalled_ms,
+                                    const SocketBacklog& left) {
   const bool answers_probes =
-      left.silent_ms >= 0 && left.silent_ms <= kSilentMs;
-  return OnTheWay(left) > 0 && rest_ms > (answers_probes ? kRestMs : kSilentMs);
+      left.silent_ms >= 0 && left.silent_ms <= kDeadClientMs;
+  return UndeliveredBytes(left) > 0 &&
+         stalled_ms > (answers_probes ? kMaxStallMs : kDeadClientMs);
 }
 
-// Of a connection that rests and had everything nothing is asked.
+// An idle connection whose responses are all delivered needs no query of the
+// kernel.
 void ServerConnection::CheckDelivery(std::int64_t now_ms) {
   if (this->phase == Phase::kReading && this->has_all &&
       this->socket->SentBytes() == this->taken) {
     return;
   }
   const SocketBacklog left = this->socket->Backlog();
-  const std::int64_t rest_ms = this->RestMs(now_ms, left);
-  if (IsGone(rest_ms, left)) {
+  const std::int64_t stalled_ms = this->StalledMs(now_ms, left);
+  if (IsClientGone(stalled_ms, left)) {
     this->Abort("caller_takes_nothing");
-  } else if (this->phase == Phase::kEnding && OnTheWay(left) == 0 &&
-             rest_ms > kLingerMs) {
+  } else if (this->phase == Phase::kEnding && UndeliveredBytes(left) == 0 &&
+             stalled_ms > kLingerMs) {
     this->socket->CloseNow();
     this->End();
   }
 }
 
-bool ServerConnection::IsOwed() const {
+bool ServerConnection::HasUndelivered() const {
   switch (this->phase) {
     case Phase::kReading: {
       const SocketBacklog left = this->socket->Backlog();
-      return this->begun_ms >= 0 || left.unread > 0 || OnTheWay(left) > 0;
+      return this->begun_ms >= 0 || left.unread > 0 ||
+             UndeliveredBytes(left) > 0;
     }
     case Phase::kAnswering:
     case Phase::kEnding:
@@ -447,7 +463,7 @@
   return false;
 }
 
-void ServerConnection::EndWithProcess() {
+void ServerConnection::CloseForShutdown() {
   const bool looks_whole =
       this->ends_by_close &&
       (this->phase == Phase::kAnswering || this->socket->PendingBytes() > 0);
@@ -456,15 +472,15 @@
     return;
   }
   if (this->phase != Phase::kOver) {
-    this->LogCut("process_ends");
+    this->LogInterruptedResponse("process_ends");
     this->socket->CloseNow();
     this->End();
   }
 }
 
-void ServerConnection::CheckTime(std::int64_t now_ms) {
+void ServerConnection::CheckTimeouts(std::int64_t now_ms) {
   const auto self = this->shared_from_this();
-  const ServerLimits& limits = this->host.Limits();
+  const ServerLimits& limits = this->context.Limits();
   if (this->phase != Phase::kOver) {
     this->CheckDelivery(now_ms);
   }
@@ -472,7 +488,7 @@
     return;
   }
   if (this->begun_ms < 0) {
-    if (now_ms - this->resting_ms > limits.idle_timeout_ms) {
+    if (now_ms - this->idle_since_ms > limits.idle_timeout_ms) {
       this->CloseIfIdle();
     }
     return;
@@ -480,7 +496,8 @@
   const std::int64_t limit =
       this->head_taken ? limits.body_timeout_ms : limits.header_timeout_ms;
   if (now_ms - this->begun_ms > limit) {
-    this->Refuse({ErrorId::kBodyLate, "the request was not whole in time"});
+    this->Refuse({ErrorId::kBodyLate,
+                  "the request was not received completely in time"});
   }
 }
 
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -14,86 +14,91 @@
 
 namespace meadowthread::detail {
 
-/// @brief What a connection needs of its server.
-class ConnectionHost {
+/// @brief The server's interface to its connections.
+class ServerContext {
  public:
-  virtual ~ConnectionHost() = default;
+  virtual ~ServerContext() = default;
 
   virtual const ServerLimits& Limits() const = 0;
   virtual std::int64_t NowMs() const = 0;
   virtual HttpService& Service() = 0;
 
-  /// @brief Whether connections end after their present answer.
+  /// @brief Whether connections close after their current response.
   virtual bool IsClosing() const = 0;
 
-  /// @brief Counts bytes held for unfinished requests.
-  /// @return false where no more may be held
-  virtual bool Hold(std::int64_t bytes) = 0;
-  virtual void Release(std::int64_t bytes) = 0;
+  /// @brief Reserves memory for the body of an unfinished request.
+  /// @return false if that would exceed the limit for all connections
+  virtual bool ReserveBytes(std::int64_t bytes) = 0;
+  virtual void ReleaseBytes(std::int64_t bytes) = 0;
 
-  /// @brief A connection is broken with an answer on it.
-  virtual void NoteCut() = 0;
+  /// @brief Counts a connection that was broken before its response was
+  /// delivered.
+  virtual void CountInterruptedResponse() = 0;
 
-  /// @brief The connection is over; it is destroyed later in the turn.
-  virtual void Forget(StreamSocketHandler* connection) = 0;
+  /// @brief Removes an ended connection; it is destroyed later in the turn of
+  /// the event loop.
+  virtual void RemoveConnection(StreamSocketHandler* connection) = 0;
 };
 
-/// @brief One caller's connection: reads a request, has it answered, reads the
-/// next one.
+/// @brief The server side of one client connection: reads a request, passes it
+/// to the service, sends the response and reads the next request.
 class ServerConnection final
     : public StreamSocketHandler,
       public std::enable_shared_from_this<ServerConnection> {
  public:
-  /// @param[in] host outlives the connection
-  ServerConnection(ConnectionHost& host, std::unique_ptr<StreamSocket> socket);
+  /// @param[in] context outlives the connection
+  ServerConnection(ServerContext& context,
+                   std::unique_ptr<StreamSocket> socket);
   ~ServerConnection() override;
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
   void Begin();
 
-  ////////////////////
-  // For its writer
-  ////////////////////
+  ///////////////////////////
+  // Called by ResponseWriter
+  ///////////////////////////
 
-  /// @brief Sends an answer's head.
+  /// @brief Sends the head of a response.
   /// @return whether the body is sent in chunks
   bool SendHead(const ResponseHead& head);
   void Send(std::string_view bytes);
-  /// @brief The answer is whole: on to the next request, or close.
-  void AnswerDone();
-  /// @brief Ends the connection so that the answer can't look whole.
-  void BreakOff();
+  /// @brief Ends a complete response: reads the next request, or closes.
+  void EndResponse();
+  /// @brief Ends the connection so that the client can't take the response for
+  /// complete.
+  void EndIncomplete();
   bool SendsBody(int http_status) const;
-  /// @brief Whether the answer's length was announced.
+  /// @brief Whether the response has a Content-Length.
   bool KnowsLength() const { return this->length_known; }
   std::int64_t PendingBytes() const;
   bool IsClosed() const { return this->phase == Phase::kOver; }
-  void SetClosedTold(std::function<void()> told);
-  void SetDrainedTold(std::function<void()> told);
-  /// @brief Whose answer it is, for logs.
+  void SetOnClosed(std::function<void()> told);
+  void SetOnDrained(std::function<void()> told);
+  /// @brief Sets the request id for log lines about this response.
   void NameAnswer(std::string_view request) { this->answer_name = request; }
 
-  ////////////////////
-  // For its server
-  ////////////////////
+  ///////////////////////
+  // Called by the server
+  ///////////////////////
 
-  /// @brief Breaks the connection at once.
-  /// @param[in] why for the log, where an answer is lost by it
+  /// @brief Breaks the connection immediately.
+  /// @param[in] why logged if a response is lost
   void Abort(std::string_view why);
 
-  /// @brief Ends the connection where a time limit has passed.
-  void CheckTime(std::int64_t now_ms);
+  /// @brief Ends the connection if one of its timeouts has passed.
+  void CheckTimeouts(std::int64_t now_ms);
 
-  /// @brief Closes it unless a request is being read or answered.
+  /// @brief Closes the connection unless a request is being read or handled.
   void CloseIfIdle();
 
-  /// @brief Whether its caller may still get something: a request was begun, or
-  /// an answer to one is not delivered.
-  bool IsOwed() const;
+  /// @brief Whether a request has begun to arrive or a response is not yet
+  /// delivered.
+  bool HasUndelivered() const;
 
-  /// @brief Ends it with the process: the kernel delivers what it holds.
-  void EndWithProcess();
+  /// @brief Closes the connection when the server shuts down; the kernel still
+  /// delivers what it has accepted.
+  void CloseForShutdown();
 
   // StreamSocketHandler
   void OnBytes(std::string_view bytes) override;
@@ -103,9 +108,9 @@
 
  private:
   enum class Phase {
-    kReading,    ///< waits for a request, or for its rest
-    kAnswering,  ///< a request was handed to the service
-    kEnding,     ///< the last answer is on its way out
+    kReading,    ///< waits for a request or for the rest of one
+    kAnswering,  ///< the service is handling a request
+    kEnding,     ///< the last response is being delivered
     kOver,
   };
   struct Refusal;
@@ -117,13 +122,13 @@
   void ReadNext();
   void Refuse(const Refusal& refusal);
   void CloseAfterAnswer();
-  void LogCut(std::string_view why) const;
-  std::int64_t RestMs(std::int64_t now_ms, const SocketBacklog& left);
-  static bool IsGone(std::int64_t rest_ms, const SocketBacklog& left);
+  void LogInterruptedResponse(std::string_view why) const;
+  std::int64_t StalledMs(std::int64_t now_ms, const SocketBacklog& left);
+  static bool IsClientGone(std::int64_t stalled_ms, const SocketBacklog& left);
   void CheckDelivery(std::int64_t now_ms);
   void End();
 
-  ConnectionHost& host;
+  ServerContext& context;
   std::unique_ptr<StreamSocket> socket;
   MessageReader reader;
   Phase phase = Phase::kReading;
@@ -138,13 +143,15 @@
   bool length_known = false;
   bool ends_by_close = false;
   bool paused = false;
-  std::int64_t begun_ms = -1;    ///< first byte of the present request
-  std::int64_t resting_ms = 0;   ///< since when no request is there
-  std::int64_t progress_ms = 0;  ///< when the caller last took any bytes
-  std::int64_t taken = 0;        ///< by the caller, when last looked at
-  bool has_all = true;           ///< the caller, when last looked at
-  std::function<void()> closed_told;
-  std::function<void()> drained_told;
+  std::int64_t begun_ms =
+      -1;  ///< when the first byte of the current request came; -1: none
+  std::int64_t idle_since_ms = 0;  ///< since when the connection is idle
+  std::int64_t progress_ms = 0;    ///< when the client last acknowledged bytes
+  std::int64_t taken =
+      0;                ///< bytes acknowledged by the client at the last check
+  bool has_all = true;  ///< whether all was delivered at the last check
+  std::function<void()> on_closed;
+  std::function<void()> on_drained;
 };
 
 }  // namespace meadowthread::detail
--- a/src/net/socket_poller.cc
+++ b/src/net/socket_poller.cc
@@ -10,8 +10,9 @@
 namespace meadowthread {
 namespace {
 
-// Events taken in one turn of the loop, so that timers get their turn too.
-constexpr int kMostEvents = 256;
+// Most events handled per turn of the event loop, so that timers are not
+// starved.
+constexpr int kMaxEvents = 256;
 
 epoll_event EventFor(int descriptor, std::uint32_t events) {
   epoll_event event = {};
@@ -57,12 +58,13 @@
   return found == this->sockets.end() ? nullptr : found->second;
 }
 
-// A handler may close any socket, also one whose event is in this batch: each
-// is looked up anew. A number reused within the batch only brings an event too
-// many, which reads nothing.
+// Looks up each socket again, because a handler may close any socket, including
+// one with an event in this batch. If a descriptor number is reused within the
+// batch, the new socket gets a spurious event, which is harmless as its read
+// finds no data.
 void SocketPoller::TakeEvents() {
-  std::array<epoll_event, kMostEvents> events = {};
-  const int count = epoll_wait(this->epoll, events.data(), kMostEvents, 0);
+  std::array<epoll_event, kMaxEvents> events = {};
+  const int count = epoll_wait(this->epoll, events.data(), kMaxEvents, 0);
   this->dispatching = true;
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
--- a/src/net/socket_poller.h
+++ b/src/net/socket_poller.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread {
 
-/// @brief Told of a descriptor's events.
+/// @brief Receives the epoll events of a descriptor.
 class PolledSocket {
  public:
   virtual ~PolledSocket() = default;
@@ -19,11 +19,12 @@
   /// @param[in] events EPOLLIN, EPOLLOUT, EPOLLERR, EPOLLHUP
   virtual void OnEvents(std::uint32_t events) = 0;
 
-  /// @brief Hands what was written in this turn of the loop to the kernel.
+  /// @brief Sends what was written in this turn of the event loop.
   virtual void Flush() = 0;
 };
 
-/// @brief Many descriptors behind one epoll descriptor on Qt's event loop.
+/// @brief Watches many descriptors through one epoll descriptor on Qt's event
+/// loop.
 class SocketPoller final : public QObject {
  public:
   SocketPoller();
@@ -31,12 +32,14 @@
   SocketPoller(const SocketPoller&) = delete;
   SocketPoller& operator=(const SocketPoller&) = delete;
 
-  /// @brief Starts to watch; `socket` must be taken out before it goes.
+  /// @brief Starts to watch a descriptor; call Remove before `socket` is
+  /// destroyed.
   void Add(int descriptor, std::uint32_t events, PolledSocket* socket);
   void Change(int descriptor, std::uint32_t events);
   void Remove(int descriptor);
 
-  /// @brief Calls Flush once, at the end of this turn of the loop.
+  /// @brief Schedules one call of Flush at the end of this turn of the event
+  /// loop.
   void FlushLater(int descriptor);
 
  private:
--- a/src/net/stream_socket.h
+++ b/src/net/stream_socket.h
@@ -7,80 +7,83 @@
 
 namespace meadowthread {
 
-/// @brief How a connection came to its end.
+/// @brief How a connection ended.
 enum class SocketEnd {
-  kFinished,       ///< the peer closed it in order: all its bytes came
-  kReset,          ///< it broke: bytes may be missing
-  kConnectFailed,  ///< it never stood: nothing was sent
+  kFinished,       ///< the peer closed it in order; all its bytes were received
+  kReset,          ///< the connection broke; bytes may be missing
+  kConnectFailed,  ///< it was never established; nothing was sent
 };
 
-/// @brief Bytes of a connection that one of its ends has not taken yet, and how
-/// long the peer is silent; -1 where the kernel does not tell.
+/// @brief Undelivered and unread bytes of a connection, and how long the peer
+/// has been silent; -1 if the kernel does not report a value.
 struct SocketBacklog {
-  std::int64_t unsent = 0;          ///< written, not yet taken by the kernel
-  std::int64_t unacknowledged = 0;  ///< taken, not yet at the peer's kernel
-  std::int64_t unread = 0;          ///< came from the peer, not yet read
-  std::int64_t silent_ms = 0;       ///< since the peer last acknowledged any
+  std::int64_t unsent = 0;  ///< written, not yet accepted by the kernel
+  std::int64_t unacknowledged =
+      0;  ///< accepted by the kernel, not yet acknowledged by the peer
+  std::int64_t unread = 0;     ///< received from the peer, not yet read
+  std::int64_t silent_ms = 0;  ///< since the peer's last acknowledgement
 };
 
-/// @brief Told what happens on a connection, on the event loop's thread. Any
-/// of these calls may destroy the socket.
+/// @brief Receives the events of a connection, on the event loop's thread. Any
+/// callback may destroy the socket.
 class StreamSocketHandler {
  public:
   virtual ~StreamSocketHandler() = default;
 
-  /// @brief The connection that was asked for stands.
+  /// @brief The connection is established.
   virtual void OnConnected() {}
 
-  /// @brief Bytes came.
+  /// @brief Bytes were received.
   virtual void OnBytes(std::string_view bytes) = 0;
 
-  /// @brief All that was written has been taken by the kernel.
+  /// @brief The kernel has accepted all written bytes.
   virtual void OnDrained() {}
 
-  /// @brief The peer sends no more.
-  /// @return whether it is to get what is written before the connection ends
+  /// @brief The peer has shut down sending.
+  /// @return whether pending bytes are still sent before the connection ends
   virtual bool OnFinished() { return false; }
 
-  /// @brief It is over; nothing follows.
+  /// @brief The connection ended; this is the last callback.
   virtual void OnEnded(SocketEnd end) = 0;
 };
 
-/// @brief A byte stream to one peer; its destructor closes it at once.
+/// @brief A byte stream to one peer; the destructor closes it immediately.
 class StreamSocket {
  public:
   virtual ~StreamSocket() = default;
 
-  /// @brief Who is told from now on; outlives the socket or is replaced.
+  /// @brief Sets the receiver of callbacks, which must outlive the socket or be
+  /// replaced before.
   virtual void SetHandler(StreamSocketHandler* handler) = 0;
 
-  /// @brief Sends bytes; those written in one turn of the loop leave together.
+  /// @brief Sends bytes; writes in one turn of the event loop are sent
+  /// together.
   virtual void Write(std::string_view bytes) = 0;
 
-  /// @brief Stops or goes on reading.
+  /// @brief Pauses or resumes reading.
   virtual void SetPaused(bool paused) = 0;
 
-  /// @brief Closes in order once everything written has left.
+  /// @brief Closes in order once all written bytes are sent.
   virtual void CloseWhenDrained() = 0;
 
-  /// @brief Gives the kernel all that it takes, and closes: the kernel delivers
-  /// it also when the process ends, unless the peer sends more. What it doesn't
-  /// take is lost.
+  /// @brief Passes pending bytes to the kernel and closes immediately. The
+  /// kernel delivers what it accepted even if the process exits, unless the
+  /// peer sends more; the rest is lost.
   virtual void CloseNow() = 0;
 
   /// @brief Breaks the connection so that the peer sees a reset.
   virtual void Abort() = 0;
 
-  /// @brief Bytes written that the kernel has not taken yet.
+  /// @brief Bytes written that the kernel has not accepted yet.
   virtual std::int64_t PendingBytes() const = 0;
 
-  /// @brief Bytes that the kernel has taken: they may have left the host.
+  /// @brief Bytes that the kernel has accepted; they may have left the host.
   virtual std::int64_t SentBytes() const = 0;
 
-  /// @brief What is still on its way, in either direction.
+  /// @brief Bytes that are still in transit or in buffers, in either direction.
   virtual SocketBacklog Backlog() const = 0;
 
-  /// @brief Whether nothing waits to be read, not even the connection's end.
+  /// @brief Whether the connection is open and has nothing to read.
   virtual bool IsQuiet() const = 0;
 
   /// @brief The peer's address, for logs and errors.
--- a/src/net/tests/closing_test.cc
+++ b/src/net/tests/closing_test.cc
@@ -1,10 +1,9 @@
-// What a caller gets whose own bytes cross the end of its connection: requests
-// that came before it are answered, one that nobody read is not taken silently,
-// and what the caller sends or no longer sends costs it no answer. Before, a
-// request that the kernel held at a close was read, dropped and told nothing;
-// of 6,000,000 bytes that were written a caller that had finished sending got
-// 2,177,024; and an answer that was given in the process's last turn was still
-// in its buffer: no byte of it came, though its caller read at once.
+// Tests closing a connection while the client sends or has shut down sending.
+// Guards against three failures: a request in the kernel's receive buffer at
+// the close was read and discarded without a response; a client that had shut
+// down sending got 2,177,024 of 6,000,000 bytes; and a response written in the
+// process's last turn of the event loop stayed in the server's buffer and was
+// lost.
 #include <criterion/criterion.h>
 
 #include <memory>
@@ -21,11 +20,11 @@
 using tests::SlowCaller;
 
 constexpr std::size_t kShort = 100;
-// More than the kernel takes of one connection.
+// More than the kernel buffers for one connection.
 constexpr std::size_t kLong = 6'000'000;
 constexpr std::size_t kAll = 1'000'000;
 
-// Answers at once, or keeps the writer where it is told to.
+// Responds at once, or keeps the writer if `keeps` is set.
 struct Answers final : public HttpService {
   void Serve(const ServerRequest&,
              std::unique_ptr<ResponseWriter> writer) override {
@@ -65,9 +64,9 @@
       return ends == count || caller.Ended() != SlowCaller::End::kOpen;
     }) && caller.Got().ends_with("aend");
   }
-  /// @brief Until what a caller has just sent lies in the server's kernel; the
-  /// server's own loop does not run meanwhile.
-  void LetItArrive() const {
+  /// @brief Busy-waits until what a client has just sent is in the server's
+  /// kernel receive buffer, without running the event loop.
+  void WaitForArrival() const {
     const std::int64_t end_ms = this->loop.clock.MonotonicMs() + 20;
     while (this->loop.clock.MonotonicMs() < end_ms) {
     }
@@ -79,13 +78,13 @@
   HttpRequest request;
 };
 
-Test(a_request_that_came_before_the_close, is_owed_an_answer) {
+Test(a_request_that_came_before_the_close, counts_as_undelivered) {
   Fixture f;
   SlowCaller caller(f.request);
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
-  f.LetItArrive();
+  f.WaitForArrival();
   cr_assert(f.server->Owed() == 1);
 }
 
@@ -95,7 +94,7 @@
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
-  f.LetItArrive();
+  f.WaitForArrival();
   f.server->CloseConnections();
   cr_assert(f.HasAnswers(caller, 2));
   cr_assert(f.service.served == 2);
@@ -115,14 +114,14 @@
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
-  f.LetItArrive();
+  f.WaitForArrival();
   f.server.reset();
   cr_assert(
       f.loop.Until([&] { return caller.Ended() != SlowCaller::End::kOpen; }));
   cr_assert(caller.Ended() == SlowCaller::End::kReset);
 }
 
-Test(a_connection_that_asks_for_nothing, is_owed_nothing) {
+Test(a_connection_without_a_request, does_not_count_as_undelivered) {
   Fixture f;
   f.server->CloseConnections();
   HttpRequest silent = f.request;
@@ -131,7 +130,7 @@
   cr_assert(f.server->Owed() == 0);
 }
 
-Test(an_answer_of_a_servers_last_turn, reaches_its_caller) {
+Test(a_response_written_in_the_last_event_loop_turn, reaches_its_caller) {
   Fixture f;
   f.service.keeps = true;
   SlowCaller caller(f.request);
@@ -148,12 +147,13 @@
   SlowCaller caller(f.request);
   cr_assert(f.IsServed(1));
   caller.FinishSending();
-  f.LetItArrive();
+  f.WaitForArrival();
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1), "%zu bytes came", caller.Got().size());
 }
 
-Test(a_caller_that_has_finished_sending, is_taken_for_gone_while_it_waits) {
+Test(a_caller_that_has_finished_sending,
+     is_taken_for_disconnected_while_it_waits) {
   Fixture f;
   f.service.keeps = true;
   SlowCaller caller(f.request);
--- a/src/net/tests/delivery_test.cc
+++ b/src/net/tests/delivery_test.cc
@@ -1,10 +1,7 @@
-// An answer counts as delivered when its caller's kernel has it. A second after
-// the process had written the last bytes of a connection's last answer the
-// connection was reset, whatever of them was still on its way: a caller that
-// read 20 kB a second lost the rest of what it had asked for, also where
-// nothing stopped. The log said so once it told what a broken connection held:
-//   event=answer-cut ... why=caller_does_not_close written=whole unsent=0
-//     unacknowledged=38439 unread=0
+// Tests that a response counts as delivered only when the client's kernel has
+// it. Guards against a reset one second after the last bytes of a connection's
+// last response were passed to the kernel: a client that read 20 kB/s lost the
+// bytes that were still undelivered, 38,439 in one logged case.
 #include <criterion/criterion.h>
 
 #include <memory>
@@ -21,9 +18,9 @@
 using tests::SlowCaller;
 
 constexpr std::size_t kAnswerBytes = 80'000;
-constexpr std::int64_t kRestMs = 9'000;
+constexpr std::int64_t kNotReadingMs = 9'000;
 
-// Answers each request with a long body at once.
+// Responds to each request at once with a long body.
 struct LongAnswers final : public HttpService {
   void Serve(const ServerRequest&,
              std::unique_ptr<ResponseWriter> writer) override {
@@ -65,32 +62,32 @@
   f.request.headers = {{"Connection", "close"}};
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
-  // 40 kB a second: two seconds
+  // 40 kB/s: takes two seconds
   caller.Read(400);
   cr_assert(f.IsOver(caller));
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
 }
 
-// The kernel's limit for bytes that a peer does not take counted a window that
-// was closed most of the time as silence: after 6 s the rest was lost.
+// Guards against TCP_USER_TIMEOUT on accepted connections: it counted a window
+// that was closed most of the time as silence, and after 6 s the rest was lost.
 Test(a_slow_caller, gets_a_whole_answer_that_its_kernel_takes_for_long) {
   Fixture f;
   f.request.headers = {{"Connection", "close"}};
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
-  // 8 kB a second: ten seconds
+  // 8 kB/s: takes ten seconds
   caller.Read(80);
   cr_assert(f.IsOver(caller));
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
 }
 
-// The kernel's limit for bytes that a peer does not take, 6 s, counted for a
-// caller that answered each of its probes: of 80 kB it had got 2,048 bytes.
+// Guards against TCP_USER_TIMEOUT (6 s) on accepted connections: it also ended
+// those of clients that answered every probe; one got 2,048 of 80 kB.
 Test(a_slow_caller, that_does_not_read_for_nine_seconds_gets_its_answer) {
   Fixture f;
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
-  f.loop.Until([] { return false; }, kRestMs);
+  f.loop.Until([] { return false; }, kNotReadingMs);
   caller.Read(20'000);
   cr_assert(f.loop.Until([&] {
     return Fixture::HasAll(caller) || caller.Ended() != SlowCaller::End::kOpen;
@@ -98,7 +95,7 @@
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
 }
 
-// Answers when the test says so.
+// Keeps the writer, so that the test decides when to respond.
 struct PlayedAnswer final : public testing::PlayedConnection {
   using PlayedConnection::PlayedConnection;
   void Serve(const ServerRequest&,
@@ -108,15 +105,15 @@
   std::unique_ptr<ResponseWriter> writer;
 };
 
-Test(a_caller_that_takes_nothing, has_its_time_from_its_first_byte_on) {
-  // given a connection that is new to a host which runs for long
+Test(a_caller_that_takes_nothing, has_its_time_from_the_first_byte_on) {
+  // given a new connection on a server whose clock is far from 0
   constexpr std::int64_t kNowMs = 1'000'000;
   PlayedAnswer caller(ServerLimits{}, kNowMs);
   caller.Feed("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
   caller.SetPending(100);
-  // when the server looks while the answer's first bytes are on their way
+  // when the timeouts are checked while the first bytes are undelivered
   caller.Look(kNowMs + 1);
-  // then the caller has its time
+  // then the client still has its full 6 s
   cr_assert(!caller.IsClosed());
   caller.Look(kNowMs + 5'900);
   cr_assert(!caller.IsClosed());
@@ -124,7 +121,7 @@
   cr_assert(caller.IsClosed());
 }
 
-Test(a_caller_that_takes_nothing, is_given_up_also_where_more_is_written) {
+Test(a_caller_that_takes_nothing, is_dropped_also_if_more_is_written) {
   constexpr std::int64_t kNowMs = 1'000'000;
   PlayedAnswer caller(ServerLimits{}, kNowMs);
   caller.Feed("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -137,7 +134,7 @@
   cr_assert(caller.IsClosed());
 }
 
-Test(a_caller_that_takes_nothing, may_rest_while_its_kernel_answers_probes) {
+Test(a_caller_that_takes_nothing, may_pause_while_its_kernel_answers_probes) {
   constexpr std::int64_t kNowMs = 1'000'000;
   PlayedAnswer caller(ServerLimits{}, kNowMs);
   caller.SetSilent(100);
@@ -146,7 +143,7 @@
   caller.Look(kNowMs + 1);
   caller.Look(kNowMs + 59'900);
   cr_assert(!caller.IsClosed());
-  // and is given up in the end, or as soon as its kernel is silent
+  // It is dropped after 60 s, or after 6 s if its kernel is silent too.
   PlayedAnswer silent(ServerLimits{}, kNowMs);
   silent.Feed("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
   silent.SetPending(100);
@@ -158,7 +155,7 @@
   cr_assert(caller.IsClosed());
 }
 
-Test(a_server, owes_an_answer_until_its_caller_has_it) {
+Test(a_server, counts_a_response_as_undelivered_until_its_caller_has_it) {
   Fixture f;
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
@@ -169,7 +166,7 @@
   cr_assert(caller.Ended() == SlowCaller::End::kOpen);
 }
 
-Test(a_server, owes_an_answer_to_a_request_that_was_begun) {
+Test(a_server, counts_a_partly_received_request_as_undelivered) {
   Fixture f;
   SlowCaller caller(f.request);
   caller.Read(20'000);
@@ -182,7 +179,7 @@
   cr_assert(f.loop.Until([&] { return f.server->Owed() == 0; }));
 }
 
-Test(a_server_that_goes, leaves_its_answers_to_the_kernel) {
+Test(a_destroyed_server, leaves_its_answers_to_the_kernel) {
   Fixture f;
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
@@ -194,7 +191,7 @@
   cr_assert(caller.Ended() == SlowCaller::End::kFinished);
 }
 
-Test(a_server_that_goes, does_so_also_where_its_caller_has_sent_more) {
+Test(a_destroyed_server, does_so_also_if_its_caller_has_sent_more) {
   Fixture f;
   SlowCaller caller(f.request);
   cr_assert(f.IsServed());
@@ -206,7 +203,8 @@
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
 }
 
-Test(a_caller_that_left_with_a_reset, is_no_answer_that_its_server_cut) {
+Test(a_caller_that_left_with_a_reset,
+     is_not_counted_as_an_interrupted_response) {
   Fixture f;
   {
     const SlowCaller caller(f.request);
--- a/src/net/tests/http_server_test.cc
+++ b/src/net/tests/http_server_test.cc
@@ -1,4 +1,5 @@
-// What callers send, byte for byte: taken whole, or refused without a guess.
+// Tests that HttpServer passes valid requests on unchanged and rejects
+// ambiguous ones.
 #include "net/http_server.h"
 
 #include <criterion/criterion.h>
@@ -11,7 +12,7 @@
 using tests::Loop;
 using tests::RawCaller;
 
-// Answers with what it was asked; keeps the writers of targets under /held.
+// Echoes the request; for paths under /held it keeps the writer instead.
 struct Echo final : public HttpService {
   void Serve(const ServerRequest& request,
              std::unique_ptr<ResponseWriter> writer) override {
@@ -77,7 +78,7 @@
   cr_assert(FindHeader(f.echo.requests.at(0).headers, "Authorization").empty());
 }
 
-Test(a_request, that_two_readers_could_take_in_two_ways_is_refused) {
+Test(a_request, with_ambiguous_framing_is_rejected) {
   const std::string host = "POST /x HTTP/1.1\r\nHost: a\r\n";
   for (const char* const rest :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -115,7 +116,7 @@
   cr_assert(f.echo.requests.at(0).body == hidden);
 }
 
-Test(a_request, that_asks_first_is_told_to_go_on) {
+Test(a_request, with_expect_100_continue_gets_an_interim_response) {
   Fixture f;
   RawCaller caller(f.port);
   caller.Send(
@@ -148,7 +149,7 @@
   cr_assert(caller.Got().find("Connection: close\r\n") != std::string::npos);
 }
 
-Test(a_connection, of_the_older_version_ends_with_its_answer) {
+Test(a_connection, over_http_1_0_is_closed_after_its_response) {
   Fixture f;
   RawCaller caller(f.port);
   caller.Send("GET /held HTTP/1.0\r\n\r\n");
@@ -171,7 +172,7 @@
   f.echo.held.at(0)->SendWhole({200, "text/plain", {}, "late"});
 }
 
-Test(a_broken_answer, never_looks_whole) {
+Test(an_aborted_response, never_looks_complete) {
   for (const bool length_known : {false, true}) {
     Fixture f;
     RawCaller caller(f.port);
@@ -190,7 +191,7 @@
   }
 }
 
-Test(a_bound, on_head_body_and_time_is_kept) {
+Test(a_limit, on_head_body_and_time_is_enforced) {
   ServerLimits limits;
   limits.max_header_bytes = 200;
   limits.max_body_bytes = 10;
@@ -215,7 +216,7 @@
   cr_assert(answer("").empty(), "an idle connection is closed in silence");
 }
 
-Test(a_bound, on_unfinished_requests_together_refuses_as_not_run) {
+Test(a_limit, on_the_total_of_unfinished_requests_rejects_with_503) {
   ServerLimits limits;
   limits.max_held_bytes = 8;
   Fixture f(limits);
@@ -228,7 +229,7 @@
   cr_assert(caller.Got().find("Retry-After: ") != std::string::npos);
 }
 
-Test(a_closing_server, ends_resting_connections_and_finishes_answers) {
+Test(a_closing_server, closes_idle_connections_and_finishes_responses) {
   Fixture f;
   RawCaller resting(f.port);
   RawCaller busy(f.port);
--- a/src/net/tests/message_reader_test.cc
+++ b/src/net/tests/message_reader_test.cc
@@ -1,4 +1,5 @@
-// Messages cut from bytes: the same however the bytes arrive.
+// Tests that MessageReader gives the same result however the bytes are split
+// into reads.
 #include "net/message_reader.h"
 
 #include <criterion/criterion.h>
@@ -10,7 +11,7 @@
 
 constexpr std::size_t kLimit = 64;
 
-/// @brief How a message's reading ends when it comes in pieces of this size.
+/// @brief The final state after feeding the message in pieces of `step` bytes.
 ReadState Read(MessageKind kind, const std::string& text, std::size_t step) {
   MessageReader reader(kind, kLimit);
   ReadState state = ReadState::kMore;
@@ -21,8 +22,8 @@
   return state;
 }
 
-// Found by fuzzing: what followed was taken for an overlong head of a chunk,
-// and a proper request was refused.
+// Found by fuzzing: bytes after a complete request were taken for an overlong
+// chunk header, and a valid request was rejected.
 Test(a_whole_request, stands_whatever_follows_it_in_the_same_bytes) {
   const std::string request = "POST /x HTTP/1.1\r\nHost: h\r\n\r\n";
   const std::string both = request + std::string(1'000, 'x');
@@ -31,7 +32,8 @@
   cr_assert(Read(MessageKind::kRequest, both, 1) == ReadState::kWhole);
 }
 
-// Found by fuzzing: trailers were bounded only where they came in pieces.
+// Found by fuzzing: the limit on trailers applied only if they came in several
+// reads.
 Test(overlong_trailers, are_refused_in_one_piece_and_in_many) {
   const std::string head =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n";
--- a/src/net/tests/played_connection.h
+++ b/src/net/tests/played_connection.h
@@ -10,11 +10,11 @@
 
 namespace meadowthread::testing {
 
-/// @brief A caller's connection without a socket: the test is the caller and,
-/// in what inherits from this, the service.
-class PlayedConnection : public detail::ConnectionHost, public HttpService {
+/// @brief A ServerConnection on a fake socket. The test acts as the client; a
+/// derived class implements the service.
+class PlayedConnection : public detail::ServerContext, public HttpService {
  public:
-  /// @param[in] now_ms the clock's time, which Look moves on
+  /// @param[in] now_ms initial time of the fake clock, which Look sets
   explicit PlayedConnection(const ServerLimits& with = {},
                             std::int64_t now_ms = 0)
       : limits(with), now_ms(now_ms) {
@@ -27,20 +27,20 @@
   void Feed(std::string_view bytes) { this->connection->OnBytes(bytes); }
   void Leave() { this->connection->OnEnded(SocketEnd::kReset); }
 
-  /// @brief All that was written to the caller.
+  /// @brief All bytes written to the client.
   const std::string& Got() const { return this->got; }
-  /// @brief Whether the server closed or broke it.
+  /// @brief Whether the server closed or aborted the connection.
   bool IsClosed() const { return this->closed; }
 
-  /// @brief How much of what was written the caller has yet to take.
+  /// @brief Sets how many written bytes are not yet sent.
   void SetPending(std::int64_t bytes) { this->pending = bytes; }
-  /// @brief For how long the caller's kernel acknowledged nothing; until then
-  /// nobody tells.
+  /// @brief Sets for how long the client's kernel has acknowledged nothing;
+  /// unknown until set.
   void SetSilent(std::int64_t ms) { this->silent_ms = ms; }
-  /// @brief The server looks at its time limits.
+  /// @brief Sets the clock and lets the connection check its timeouts.
   void Look(std::int64_t at_ms) {
     this->now_ms = at_ms;
-    this->connection->CheckTime(at_ms);
+    this->connection->CheckTimeouts(at_ms);
   }
   void Drain() {
     this->pending = 0;
@@ -51,10 +51,10 @@
   std::int64_t NowMs() const override { return this->now_ms; }
   HttpService& Service() override { return *this; }
   bool IsClosing() const override { return false; }
-  bool Hold(std::int64_t) override { return true; }
-  void Release(std::int64_t) override {}
-  void NoteCut() override {}
-  void Forget(StreamSocketHandler*) override {}
+  bool ReserveBytes(std::int64_t) override { return true; }
+  void ReleaseBytes(std::int64_t) override {}
+  void CountInterruptedResponse() override {}
+  void RemoveConnection(StreamSocketHandler*) override {}
 
  private:
   class Socket final : public StreamSocket {
--- a/src/net/tests/pooled_client_test.cc
+++ b/src/net/tests/pooled_client_test.cc
@@ -1,4 +1,5 @@
-// What the client sends, how often, and what it makes of broken answers.
+// Tests what PooledClient sends, when it resends, and how it handles broken
+// responses.
 #include "net/pooled_client.h"
 
 #include <criterion/criterion.h>
@@ -67,7 +68,7 @@
             "X-Odd: two  blanks\r\n\r\n");
 }
 
-Test(a_connection_to_a_peer, is_used_again_while_it_is_whole) {
+Test(a_connection_to_a_peer, is_reused_while_it_is_open) {
   Loop loop;
   RawServer server([](QTcpSocket& socket, const std::string&) {
     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -83,10 +84,11 @@
   cr_assert(server.Connections() == 2);
 }
 
-// Named for the crash of 2026-12: a resting connection that had rested too long
-// for one call left an empty place in the pool, found half a minute later.
+// Guards against a crash: an idle connection that was too old for one call left
+// a null entry in the pool, which the check of idle connections dereferenced
+// half a minute later.
 Test(a_connection_to_a_peer,
-     that_rested_too_long_for_one_call_stays_for_others) {
+     that_was_idle_too_long_for_one_call_stays_for_others) {
   Loop loop;
   RawServer server([](QTcpSocket& socket, const std::string&) {
     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -99,13 +101,13 @@
   picky.reuse_idle_ms = 1;
   cr_assert(Ask(loop, client, picky).end.status.ok());
   cr_assert(server.Connections() == 2);
-  // Both rest now; each is found whole.
+  // Both connections are idle now, and each is reused.
   cr_assert(Ask(loop, client, To(server)).end.status.ok());
   cr_assert(Ask(loop, client, To(server)).end.status.ok());
   cr_assert(server.Connections() == 2);
 }
 
-Test(a_connection_to_a_peer, that_ended_elsewhere_is_not_used_again) {
+Test(a_connection_to_a_peer, whose_process_has_ended_is_not_reused) {
   Loop loop;
   RawServer server([](QTcpSocket& socket, const std::string&) {
     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -133,7 +135,7 @@
   cr_assert(server.Connections() == 2);
 }
 
-Test(an_answer_to_another_request, is_passed_over) {
+Test(a_response_to_another_request, is_discarded) {
   Loop loop;
   const RawServer server = Answering(
       "HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
@@ -151,7 +153,7 @@
   int requests = 0;
   RawServer server([&requests](QTcpSocket& socket, const std::string& sent) {
     ++requests;
-    // The first exchange is whole; then the connection dies under the second.
+    // Completes the first exchange and closes the connection during the second.
     if (sent.find("/second") == std::string::npos) {
       socket.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     } else {
@@ -166,14 +168,14 @@
   const HttpFetched got = Ask(loop, client, second);
   cr_assert(!got.end.status.ok() && got.end.request_may_have_left);
   cr_assert(requests == 2);
-  // and one that may be is sent a second time, on a fresh connection
+  // A request that may be repeated is sent again on a new connection.
   cr_assert(Ask(loop, client, To(server, "/first")).end.status.ok());
   const HttpFetched again = Ask(loop, client, To(server, "/second"));
   cr_assert(!again.end.status.ok());
-  cr_assert(client.Stats().sent_again == 1 && requests == 5);
+  cr_assert(client.Stats().resent == 1 && requests == 5);
 }
 
-Test(a_request_to_nobody, has_certainly_not_left) {
+Test(a_request_to_a_closed_port, is_reported_as_not_sent) {
   Loop loop;
   PooledClient client;
   std::uint16_t port = 0;
--- a/src/net/tests/raw_peer.h
+++ b/src/net/tests/raw_peer.h
@@ -15,7 +15,7 @@
 
 namespace meadowthread::tests {
 
-/// @brief An event loop for one test.
+/// @brief Qt's event loop for one test.
 struct Loop {
   static constexpr std::int64_t kGenerousMs = 20'000;
 
@@ -23,7 +23,7 @@
   QCoreApplication application{this->argc, nullptr};
   SystemClock clock;
 
-  /// @brief Waits for the event, not for a time.
+  /// @brief Runs the event loop until the condition holds or the limit passes.
   bool Until(const std::function<bool()>& condition,
              std::int64_t limit_ms = kGenerousMs) {
     const std::int64_t end_ms = this->clock.MonotonicMs() + limit_ms;
@@ -35,7 +35,7 @@
   }
 };
 
-/// @brief Sends raw bytes and gathers what comes back.
+/// @brief A client that sends raw bytes and collects what it receives.
 class RawCaller {
  public:
   explicit RawCaller(std::uint16_t port) {
@@ -55,7 +55,7 @@
   const std::string& Got() const { return this->got; }
   bool Closed() const { return this->closed; }
 
-  /// @brief Status lines that came.
+  /// @brief Number of status lines received.
   int Answers() const {
     int count = 0;
     for (std::size_t at = this->got.find("HTTP/1.1 "); at != std::string::npos;
@@ -71,10 +71,11 @@
   bool closed = false;
 };
 
-/// @brief A peer that answers with the bytes it is told to.
+/// @brief A server whose test callback writes raw bytes in response.
 class RawServer {
  public:
-  /// @param[in] on_bytes called with all that a connection sent so far
+  /// @param[in] on_bytes called with all bytes received on the connection so
+  /// far
   using OnBytes = std::function<void(QTcpSocket&, const std::string&)>;
 
   explicit RawServer(OnBytes on_bytes) : on_bytes(std::move(on_bytes)) {
--- a/src/net/tests/slow_caller.cc
+++ b/src/net/tests/slow_caller.cc
@@ -44,7 +44,7 @@
 SlowCaller::SlowCaller(const HttpRequest& request, Sends sends,
                        int receive_bytes)
     : descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  // Before it connects: the window is announced then.
+  // Must be set before connecting, when the TCP window is announced.
   setsockopt(this->descriptor, SOL_SOCKET, SO_RCVBUF, &receive_bytes,
              sizeof(receive_bytes));
   sockaddr_in to = {};
--- a/src/net/tests/slow_caller.h
+++ b/src/net/tests/slow_caller.h
@@ -9,8 +9,7 @@
 
 namespace meadowthread::tests {
 
-/// @brief A caller whose kernel holds little for it, and who reads only as fast
-/// as it is told to.
+/// @brief A client with a small receive buffer that reads at a set rate.
 class SlowCaller {
  public:
   enum class End { kOpen, kFinished, kReset };
@@ -19,7 +18,7 @@
   static constexpr int kReceiveBytes = 2'048;
 
   /// @brief Connects to the request's host and sends it.
-  /// @param[in] receive_bytes what its kernel is to hold for it
+  /// @param[in] receive_bytes size of its kernel receive buffer
   explicit SlowCaller(const HttpRequest& request, Sends sends = Sends::kRequest,
                       int receive_bytes = kReceiveBytes);
   ~SlowCaller();
@@ -29,16 +28,16 @@
   /// @brief Sends further bytes on the same connection.
   void Send(const std::string& bytes) const;
 
-  /// @brief Sends no more, and reads on.
+  /// @brief Shuts down sending; reading continues.
   void FinishSending() const;
 
-  /// @brief From now on reads so many bytes every ten milliseconds.
+  /// @brief Starts to read up to this many bytes every 10 ms.
   void Read(std::size_t bytes_per_10_ms);
 
-  /// @brief How the connection ended, kOpen while it stands.
+  /// @brief How the connection ended; kOpen until then.
   End Ended() const { return this->end; }
   const std::string& Got() const { return this->got; }
-  /// @brief Whether the last chunk of a streamed answer came.
+  /// @brief Whether the last chunk of a chunked response was received.
   bool IsWhole() const { return this->got.ends_with("\r\n0\r\n\r\n"); }
 
  private:
@@ -50,7 +49,7 @@
   End end = End::kOpen;
 };
 
-/// @brief A request as bytes, to a host and port of its URL.
+/// @brief Serializes a request for the host of its URL.
 std::string BytesOf(const HttpRequest& request);
 
 }  // namespace meadowthread::tests
--- a/src/net/tests/test_certificate.h
+++ b/src/net/tests/test_certificate.h
@@ -7,7 +7,8 @@
 
 namespace meadowthread::tests {
 
-/// @brief A key and a certificate signed by it, made anew; gone with this.
+/// @brief A new key and self-signed certificate in temporary files, deleted
+/// with this object.
 class TestCertificate {
  public:
   TestCertificate();
--- a/src/net/tests/tls_delivery_test.cc
+++ b/src/net/tests/tls_delivery_test.cc
@@ -1,5 +1,5 @@
-// An answer over TLS is delivered like one without: to its last byte, also
-// where its caller reads slowly and has sent more meanwhile.
+// Tests that a response over TLS is delivered completely, also if the client
+// reads slowly and sends more bytes meanwhile.
 #include <criterion/criterion.h>
 
 #include <QSslSocket>
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kAnswerBytes = 300'000;
 constexpr int kReceiveBytes = 4'096;
-// The server hands its answer to the kernel meanwhile.
+// Gives the server time to pass its response to the kernel.
 constexpr std::int64_t kLetItWriteMs = 100;
 
 struct LongAnswers final : public HttpService {
@@ -32,7 +32,7 @@
   int served = 0;
 };
 
-/// @brief A caller over TLS who reads a little each ten milliseconds.
+/// @brief A TLS client that reads a few bytes every 10 ms.
 class SlowTlsCaller {
  public:
   explicit SlowTlsCaller(std::uint16_t port) {
@@ -49,7 +49,8 @@
   void Send(const std::string& bytes) {
     this->socket.write(bytes.data(), static_cast<qint64>(bytes.size()));
   }
-  /// @brief Sends so that it lies in the server's kernel, unread.
+  /// @brief Sends and waits until the bytes are in the server's kernel receive
+  /// buffer, unread.
   void SendNow(const std::string& bytes) {
     this->Send(bytes);
     this->socket.flush();
@@ -111,7 +112,8 @@
   cr_assert(caller.HasAll(), "%zu bytes came", caller.Got().size());
 }
 
-Test(a_server_over_tls, owes_an_answer_until_its_caller_has_it) {
+Test(a_server_over_tls,
+     counts_a_response_as_undelivered_until_its_caller_has_it) {
   Fixture f;
   SlowTlsCaller caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -124,9 +126,9 @@
   cr_assert(caller.HasAll(), "%zu bytes came", caller.Got().size());
 }
 
-// Of a server that went with bytes of its caller unread, 16,453 of 300,000
-// came.
-Test(a_server_over_tls_that_goes, leaves_its_answers_to_the_kernel) {
+// Guards against a reset when the server is destroyed with bytes of the client
+// unread: only 16,453 of 300,000 bytes arrived.
+Test(a_destroyed_server_over_tls, leaves_its_answers_to_the_kernel) {
   for (const bool sends_more : {false, true}) {
     Fixture f;
     SlowTlsCaller caller(f.port);
--- a/src/store/http_object_store.cc
+++ b/src/store/http_object_store.cc
@@ -36,7 +36,7 @@
   Fetch(this->client, request, kMaxObjectBytes,
         [kind = std::string(kind), name = std::string(name),
          done](const HttpFetched& fetched) {
-          done(ReadGetAnswer(fetched, kind, name));
+          done(ParseGetResponse(fetched, kind, name));
         });
 }
 
@@ -90,8 +90,8 @@
   HttpRequest request = this->ReadRequest(path, this->options.write_timeout_ms);
   request.method = std::string(method);
   request.headers.push_back(Condition(expected_version));
-  // A second sending by the library could meet the first one's version and
-  // report a conflict for a write that took effect.
+  // If the HTTP client resent a write that had taken effect, the second request
+  // would find the new version and report a conflict.
   request.send_once = true;
   return request;
 }
@@ -112,7 +112,7 @@
   Fetch(this->client, request, kMaxObjectBytes,
         [step = std::string(step), peer = std::string(peer),
          done](const HttpFetched& fetched) {
-          done(ReadWriteAnswer(fetched, step, peer));
+          done(ParseWriteResponse(fetched, step, peer));
         });
 }
 
--- a/src/store/http_object_store.h
+++ b/src/store/http_object_store.h
@@ -11,29 +11,29 @@
 
 namespace meadowthread {
 
-/// @brief Largest value that the object API takes, in bytes; a writer minds
-/// it before it writes.
+/// @brief Largest value that the object API accepts, in bytes; callers check it
+/// before they write.
 inline constexpr std::size_t kMaxObjectBytes = std::size_t{1024} * 1024;
 
-/// @brief Where the object API is and how long its calls may take.
+/// @brief Address of the object API, and timeouts and size limits of its calls.
 struct HttpObjectStoreOptions {
-  std::string base_url;  ///< such as http://192.0.2.7:8080, without a slash
+  std::string
+      base_url;  ///< such as http://192.0.2.7:8080, without a trailing slash
   std::int64_t connect_timeout_ms = 1000;
   std::int64_t read_timeout_ms = 3000;
   std::int64_t write_timeout_ms = 3000;
-  /// How much longer than its wait a watch may take.
+  /// Added to a watch's wait time for the timeout of its HTTP call.
   std::int64_t watch_margin_ms = 3000;
-  /// Longest answer to a list or a watch.
+  /// Largest response to a list or a watch.
   std::size_t list_limit_bytes = std::size_t{256} * 1024 * 1024;
 };
 
-/// @brief The object API over HTTP (docs/INTERFACES.md, section 2).
+/// @brief Client of the object API over HTTP (docs/INTERFACES.md, section 2).
 ///
-/// It never sends a call again by itself: whether that is safe is known only to
-/// the caller.
+/// It never retries a call; only the caller knows whether that is safe.
 class HttpObjectStore final : public ObjectStore {
  public:
-  /// @param[in] client outlives this and its calls
+  /// @param[in] client must outlive the store and its calls
   HttpObjectStore(HttpClient& client, HttpObjectStoreOptions options);
 
   void Get(std::string_view kind, std::string_view name,
--- a/src/store/memory_store.h
+++ b/src/store/memory_store.h
@@ -11,17 +11,18 @@
 
 namespace meadowthread {
 
-/// @brief What the next write meets.
+/// @brief Fault injected into a write.
 enum class WriteFault {
   kNone,
-  kAnswerLost,   ///< takes effect; the answer is kStoreUnknown
-  kRequestLost,  ///< never takes effect; the answer is kStoreUnknown
-  kDelayed,      ///< answered kStoreUnknown; takes effect on ReleaseDelayed
+  kAnswerLost,   ///< takes effect, but returns kStoreUnknown
+  kRequestLost,  ///< does not take effect and returns kStoreUnknown
+  kDelayed,      ///< returns kStoreUnknown; applied by ReleaseDelayed
 };
 
-/// @brief A small in-memory object store for tests, with faults on request.
+/// @brief An in-memory object store for tests, with fault injection.
 ///
-/// Answers are queued and given by Settle, so that a test decides when.
+/// Results are queued until Settle or Step delivers them, so that a test
+/// controls when callbacks run.
 class MemoryStore final : public ObjectStore {
  public:
   void Get(std::string_view kind, std::string_view name,
@@ -32,24 +33,25 @@
               std::int64_t expected_version, const PutDone& done) override;
   void List(std::string_view kind, std::int64_t since,
             const ListDone& done) override;
-  /// @brief As List: a test calls again instead of waiting.
+  /// @brief Same as List: it does not wait for a change.
   void Watch(std::string_view kind, std::int64_t since, std::int64_t wait_ms,
              const ListDone& done) override;
 
-  /// @brief Gives queued answers, and those they lead to, until none is left.
+  /// @brief Delivers queued results, and those that their callbacks add, until
+  /// none is left.
   void Settle();
 
-  /// @brief Gives the oldest queued answer only.
+  /// @brief Delivers only the oldest queued result.
   /// @return whether there was one
   bool Step();
 
-  /// @brief The faults that the coming writes meet, one each, in order.
+  /// @brief Injects one fault into each of the next writes, in order.
   void FailWrites(const std::vector<WriteFault>& faults);
 
-  /// @brief Applies the delayed writes whose condition still holds.
+  /// @brief Applies the delayed writes whose expected version still matches.
   void ReleaseDelayed();
 
-  /// @brief While down, every call is answered kStoreUnavailable.
+  /// @brief While down, every call returns kStoreUnavailable.
   void SetDown(bool is_down) { this->down = is_down; }
 
   std::int64_t Revision() const { return this->revision; }
@@ -60,7 +62,7 @@
   struct Key {
     std::string kind;
     std::string name;
-    // The linter takes the defaulted comparison for a null pointer's.
+    // False positive of clang-tidy on the defaulted comparison.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const Key&) const = default;
   };
--- a/src/store/object_answers.cc
+++ b/src/store/object_answers.cc
@@ -16,7 +16,8 @@
 
 using nlohmann::json;
 
-// The object API promises for these two that nothing was applied.
+// The object API guarantees for these two statuses that the write was not
+// applied.
 bool IsDefiniteRefusal(int http_status) {
   return http_status == http_code::kTooManyRequests ||
          http_status == http_code::kUnavailable;
@@ -42,8 +43,8 @@
   return std::string(kind) + "/" + std::string(name);
 }
 
-// A failed read has changed nothing, so that only whether asking again may
-// help has to be told apart.
+// A failed read has no effect, so the error only tells a malformed response
+// from an unavailable object API, which can be retried.
 absl::Status ReadFailure(const HttpFetched& fetched, std::string_view step,
                          std::string_view peer) {
   if (DetailOf(fetched.end.status).id == ErrorId::kPeerMalformed) {
@@ -56,10 +57,10 @@
   return fetched.end.status.ok() && fetched.end.http_status == http_status;
 }
 
-// The object of a list that one text of JSON tells. What names and dates it has
-// to be right: an item of another kind, or one newer than the list itself,
-// would corrupt every view built on it. A value of another type is handed on as
-// it stands, for whoever reads that kind to refuse.
+// Parses one item of a list. Its kind, name and version must be valid: an item
+// of another kind, or one newer than the list's revision, would corrupt the
+// views built from the list. A value that is not a string is returned as its
+// JSON text, so that the reader of that kind can reject it.
 std::optional<StoredObject> ItemFrom(std::string_view text,
                                      std::string_view kind,
                                      std::int64_t revision) {
@@ -89,7 +90,8 @@
                        &list.revision) &&
       list.revision >= 0 && items.has_value();
   if (!is_list) {
-    return absl::DataLossError("no list of objects as of a revision");
+    return absl::DataLossError(
+        "the response is not a list with a revision and items");
   }
   for (const std::string_view text : *items) {
     std::optional<StoredObject> object = ItemFrom(text, kind, list.revision);
@@ -104,9 +106,9 @@
 
 }  // namespace
 
-absl::StatusOr<StoredObject> ReadGetAnswer(const HttpFetched& fetched,
-                                           std::string_view kind,
-                                           std::string_view name) {
+absl::StatusOr<StoredObject> ParseGetResponse(const HttpFetched& fetched,
+                                              std::string_view kind,
+                                              std::string_view name) {
   const std::string peer = PeerOf(kind, name);
   if (IsWhole(fetched, http_code::kNotFound)) {
     return StoreError(ErrorId::kNotFound, "get", peer);
@@ -143,9 +145,9 @@
   return list;
 }
 
-absl::StatusOr<std::int64_t> ReadWriteAnswer(const HttpFetched& fetched,
-                                             std::string_view step,
-                                             std::string_view peer) {
+absl::StatusOr<std::int64_t> ParseWriteResponse(const HttpFetched& fetched,
+                                                std::string_view step,
+                                                std::string_view peer) {
   if (!fetched.end.request_may_have_left) {
     return StoreError(ErrorId::kStoreUnavailable, step, peer);
   }
--- a/src/store/object_answers.h
+++ b/src/store/object_answers.h
@@ -12,26 +12,26 @@
 
 namespace meadowthread {
 
-/// @brief Reads the answer to a get; the version stands in its ETag.
-absl::StatusOr<StoredObject> ReadGetAnswer(const HttpFetched& fetched,
-                                           std::string_view kind,
-                                           std::string_view name);
+/// @brief Parses the response to a get; the version is in its ETag.
+absl::StatusOr<StoredObject> ParseGetResponse(const HttpFetched& fetched,
+                                              std::string_view kind,
+                                              std::string_view name);
 
-/// @brief Reads the answer to a list or a watch.
+/// @brief Parses the response to a list or a watch.
 absl::StatusOr<ObjectList> ReadListAnswer(const HttpFetched& fetched,
                                           std::string_view step,
                                           std::string_view kind);
 
-/// @brief Reads the answer to a put or a delete: the new version, or whether
-/// the write was certainly not applied.
-absl::StatusOr<std::int64_t> ReadWriteAnswer(const HttpFetched& fetched,
-                                             std::string_view step,
-                                             std::string_view peer);
+/// @brief Parses the response to a put or a delete. Returns the new version, or
+/// an error that tells whether the write was certainly not applied.
+absl::StatusOr<std::int64_t> ParseWriteResponse(const HttpFetched& fetched,
+                                                std::string_view step,
+                                                std::string_view peer);
 
-/// @brief One object as it stands in lists and in messages between hosts.
+/// @brief The JSON form of an object in lists and in messages between hosts.
 nlohmann::json ObjectToJson(const StoredObject& object);
 
-/// @brief Reads what ObjectToJson writes.
+/// @brief Parses the output of ObjectToJson.
 absl::StatusOr<StoredObject> ObjectFromJson(const nlohmann::json& value);
 
 }  // namespace meadowthread
--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -11,12 +11,12 @@
 
 namespace meadowthread {
 
-/// @brief One version of an object of the platform's object API.
+/// @brief One version of an object in the platform's object store.
 struct StoredObject {
   std::string kind;
   std::string name;
-  /// The store's revision at which this version was written; versions only
-  /// grow, over all objects. 0 stands for "absent" in conditions.
+  /// The store's revision at which this version was written. Revisions increase
+  /// over all objects. As an expected version, 0 means "absent".
   std::int64_t version = 0;
   std::string value;
   bool deleted = false;  ///< a tombstone: `value` is empty
@@ -24,20 +24,22 @@
   friend bool operator==(const StoredObject&, const StoredObject&) = default;
 };
 
-/// @brief Objects of one kind as of a revision of the store.
+/// @brief The objects of one kind at a revision of the store.
 struct ObjectList {
-  std::int64_t revision = 0;  ///< everything up to it is known
+  std::int64_t revision = 0;  ///< all changes up to this revision are included
   std::vector<StoredObject> items;
-  /// Objects passed over: what names or dates them can't be read.
+  /// Number of items skipped because their kind, name or version is not valid.
   std::int64_t passed_over = 0;
 };
 
-/// @brief The platform's object API.
+/// @brief Interface to the platform's object store: versioned values with
+/// conditional writes, lists and watches.
 ///
-/// Answers come later, never from within the call, on the event loop's thread.
-/// Errors: kStoreConflict (certainly not applied; another version stands),
-/// kStoreUnavailable (certainly not applied), kStoreUnknown (it may have taken
-/// effect, or may yet), kNotFound.
+/// Callbacks run on the event loop's thread, never from within the call.
+/// Errors: kStoreConflict (not applied: the object has another version),
+/// kStoreUnavailable (not applied), kStoreUnknown (a write may have taken
+/// effect or may still do so), kStoreMalformed (a read's response is not
+/// valid), kNotFound.
 class ObjectStore {
  public:
   using GetDone = std::function<void(const absl::StatusOr<StoredObject>&)>;
@@ -46,28 +48,30 @@
 
   virtual ~ObjectStore() = default;
 
-  /// @brief Reads one object; kNotFound where it is absent or deleted.
+  /// @brief Reads one object; kNotFound if it is absent or deleted.
   virtual void Get(std::string_view kind, std::string_view name,
                    const GetDone& done) = 0;
 
-  /// @brief Conditional update.
-  /// @param[in] expected_version the version that must stand; 0: none may
-  /// @param[in] done told the new version
+  /// @brief Creates or updates an object if it has the expected version.
+  /// @param[in] expected_version the version that the object must have; 0: it
+  /// must not exist
+  /// @param[in] done called with the new version
   virtual void Put(std::string_view kind, std::string_view name,
                    std::string_view value, std::int64_t expected_version,
                    const PutDone& done) = 0;
 
-  /// @brief Conditional removal; told the tombstone's version.
+  /// @brief Deletes an object if it has the expected version; `done` gets the
+  /// tombstone's version.
   virtual void Delete(std::string_view kind, std::string_view name,
                       std::int64_t expected_version, const PutDone& done) = 0;
 
-  /// @brief All objects of a kind changed after `since` (0: all), tombstones
-  /// too where `since` is not 0.
+  /// @brief Lists the objects of a kind that changed after revision `since`,
+  /// with tombstones; if `since` is 0, all objects without tombstones.
   virtual void List(std::string_view kind, std::int64_t since,
                     const ListDone& done) = 0;
 
-  /// @brief As List, but waits up to `wait_ms` for a first change;
-  /// kStoreRevisionGone where `since` is too old: list anew.
+  /// @brief Like List, but waits up to `wait_ms` for a change. Fails with
+  /// kStoreRevisionGone if `since` is too old; the caller must then list again.
   virtual void Watch(std::string_view kind, std::int64_t since,
                      std::int64_t wait_ms, const ListDone& done) = 0;
 };
--- a/src/store/percent_encoding.h
+++ b/src/store/percent_encoding.h
@@ -6,7 +6,7 @@
 
 namespace meadowthread {
 
-/// @brief A kind or a name as a part of a URL's path or of its query.
+/// @brief Percent-encodes a kind or a name for a URL's path or query.
 /// @param[in] text UTF-8
 std::string PercentEncoded(std::string_view text);
 
--- a/src/store/store_errors.cc
+++ b/src/store/store_errors.cc
@@ -16,7 +16,7 @@
       return {absl::StatusCode::kNotFound, "no such object"};
     case ErrorId::kStoreConflict:
       return {absl::StatusCode::kFailedPrecondition,
-              "another version of the object stands"};
+              "the object has another version"};
     case ErrorId::kStoreUnavailable:
       return {absl::StatusCode::kUnavailable, "the object API is unavailable"};
     case ErrorId::kStoreMalformed:
--- a/src/store/store_errors.h
+++ b/src/store/store_errors.h
@@ -8,8 +8,9 @@
 
 namespace meadowthread {
 
-/// @brief An error of the object API with its step and the object as peer.
-/// @param[in] id a 4xx number, or kNotFound
+/// @brief Makes the error of an object API call, with the step that failed and
+/// the object as peer.
+/// @param[in] id one of the kStore* errors, or kNotFound
 absl::Status StoreError(ErrorId id, std::string_view step,
                         std::string_view peer);
 
--- a/src/store/tests/fake_http_client.h
+++ b/src/store/tests/fake_http_client.h
@@ -10,10 +10,12 @@
 
 namespace meadowthread {
 
-/// @brief Records requests; a test ends each as it likes.
+/// @brief An HttpClient that records requests; the test sets the result of
+/// each.
 class FakeHttpClient final : public HttpClient {
  public:
-  /// @brief Ends what is still open, as those who gather answers wait for it.
+  /// @brief Ends open calls, because the handlers that Fetch creates delete
+  /// themselves only in OnEnd.
   ~FakeHttpClient() override {
     for (HttpHandler* handler : this->handlers) {
       if (handler != nullptr) {
@@ -31,7 +33,7 @@
 
   const HttpRequest& Last() const { return this->requests.back(); }
 
-  /// @brief Gives the last request a whole answer.
+  /// @brief Completes the last request with a response.
   void Answer(int http_status, std::vector<HttpHeader> headers,
               std::string_view body) {
     HttpHandler* const handler = std::exchange(this->handlers.back(), nullptr);
@@ -40,7 +42,7 @@
     handler->OnEnd({absl::OkStatus(), http_status, true});
   }
 
-  /// @brief Ends the last request with an error.
+  /// @brief Fails the last request.
   void Fail(ErrorId id, int http_status, bool request_may_have_left) {
     ErrorDetail detail;
     detail.id = id;
--- a/src/store/tests/http_object_store_test.cc
+++ b/src/store/tests/http_object_store_test.cc
@@ -11,7 +11,7 @@
   absl::StatusOr<std::int64_t> written = absl::InternalError("no answer");
   absl::StatusOr<StoredObject> read = absl::InternalError("no answer");
   absl::StatusOr<ObjectList> listed = absl::InternalError("no answer");
-  // After the results, into which its destructor still writes.
+  // Declared after the results, because its destructor still writes to them.
   FakeHttpClient client;
   HttpObjectStore store{client, {.base_url = "http://192.0.2.7:80"}};
 
@@ -54,14 +54,14 @@
   cr_assert(FindHeader(f.client.Last().headers, "if-match") == "\"41\"");
 }
 
-Test(a_conditional_update, tells_the_new_version) {
+Test(a_conditional_update, returns_the_new_version) {
   Fixture f;
   f.Put(0);
   f.client.Answer(200, {{"etag", "\"42\""}}, "");
   cr_assert(f.written.ok() && *f.written == 42);
 }
 
-Test(a_conditional_update, that_certainly_did_not_happen_says_so) {
+Test(a_conditional_update, that_was_not_applied_says_so) {
   cr_assert(WriteAnsweredBy(412, {}) == ErrorId::kStoreConflict);
   cr_assert(WriteAnsweredBy(429, {}) == ErrorId::kStoreUnavailable);
   cr_assert(WriteAnsweredBy(503, {}) == ErrorId::kStoreUnavailable);
@@ -71,7 +71,7 @@
   cr_assert(f.Wrote() == ErrorId::kStoreUnavailable);
 }
 
-Test(a_conditional_update, that_may_have_happened_stays_undecided) {
+Test(a_conditional_update, that_may_have_been_applied_is_reported_as_unknown) {
   for (const int http_status : {200, 201, 302, 400, 404, 413, 500, 502, 504}) {
     cr_assert(WriteAnsweredBy(http_status, {}) == ErrorId::kStoreUnknown);
   }
@@ -88,7 +88,7 @@
   cr_assert(f.Wrote() == ErrorId::kStoreUnknown);
 }
 
-Test(a_removal, names_the_version_that_must_stand) {
+Test(a_removal, sends_the_expected_version) {
   Fixture f;
   f.store.Delete("claims", "a", 9, [&f](const auto& got) { f.written = got; });
   cr_assert(f.client.Last().method == "DELETE" && f.client.Last().send_once);
@@ -138,14 +138,14 @@
   cr_assert(f.listed->items.front() == expected);
 }
 
-Test(a_watch, whose_revision_is_gone_is_told_to_list_anew) {
+Test(a_watch, whose_revision_is_too_old_reports_revision_gone) {
   Fixture f;
   f.Watch();
   f.client.Answer(410, {}, "");
   cr_assert(f.Listed() == ErrorId::kStoreRevisionGone);
 }
 
-Test(a_watch, refuses_an_answer_that_does_not_hold_together) {
+Test(a_watch, rejects_a_malformed_list) {
   const std::vector<std::string> bodies = {
       "",
       "[]",
@@ -164,7 +164,7 @@
   }
 }
 
-Test(a_watch, passes_over_what_names_nothing_and_keeps_the_rest) {
+Test(a_watch, skips_invalid_items_and_keeps_the_rest) {
   const std::string deep =
       std::string(200'000, '[') + std::string(200'000, ']');
   const std::vector<std::string> foreign = {
@@ -195,7 +195,7 @@
   }
 }
 
-Test(a_watch, hands_on_a_value_of_another_type_for_its_reader_to_refuse) {
+Test(a_watch, returns_a_value_that_is_not_a_string_as_its_json_text) {
   Fixture f;
   f.Watch();
   f.client.Answer(200, {},
--- a/src/store/tests/passing_store.h
+++ b/src/store/tests/passing_store.h
@@ -8,10 +8,10 @@
 
 namespace meadowthread {
 
-/// @brief Passes every call on: what a test's own store does not change.
+/// @brief Forwards every call to another store; tests override single methods.
 class PassingStore : public ObjectStore {
  public:
-  /// @param[in] to outlives this store's calls
+  /// @param[in] to must outlive this store's calls
   explicit PassingStore(ObjectStore& to) : to(to) {}
 
   void Get(std::string_view kind, std::string_view name,
