--- a/src/net/client_connection.cc
+++ b/src/net/client_connection.cc
@@ -205,7 +205,7 @@
   end.http_status = this->http_status;
   end.request_may_have_left = true;
   end.ended_by_close = by_close;
-  this->Tell(end, reusable);
+  this->ReportEnd(end, reusable);
 }
 
 void ClientConnection::OnEnded(SocketEnd end) {
@@ -239,10 +239,10 @@
   end.http_status = this->http_status;
   end.request_may_have_left = left;
   end.status = MakeError(absl::StatusCode::kUnavailable, detail, what);
-  this->Tell(end, false);
+  this->ReportEnd(end, false);
 }
 
-void ClientConnection::Tell(const HttpEnd& end, bool reusable) {
+void ClientConnection::ReportEnd(const HttpEnd& end, bool reusable) {
   ExchangeEnd told;
   told.end = end;
   told.answered = this->answered;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -102,7 +102,7 @@
   bool ReportHead();
   bool IsForeignResponse(const MessageHead& head) const;
   void FinishResponse(bool by_close);
-  void Tell(const HttpEnd& end, bool reusable);
+  void ReportEnd(const HttpEnd& end, bool reusable);
   bool MayHaveSentBytes() const;
 
   ExchangeObserver& owner;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -89,7 +89,7 @@
   virtual void SetPaused(HttpCallId call, bool paused) = 0;
 };
 
-/// @brief A complete HTTP response.
+/// @brief A complete HTTP response as received.
 struct HttpResponse {
   int http_status = 0;
   std::vector<HttpHeader> headers;
--- a/src/net/kernel_queues.h
+++ b/src/net/kernel_queues.h
@@ -13,14 +13,15 @@
   std::int64_t silent_ms = -1;  ///< since the peer's last acknowledgement
 };
 
-/// @param[in] descriptor a TCP socket's
+/// @brief Queries the kernel for the state of a TCP connection.
+/// @param[in] descriptor descriptor of a TCP socket
 KernelQueues KernelQueuesOf(int descriptor);
 
 /// @brief Prepares a socket for close() so that the kernel still delivers
 /// unacknowledged bytes: shuts down sending and discards received bytes. Does
 /// nothing if all bytes are acknowledged; close() then sends a reset if there
 /// are unread bytes, which tells the peer that they were not processed.
-/// @param[in] descriptor a TCP socket's
+/// @param[in] descriptor descriptor of a TCP socket
 void FinishBeforeClose(int descriptor);
 
 }  // namespace meadowthread
--- a/src/net/listen_check.cc
+++ b/src/net/listen_check.cc
@@ -18,25 +18,25 @@
   PendingCheck(const ListenCheck::Done& done, QObject* owner)
       : QObject(owner), done(done) {
     QObject::connect(&this->socket, &QTcpSocket::connected, this,
-                     [this] { this->Tell(ListenState::kListens); });
+                     [this] { this->Finish(ListenState::kListens); });
     QObject::connect(
         &this->socket, &QTcpSocket::errorOccurred, this,
         [this](QAbstractSocket::SocketError error) {
-          this->Tell(error == QAbstractSocket::ConnectionRefusedError
-                         ? ListenState::kRefused
-                         : ListenState::kSilent);
+          this->Finish(error == QAbstractSocket::ConnectionRefusedError
+                           ? ListenState::kRefused
+                           : ListenState::kSilent);
         });
   }
 
   void Begin(const QUrl& to, std::int64_t limit_ms) {
     QTimer::singleShot(std::chrono::milliseconds(limit_ms), this,
-                       [this] { this->Tell(ListenState::kSilent); });
+                       [this] { this->Finish(ListenState::kSilent); });
     this->socket.connectToHost(QHostAddress(to.host()),
                                static_cast<quint16>(to.port()));
   }
 
-  void Tell(ListenState state) {
-    if (!std::exchange(this->told, true)) {
+  void Finish(ListenState state) {
+    if (!std::exchange(this->finished, true)) {
       this->socket.abort();
       this->deleteLater();
       this->done(state);
@@ -46,7 +46,7 @@
  private:
   ListenCheck::Done done;
   QTcpSocket socket;
-  bool told = false;
+  bool finished = false;
 };
 
 }  // namespace
@@ -75,7 +75,7 @@
     if (is_address) {
       check->Begin(to, limit_ms);
     } else {
-      check->Tell(ListenState::kSilent);
+      check->Finish(ListenState::kSilent);
     }
   });
 }
--- a/src/net/message_reader.cc
+++ b/src/net/message_reader.cc
@@ -118,11 +118,11 @@
     }
   }
 
-  ParsedMessage& Got() { return this->parsed; }
+  ParsedMessage& Parsed() { return this->parsed; }
 
   /// @brief Calls `use` with the active parser.
   template <class Use>
-  auto With(Use use) {
+  auto VisitParser(Use use) {
     if (auto* request = std::get_if<CollectingParser<true>>(&this->parser)) {
       return use(*request);
     }
@@ -170,8 +170,8 @@
 }
 
 bool IsPlainNumber(std::string_view text) {
-  constexpr std::size_t kMostDigits = 15;
-  return !text.empty() && text.size() <= kMostDigits &&
+  constexpr std::size_t kMaxDigits = 15;
+  return !text.empty() && text.size() <= kMaxDigits &&
          text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
@@ -193,7 +193,7 @@
   if (this->state != ReadState::kMore) {
     return this->state;
   }
-  detail::ParsedMessage& got = this->parser->Got();
+  detail::ParsedMessage& got = this->parser->Parsed();
   if (!got.head_done) {
     this->state = this->CheckHeadBytes();
     if (this->state != ReadState::kMore ||
@@ -203,7 +203,7 @@
   }
   const bool had_head = got.head_done;
   detail::error_code error;
-  const std::size_t taken = this->parser->With([&](auto& in_use) {
+  const std::size_t taken = this->parser->VisitParser([&](auto& in_use) {
     return in_use.put(
         boost::asio::buffer(this->pending.data(), this->pending.size()), error);
   });
@@ -221,7 +221,7 @@
     return this->Malformed("chunk extensions or trailers are too long");
   }
   const bool done =
-      this->parser->With([](auto& in_use) { return in_use.is_done(); });
+      this->parser->VisitParser([](auto& in_use) { return in_use.is_done(); });
   // In an incomplete message the unconsumed bytes are the start of a chunk's
   // size line or of the trailers. After a complete one they belong to the next
   // message.
@@ -256,7 +256,7 @@
 // With both Content-Length and Transfer-Encoding, or either of them twice, two
 // implementations could disagree on where the message ends.
 ReadState MessageReader::CheckFraming() {
-  detail::ParsedMessage& got = this->parser->Got();
+  detail::ParsedMessage& got = this->parser->Parsed();
   MessageHead& head = got.head;
   if (got.lengths > 1 || got.encodings > 1 ||
       (got.lengths > 0 && got.encodings > 0)) {
@@ -271,7 +271,7 @@
     return this->Malformed("an unknown transfer encoding");
   }
   head.chunked = chunked;
-  this->parser->With([&](auto& in_use) {
+  this->parser->VisitParser([&](auto& in_use) {
     head.keep_alive = in_use.keep_alive();
     head.until_close = in_use.need_eof();
     const auto length = in_use.content_length();
@@ -283,11 +283,11 @@
 }
 
 ReadState MessageReader::FeedEnd() {
-  if (this->state != ReadState::kMore || !this->parser->Got().head_done) {
+  if (this->state != ReadState::kMore || !this->parser->Parsed().head_done) {
     return this->state;
   }
   detail::error_code error;
-  this->parser->With([&](auto& in_use) { in_use.put_eof(error); });
+  this->parser->VisitParser([&](auto& in_use) { in_use.put_eof(error); });
   if (error) {
     return this->Malformed(error.message());
   }
@@ -302,12 +302,12 @@
 }
 
 const MessageHead* MessageReader::Head() const {
-  const detail::ParsedMessage& got = this->parser->Got();
+  const detail::ParsedMessage& got = this->parser->Parsed();
   return got.head_done ? &got.head : nullptr;
 }
 
 std::string MessageReader::TakeBody() {
-  return std::exchange(this->parser->Got().body, {});
+  return std::exchange(this->parser->Parsed().body, {});
 }
 
 void MessageReader::ExpectNoBody(bool never_comes) {
@@ -322,7 +322,7 @@
 ReadState MessageReader::Next() {
   this->parser = std::make_unique<detail::MessageParser>(this->kind);
   if (this->no_body) {
-    this->parser->With([](auto& in_use) { in_use.skip(true); });
+    this->parser->VisitParser([](auto& in_use) { in_use.skip(true); });
   }
   this->state = ReadState::kMore;
   this->problem.clear();
--- a/src/net/pooled_client.cc
+++ b/src/net/pooled_client.cc
@@ -27,7 +27,7 @@
 // many open.
 constexpr std::size_t kMaxIdlePerPeer = 16;
 
-bool IsNumber(const std::string& host) {
+bool IsIpv4Address(const std::string& host) {
   QHostAddress address;
   return address.setAddress(QString::fromStdString(host)) &&
          address.protocol() == QAbstractSocket::IPv4Protocol;
@@ -75,7 +75,7 @@
   std::unique_ptr<ClientConnection> TakeIdle(const Call& call);
   absl::StatusOr<std::unique_ptr<StreamSocket>> Connect(const UrlParts& url);
   void KeepIdle(std::unique_ptr<ClientConnection> connection);
-  void Retire(std::unique_ptr<ClientConnection> connection);
+  void DestroyLater(std::unique_ptr<ClientConnection> connection);
   void EndCall(HttpCallId id, const HttpEnd& end);
   void FailCallLater(HttpCallId id, const absl::Status& status);
   void CheckTimeouts();
@@ -88,7 +88,7 @@
   QTimer check_timer;
   std::unordered_map<HttpCallId, Call> calls;
   std::unordered_map<std::string, std::vector<IdleConnection>> idle;
-  std::vector<std::unique_ptr<ClientConnection>> retired;
+  std::vector<std::unique_ptr<ClientConnection>> to_destroy;
   HttpCallId last_id = 0;
   ClientStats stats;
 };
@@ -143,7 +143,7 @@
     return MakeError(absl::StatusCode::kInvalidArgument, detail,
                      "the URL is not valid");
   }
-  if (url.tls || !IsNumber(url.host)) {
+  if (url.tls || !IsIpv4Address(url.host)) {
     return std::make_unique<QtSocket>(NamedPeer{url.host, url.port, url.tls});
   }
   return PlainSocket::Connect(this->poller, url.host, url.port);
@@ -169,7 +169,7 @@
         last.connection->IsQuiet()) {
       return std::move(last.connection);
     }
-    this->Retire(std::move(last.connection));
+    this->DestroyLater(std::move(last.connection));
   }
   return nullptr;
 }
@@ -191,7 +191,7 @@
   if (found == this->calls.end()) {
     return;
   }
-  this->Retire(std::move(found->second.connection));
+  this->DestroyLater(std::move(found->second.connection));
   this->calls.erase(found);
 }
 
@@ -201,7 +201,7 @@
     return;
   }
   HttpHandler* const told = found->second.handler;
-  this->Retire(std::move(found->second.connection));
+  this->DestroyLater(std::move(found->second.connection));
   this->calls.erase(found);
   told->OnEnd(end);
 }
@@ -220,7 +220,7 @@
   if (resend) {
     ++this->stats.resent;
     call.resent = true;
-    this->Retire(std::move(call.connection));
+    this->DestroyLater(std::move(call.connection));
     this->Send(id, &call);
     return;
   }
@@ -235,7 +235,7 @@
   connection->MarkIdle();
   list.push_back({std::move(connection), this->clock.MonotonicMs()});
   if (list.size() > kMaxIdlePerPeer) {
-    this->Retire(std::move(list.front().connection));
+    this->DestroyLater(std::move(list.front().connection));
     list.erase(list.begin());
   }
 }
@@ -248,22 +248,22 @@
   std::vector<IdleConnection> dropped = std::move(found->second);
   this->idle.erase(found);
   for (IdleConnection& one : dropped) {
-    this->Retire(std::move(one.connection));
+    this->DestroyLater(std::move(one.connection));
   }
 }
 
 // Destroys the connection later in the turn of the event loop, as its methods
 // may be on the call stack.
-void ClientCore::Retire(std::unique_ptr<ClientConnection> connection) {
+void ClientCore::DestroyLater(std::unique_ptr<ClientConnection> connection) {
   if (connection == nullptr) {
     return;
   }
   connection->AbortSilently();
-  if (this->retired.empty()) {
+  if (this->to_destroy.empty()) {
     QTimer::singleShot(0, &this->check_timer,
-                       [this] { this->retired.clear(); });
+                       [this] { this->to_destroy.clear(); });
   }
-  this->retired.push_back(std::move(connection));
+  this->to_destroy.push_back(std::move(connection));
 }
 
 void ClientCore::OnIdleConnectionEnded(ClientConnection& from) {
@@ -277,7 +277,7 @@
                                     return one.connection.get() == &from;
                                   });
   if (place != list.end()) {
-    this->Retire(std::move(place->connection));
+    this->DestroyLater(std::move(place->connection));
     list.erase(place);
   }
 }
@@ -370,7 +370,7 @@
       const std::int64_t limit_ms =
           std::min(kMaxIdleMs, one.connection->KeepAliveLimitMs());
       if (now_ms - one.idle_since_ms > limit_ms) {
-        this->Retire(std::move(one.connection));
+        this->DestroyLater(std::move(one.connection));
       }
     }
     std::erase_if(list, [](const IdleConnection& one) {
--- a/src/net/qt_socket.cc
+++ b/src/net/qt_socket.cc
@@ -20,7 +20,7 @@
 
 QtSocket::QtSocket(const NamedPeer& peer)
     : socket(std::make_unique<QSslSocket>()) {
-  this->Listen();
+  this->ConnectSignals();
   const QString host = QString::fromStdString(peer.host);
   if (peer.tls) {
     this->socket->connectToHostEncrypted(host, peer.port);
@@ -31,7 +31,7 @@
 
 QtSocket::QtSocket(std::unique_ptr<QSslSocket> accepted)
     : socket(std::move(accepted)), established(true) {
-  this->Listen();
+  this->ConnectSignals();
   // Data received together with the last handshake record is already buffered
   // and is not signalled by readyRead.
   QMetaObject::invokeMethod(
@@ -44,7 +44,7 @@
   this->socket->abort();
 }
 
-void QtSocket::Listen() {
+void QtSocket::ConnectSignals() {
   QSslSocket* const from = this->socket.get();
   from->setSocketOption(QAbstractSocket::LowDelayOption, 1);
   const auto report_connected = [this] {
@@ -89,8 +89,8 @@
   this->paused = is_paused;
   // Qt buffers up to this much while paused; TCP flow control then stops the
   // peer.
-  constexpr qint64 kHeldBytes = 65'536;
-  this->socket->setReadBufferSize(is_paused ? kHeldBytes : 0);
+  constexpr qint64 kPausedBufferBytes = 65'536;
+  this->socket->setReadBufferSize(is_paused ? kPausedBufferBytes : 0);
   if (!is_paused) {
     QMetaObject::invokeMethod(
         this, [this] { this->Read(); }, Qt::QueuedConnection);
--- a/src/net/qt_socket.h
+++ b/src/net/qt_socket.h
@@ -48,7 +48,7 @@
   std::string Peer() const override;
 
  private:
-  void Listen();
+  void ConnectSignals();
   void Read();
   void End(SocketEnd end);
 
--- a/src/net/response_writer.h
+++ b/src/net/response_writer.h
@@ -18,7 +18,7 @@
 class ServerConnection;
 }  // namespace detail
 
-/// @brief A complete response: status, headers and body.
+/// @brief A complete response to send: status, headers and body.
 struct WholeResponse {
   int http_status = 200;
   std::string content_type = "application/json";
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -58,7 +58,7 @@
 }  // namespace
 
 /// @brief Why a request is rejected.
-struct ServerConnection::Refusal {
+struct ServerConnection::Rejection {
   ErrorId id = ErrorId::kMalformedRequest;
   std::string what;
   std::int64_t retry_after_ms = -1;
@@ -74,7 +74,7 @@
       idle_since_ms(context.NowMs()) {}
 
 ServerConnection::~ServerConnection() {
-  this->context.ReleaseBytes(this->held);
+  this->context.ReleaseBytes(this->reserved_bytes);
 }
 
 void ServerConnection::Begin() { this->socket->SetHandler(this); }
@@ -84,7 +84,7 @@
 /////////////////////////
 
 void ServerConnection::OnBytes(std::string_view bytes) {
-  if (this->phase == Phase::kEnding || this->phase == Phase::kOver) {
+  if (this->phase == Phase::kClosing || this->phase == Phase::kClosed) {
     return;
   }
   const auto self = this->shared_from_this();
@@ -93,24 +93,24 @@
   }
   const ReadState state = this->reader.Feed(bytes);
   if (this->phase == Phase::kReading) {
-    this->Take(state);
+    this->ProcessInput(state);
   } else if (this->reader.RestBytes() > kReadAheadBytes) {
     this->paused = true;
     this->socket->SetPaused(true);
   }
 }
 
-void ServerConnection::Take(ReadState state) {
+void ServerConnection::ProcessInput(ReadState state) {
   if (state == ReadState::kHeadTooLarge) {
-    this->Refuse({ErrorId::kHeaderTooLarge, this->reader.Problem()});
+    this->Reject({ErrorId::kHeaderTooLarge, this->reader.Problem()});
     return;
   }
   if (state == ReadState::kMalformed) {
-    this->Refuse({ErrorId::kMalformedRequest, this->reader.Problem()});
+    this->Reject({ErrorId::kMalformedRequest, this->reader.Problem()});
     return;
   }
   if (this->reader.Head() != nullptr && !this->head_taken) {
-    this->TakeHead();
+    this->CheckHead();
   }
   if (this->phase == Phase::kReading && this->head_taken) {
     this->CheckBodySize();
@@ -120,33 +120,33 @@
   }
 }
 
-void ServerConnection::TakeHead() {
+void ServerConnection::CheckHead() {
   this->head_taken = true;
   const MessageHead& head = *this->reader.Head();
-  this->is_old_version = head.version < kVersion11;
+  this->is_http_1_0 = head.version < kVersion11;
   this->is_head_request = head.method == "HEAD";
   this->close_after = !head.keep_alive;
   const std::size_t hosts = CountHostHeaders(head);
-  if (hosts > 1 || (hosts == 0 && !this->is_old_version)) {
-    this->Refuse({ErrorId::kMalformedRequest,
+  if (hosts > 1 || (hosts == 0 && !this->is_http_1_0)) {
+    this->Reject({ErrorId::kMalformedRequest,
                   "the request must have exactly one Host header"});
     return;
   }
   // The other forms of a request target are for proxies; to its clients this is
   // an origin server.
   if (!head.target.starts_with('/')) {
-    this->Refuse(
+    this->Reject(
         {ErrorId::kMalformedRequest, "the request target is not a path"});
     return;
   }
   const auto limit =
       static_cast<std::uint64_t>(this->context.Limits().max_body_bytes);
   if (head.content_length.value_or(0) > limit) {
-    this->Refuse({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
+    this->Reject({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
     return;
   }
   const bool has_body = head.chunked || head.content_length.value_or(0) > 0;
-  if (has_body && !this->is_old_version &&
+  if (has_body && !this->is_http_1_0 &&
       ContainsToken(FindHeader(head.headers, "Expect"), "100-continue")) {
     this->socket->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
@@ -160,16 +160,16 @@
   this->body.append(piece);
   const auto size = static_cast<std::int64_t>(this->body.size());
   if (size > this->context.Limits().max_body_bytes) {
-    this->Refuse({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
+    this->Reject({ErrorId::kBodyTooLarge, "the body is longer than its limit"});
     return;
   }
   const auto more = static_cast<std::int64_t>(piece.size());
   if (!this->context.ReserveBytes(more)) {
-    this->Refuse({ErrorId::kHostNotReady, "too many unfinished requests",
+    this->Reject({ErrorId::kHostNotReady, "too many unfinished requests",
                   kNoMemoryRetryMs});
     return;
   }
-  this->held += more;
+  this->reserved_bytes += more;
 }
 
 void ServerConnection::Serve() {
@@ -183,31 +183,31 @@
   request.body = std::exchange(this->body, {});
   request.peer = this->peer;
   request.begun_ms = this->begun_ms;
-  this->answer_name.clear();
-  this->phase = Phase::kAnswering;
+  this->request_id.clear();
+  this->phase = Phase::kResponding;
   this->context.Service().Serve(
       request, std::make_unique<ResponseWriter>(this->weak_from_this()));
 }
 
 // Rejects the request without passing it to the service, so the outcome is
 // kNotRun.
-void ServerConnection::Refuse(const Refusal& refusal) {
+void ServerConnection::Reject(const Rejection& rejection) {
   LogLine line("request-refused");
   line.Add("peer", this->peer)
-      .Add("code", static_cast<int>(refusal.id))
-      .Add("why", refusal.what)
+      .Add("code", static_cast<int>(rejection.id))
+      .Add("why", rejection.what)
       .WriteImportant();
-  this->phase = Phase::kAnswering;
+  this->phase = Phase::kResponding;
   this->close_after = true;
   ErrorDetail detail;
-  detail.id = refusal.id;
+  detail.id = rejection.id;
   detail.outcome = Outcome::kNotRun;
   detail.step = "read-request";
   detail.peer = this->peer;
-  detail.retry_after_ms = refusal.retry_after_ms;
+  detail.retry_after_ms = rejection.retry_after_ms;
   Problem problem;
   problem.status =
-      MakeError(absl::StatusCode::kInvalidArgument, detail, refusal.what);
+      MakeError(absl::StatusCode::kInvalidArgument, detail, rejection.what);
   ResponseWriter(this->weak_from_this()).SendWhole(ProblemResponse(problem));
 }
 
@@ -226,7 +226,7 @@
   this->length_known = head.content_length.has_value();
   // HTTP/1.0 has no chunked encoding: the end of the connection marks the end
   // of the body.
-  this->ends_by_close = has_body && !this->length_known && this->is_old_version;
+  this->ends_by_close = has_body && !this->length_known && this->is_http_1_0;
   const bool chunked = has_body && !this->length_known && !this->ends_by_close;
   this->close_after =
       this->close_after || this->ends_by_close || this->context.IsClosing();
@@ -240,7 +240,7 @@
   }
   if (this->close_after) {
     text.append("Connection: close\r\n");
-  } else if (this->is_old_version) {
+  } else if (this->is_http_1_0) {
     text.append("Connection: keep-alive\r\n");
   }
   text.append("\r\n");
@@ -249,26 +249,26 @@
 }
 
 void ServerConnection::Send(std::string_view bytes) {
-  if (this->phase == Phase::kAnswering) {
+  if (this->phase == Phase::kResponding) {
     this->socket->Write(bytes);
   }
 }
 
 void ServerConnection::EndResponse() {
-  if (this->phase != Phase::kAnswering) {
+  if (this->phase != Phase::kResponding) {
     return;
   }
   this->on_closed = nullptr;
   this->on_drained = nullptr;
-  this->context.ReleaseBytes(std::exchange(this->held, 0));
+  this->context.ReleaseBytes(std::exchange(this->reserved_bytes, 0));
   if (this->close_after || this->context.IsClosing()) {
-    this->CloseAfterAnswer();
+    this->CloseAfterResponse();
     return;
   }
-  this->ReadNext();
+  this->ReadNextRequest();
 }
 
-void ServerConnection::ReadNext() {
+void ServerConnection::ReadNextRequest() {
   this->phase = Phase::kReading;
   this->head_taken = false;
   this->body.clear();
@@ -281,14 +281,14 @@
   }
   const ReadState state = this->reader.Next();
   if (more) {
-    this->Take(state);
+    this->ProcessInput(state);
   }
 }
 
-void ServerConnection::CloseAfterAnswer() {
-  this->phase = Phase::kEnding;
+void ServerConnection::CloseAfterResponse() {
+  this->phase = Phase::kClosing;
   this->progress_ms = this->context.NowMs();
-  this->has_all = false;
+  this->all_delivered = false;
   this->socket->SetPaused(false);
   this->socket->CloseWhenDrained();
 }
@@ -301,7 +301,7 @@
 // the client that it is incomplete, and the client can still read what was
 // sent; a reset would discard that.
 void ServerConnection::EndIncomplete() {
-  if (this->phase != Phase::kAnswering) {
+  if (this->phase != Phase::kResponding) {
     return;
   }
   this->on_closed = nullptr;
@@ -310,11 +310,11 @@
     this->Abort("answer_broken_off");
     return;
   }
-  this->CloseAfterAnswer();
+  this->CloseAfterResponse();
 }
 
 void ServerConnection::Abort(std::string_view why) {
-  if (this->phase != Phase::kOver) {
+  if (this->phase != Phase::kClosed) {
     this->LogInterruptedResponse(why);
     this->socket->Abort();
     this->End();
@@ -325,7 +325,7 @@
 // undelivered bytes of a response.
 void ServerConnection::LogInterruptedResponse(std::string_view why) const {
   const SocketBacklog left = this->socket->Backlog();
-  if (this->phase != Phase::kAnswering && UndeliveredBytes(left) == 0) {
+  if (this->phase != Phase::kResponding && UndeliveredBytes(left) == 0) {
     if (left.unread > 0) {
       LogLine("request-unread")
           .Add("peer", this->peer)
@@ -337,10 +337,10 @@
   }
   this->context.CountInterruptedResponse();
   LogLine("answer-cut")
-      .Add("request", this->answer_name)
+      .Add("request", this->request_id)
       .Add("peer", this->peer)
       .Add("why", why)
-      .Add("written", this->phase == Phase::kAnswering ? "in_part" : "whole")
+      .Add("written", this->phase == Phase::kResponding ? "in_part" : "whole")
       .Add("unsent", left.unsent)
       .Add("unacknowledged", left.unacknowledged)
       .Add("unread", left.unread)
@@ -352,17 +352,17 @@
 // being handled, the shutdown is taken as a disconnect, because nothing else
 // signals that a client has left.
 bool ServerConnection::OnFinished() {
-  return this->phase != Phase::kAnswering && this->PendingBytes() > 0;
+  return this->phase != Phase::kResponding && this->PendingBytes() > 0;
 }
 
 void ServerConnection::OnEnded(SocketEnd /*end*/) { this->End(); }
 
 void ServerConnection::End() {
-  if (this->phase == Phase::kOver) {
+  if (this->phase == Phase::kClosed) {
     return;
   }
   const auto self = this->shared_from_this();
-  this->phase = Phase::kOver;
+  this->phase = Phase::kClosed;
   this->on_drained = nullptr;
   const std::function<void()> told = std::exchange(this->on_closed, nullptr);
   this->context.RemoveConnection(this);
@@ -381,17 +381,17 @@
 }
 
 std::int64_t ServerConnection::PendingBytes() const {
-  return this->phase == Phase::kOver ? 0 : this->socket->PendingBytes();
+  return this->phase == Phase::kClosed ? 0 : this->socket->PendingBytes();
 }
 
 void ServerConnection::SetOnClosed(std::function<void()> told) {
-  if (this->phase == Phase::kAnswering) {
+  if (this->phase == Phase::kResponding) {
     this->on_closed = std::move(told);
   }
 }
 
 void ServerConnection::SetOnDrained(std::function<void()> told) {
-  if (this->phase == Phase::kAnswering) {
+  if (this->phase == Phase::kResponding) {
     this->on_drained = std::move(told);
   }
 }
@@ -400,7 +400,7 @@
 void ServerConnection::CloseIfIdle() {
   if (this->phase == Phase::kReading && this->begun_ms < 0 &&
       this->socket->Backlog().unread <= 0) {
-    this->CloseAfterAnswer();
+    this->CloseAfterResponse();
   }
 }
 
@@ -410,12 +410,14 @@
 // server don't count.
 std::int64_t ServerConnection::StalledMs(std::int64_t now_ms,
                                          const SocketBacklog& left) {
-  const bool has_all = UndeliveredBytes(left) == 0;
-  const std::int64_t taken = this->socket->SentBytes() -
-                             std::max<std::int64_t>(0, left.unacknowledged);
-  if (has_all != this->has_all || taken != this->taken) {
-    this->has_all = has_all;
-    this->taken = taken;
+  const bool all_delivered = UndeliveredBytes(left) == 0;
+  const std::int64_t acknowledged =
+      this->socket->SentBytes() -
+      std::max<std::int64_t>(0, left.unacknowledged);
+  if (all_delivered != this->all_delivered ||
+      acknowledged != this->acknowledged) {
+    this->all_delivered = all_delivered;
+    this->acknowledged = acknowledged;
     this->progress_ms = now_ms;
   }
   return now_ms - this->progress_ms;
@@ -432,15 +434,15 @@
 // An idle connection whose responses are all delivered needs no query of the
 // kernel.
 void ServerConnection::CheckDelivery(std::int64_t now_ms) {
-  if (this->phase == Phase::kReading && this->has_all &&
-      this->socket->SentBytes() == this->taken) {
+  if (this->phase == Phase::kReading && this->all_delivered &&
+      this->socket->SentBytes() == this->acknowledged) {
     return;
   }
   const SocketBacklog left = this->socket->Backlog();
   const std::int64_t stalled_ms = this->StalledMs(now_ms, left);
   if (IsClientGone(stalled_ms, left)) {
     this->Abort("caller_takes_nothing");
-  } else if (this->phase == Phase::kEnding && UndeliveredBytes(left) == 0 &&
+  } else if (this->phase == Phase::kClosing && UndeliveredBytes(left) == 0 &&
              stalled_ms > kLingerMs) {
     this->socket->CloseNow();
     this->End();
@@ -454,10 +456,10 @@
       return this->begun_ms >= 0 || left.unread > 0 ||
              UndeliveredBytes(left) > 0;
     }
-    case Phase::kAnswering:
-    case Phase::kEnding:
+    case Phase::kResponding:
+    case Phase::kClosing:
       return true;
-    case Phase::kOver:
+    case Phase::kClosed:
       return false;
   }
   return false;
@@ -466,12 +468,12 @@
 void ServerConnection::CloseForShutdown() {
   const bool looks_whole =
       this->ends_by_close &&
-      (this->phase == Phase::kAnswering || this->socket->PendingBytes() > 0);
+      (this->phase == Phase::kResponding || this->socket->PendingBytes() > 0);
   if (looks_whole) {
     this->Abort("process_ends");
     return;
   }
-  if (this->phase != Phase::kOver) {
+  if (this->phase != Phase::kClosed) {
     this->LogInterruptedResponse("process_ends");
     this->socket->CloseNow();
     this->End();
@@ -481,7 +483,7 @@
 void ServerConnection::CheckTimeouts(std::int64_t now_ms) {
   const auto self = this->shared_from_this();
   const ServerLimits& limits = this->context.Limits();
-  if (this->phase != Phase::kOver) {
+  if (this->phase != Phase::kClosed) {
     this->CheckDelivery(now_ms);
   }
   if (this->phase != Phase::kReading) {
@@ -496,7 +498,7 @@
   const std::int64_t limit =
       this->head_taken ? limits.body_timeout_ms : limits.header_timeout_ms;
   if (now_ms - this->begun_ms > limit) {
-    this->Refuse({ErrorId::kBodyLate,
+    this->Reject({ErrorId::kBodyLate,
                   "the request was not received completely in time"});
   }
 }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -72,11 +72,11 @@
   /// @brief Whether the response has a Content-Length.
   bool KnowsLength() const { return this->length_known; }
   std::int64_t PendingBytes() const;
-  bool IsClosed() const { return this->phase == Phase::kOver; }
+  bool IsClosed() const { return this->phase == Phase::kClosed; }
   void SetOnClosed(std::function<void()> told);
   void SetOnDrained(std::function<void()> told);
   /// @brief Sets the request id for log lines about this response.
-  void NameAnswer(std::string_view request) { this->answer_name = request; }
+  void NameAnswer(std::string_view request) { this->request_id = request; }
 
   ///////////////////////
   // Called by the server
@@ -108,20 +108,20 @@
 
  private:
   enum class Phase {
-    kReading,    ///< waits for a request or for the rest of one
-    kAnswering,  ///< the service is handling a request
-    kEnding,     ///< the last response is being delivered
-    kOver,
+    kReading,     ///< waits for a request or for the rest of one
+    kResponding,  ///< the service is handling a request
+    kClosing,     ///< the last response is being delivered
+    kClosed,
   };
-  struct Refusal;
+  struct Rejection;
 
-  void Take(ReadState state);
-  void TakeHead();
+  void ProcessInput(ReadState state);
+  void CheckHead();
   void CheckBodySize();
   void Serve();
-  void ReadNext();
-  void Refuse(const Refusal& refusal);
-  void CloseAfterAnswer();
+  void ReadNextRequest();
+  void Reject(const Rejection& rejection);
+  void CloseAfterResponse();
   void LogInterruptedResponse(std::string_view why) const;
   std::int64_t StalledMs(std::int64_t now_ms, const SocketBacklog& left);
   static bool IsClientGone(std::int64_t stalled_ms, const SocketBacklog& left);
@@ -133,12 +133,12 @@
   MessageReader reader;
   Phase phase = Phase::kReading;
   std::string body;
-  std::int64_t held = 0;
+  std::int64_t reserved_bytes = 0;
   std::string peer;
-  std::string answer_name;
+  std::string request_id;
   bool head_taken = false;
   bool is_head_request = false;
-  bool is_old_version = false;
+  bool is_http_1_0 = false;
   bool close_after = false;
   bool length_known = false;
   bool ends_by_close = false;
@@ -147,9 +147,9 @@
       -1;  ///< when the first byte of the current request came; -1: none
   std::int64_t idle_since_ms = 0;  ///< since when the connection is idle
   std::int64_t progress_ms = 0;    ///< when the client last acknowledged bytes
-  std::int64_t taken =
-      0;                ///< bytes acknowledged by the client at the last check
-  bool has_all = true;  ///< whether all was delivered at the last check
+  std::int64_t acknowledged =
+      0;  ///< bytes acknowledged by the client at the last check
+  bool all_delivered = true;  ///< whether all was delivered at the last check
   std::function<void()> on_closed;
   std::function<void()> on_drained;
 };
--- a/src/net/socket_poller.cc
+++ b/src/net/socket_poller.cc
@@ -28,7 +28,7 @@
       notifier(std::make_unique<QSocketNotifier>(this->epoll,
                                                  QSocketNotifier::Read)) {
   QObject::connect(this->notifier.get(), &QSocketNotifier::activated, this,
-                   [this] { this->TakeEvents(); });
+                   [this] { this->DispatchEvents(); });
 }
 
 SocketPoller::~SocketPoller() {
@@ -62,7 +62,7 @@
 // one with an event in this batch. If a descriptor number is reused within the
 // batch, the new socket gets a spurious event, which is harmless as its read
 // finds no data.
-void SocketPoller::TakeEvents() {
+void SocketPoller::DispatchEvents() {
   std::array<epoll_event, kMaxEvents> events = {};
   const int count = epoll_wait(this->epoll, events.data(), kMaxEvents, 0);
   this->dispatching = true;
--- a/src/net/socket_poller.h
+++ b/src/net/socket_poller.h
@@ -43,7 +43,7 @@
   void FlushLater(int descriptor);
 
  private:
-  void TakeEvents();
+  void DispatchEvents();
   void FlushAll();
   PolledSocket* Find(int descriptor) const;
 
--- a/src/net/tests/delivery_test.cc
+++ b/src/net/tests/delivery_test.cc
@@ -1,7 +1,8 @@
 // Tests that a response counts as delivered only when the client's kernel has
 // it. Guards against a reset one second after the last bytes of a connection's
-// last response were passed to the kernel: a client that read 20 kB/s lost the
-// bytes that were still undelivered, 38,439 in one logged case.
+// last response were passed to the kernel: a client that read 20 kB/s lost what
+// was still undelivered (in one logged case unacknowledged=38439), also while
+// the server kept running.
 #include <criterion/criterion.h>
 
 #include <memory>
--- a/src/net/tests/pooled_client_test.cc
+++ b/src/net/tests/pooled_client_test.cc
@@ -85,8 +85,7 @@
 }
 
 // Guards against a crash: an idle connection that was too old for one call left
-// a null entry in the pool, which the check of idle connections dereferenced
-// half a minute later.
+// a null entry in the pool, which caused the crash half a minute later.
 Test(a_connection_to_a_peer,
      that_was_idle_too_long_for_one_call_stays_for_others) {
   Loop loop;
--- a/src/net/tests/tls_delivery_test.cc
+++ b/src/net/tests/tls_delivery_test.cc
@@ -33,9 +33,9 @@
 };
 
 /// @brief A TLS client that reads a few bytes every 10 ms.
-class SlowTlsCaller {
+class SlowTlsClient {
  public:
-  explicit SlowTlsCaller(std::uint16_t port) {
+  explicit SlowTlsClient(std::uint16_t port) {
     this->socket.setPeerVerifyMode(QSslSocket::VerifyNone);
     this->socket.bind(QHostAddress::LocalHost);
     this->socket.setSocketOption(QAbstractSocket::ReceiveBufferSizeSocketOption,
@@ -92,7 +92,7 @@
 
 Test(a_slow_caller_over_tls, gets_the_whole_last_answer_of_its_connection) {
   Fixture f;
-  SlowTlsCaller caller(f.port);
+  SlowTlsClient caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
   caller.Read(2'000);
@@ -102,7 +102,7 @@
 
 Test(a_slow_caller_over_tls, that_has_sent_more_gets_it_too) {
   Fixture f;
-  SlowTlsCaller caller(f.port);
+  SlowTlsClient caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
   caller.Read(2'000);
@@ -115,7 +115,7 @@
 Test(a_server_over_tls,
      counts_a_response_as_undelivered_until_its_caller_has_it) {
   Fixture f;
-  SlowTlsCaller caller(f.port);
+  SlowTlsClient caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
   cr_assert(f.server->Owed() == 1);
@@ -131,7 +131,7 @@
 Test(a_destroyed_server_over_tls, leaves_its_answers_to_the_kernel) {
   for (const bool sends_more : {false, true}) {
     Fixture f;
-    SlowTlsCaller caller(f.port);
+    SlowTlsClient caller(f.port);
     caller.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
     cr_assert(f.loop.Until([&] { return f.server->Owed() == 1; }));
--- a/src/store/memory_store.cc
+++ b/src/store/memory_store.cc
@@ -9,16 +9,16 @@
 void MemoryStore::Get(std::string_view kind, std::string_view name,
                       const GetDone& done) {
   ++this->read_calls;
-  absl::StatusOr<StoredObject> answer = StoreError(
+  absl::StatusOr<StoredObject> result = StoreError(
       ErrorId::kNotFound, "get", std::string(kind) + "/" + std::string(name));
   const auto found =
       this->objects.find(Key{std::string(kind), std::string(name)});
   if (this->down) {
-    answer = StoreError(ErrorId::kStoreUnavailable, "get", kind);
+    result = StoreError(ErrorId::kStoreUnavailable, "get", kind);
   } else if (found != this->objects.end() && !found->second.deleted) {
-    answer = found->second;
+    result = found->second;
   }
-  this->answers.push_back([done, answer] { done(answer); });
+  this->pending_results.push_back([done, result] { done(result); });
 }
 
 void MemoryStore::Put(std::string_view kind, std::string_view name,
@@ -44,7 +44,7 @@
   if (this->down) {
     const absl::Status error =
         StoreError(ErrorId::kStoreUnavailable, "list", kind);
-    this->answers.push_back([done, error] { done(error); });
+    this->pending_results.push_back([done, error] { done(error); });
     return;
   }
   ObjectList list;
@@ -56,7 +56,7 @@
       list.items.push_back(object);
     }
   }
-  this->answers.push_back([done, list] { done(list); });
+  this->pending_results.push_back([done, list] { done(list); });
 }
 
 void MemoryStore::Watch(std::string_view kind, std::int64_t since,
@@ -70,12 +70,12 @@
 }
 
 bool MemoryStore::Step() {
-  if (this->answers.empty()) {
+  if (this->pending_results.empty()) {
     return false;
   }
-  const std::function<void()> answer = std::move(this->answers.front());
-  this->answers.pop_front();
-  answer();
+  const std::function<void()> result = std::move(this->pending_results.front());
+  this->pending_results.pop_front();
+  result();
   return true;
 }
 
@@ -92,26 +92,26 @@
 
 void MemoryStore::Submit(const Write& write, const PutDone& done) {
   ++this->write_calls;
-  absl::StatusOr<std::int64_t> answer =
+  absl::StatusOr<std::int64_t> result =
       StoreError(ErrorId::kStoreUnavailable, "put", write.key.kind);
   if (!this->down) {
     const WriteFault fault = this->NextFault();
     if (fault == WriteFault::kDelayed) {
       this->delayed.push_back(write);
     } else if (fault != WriteFault::kRequestLost) {
-      answer = this->Apply(write);
+      result = this->Apply(write);
     }
     if (fault != WriteFault::kNone) {
-      answer = StoreError(ErrorId::kStoreUnknown, "put", write.key.kind);
+      result = StoreError(ErrorId::kStoreUnknown, "put", write.key.kind);
     }
   }
-  this->answers.push_back([done, answer] { done(answer); });
+  this->pending_results.push_back([done, result] { done(result); });
 }
 
 absl::StatusOr<std::int64_t> MemoryStore::Apply(const Write& write) {
   StoredObject& object = this->objects[write.key];
-  const std::int64_t standing = object.deleted ? 0 : object.version;
-  if (standing != write.expected_version) {
+  const std::int64_t current_version = object.deleted ? 0 : object.version;
+  if (current_version != write.expected_version) {
     return StoreError(ErrorId::kStoreConflict, "put",
                       write.key.kind + "/" + write.key.name);
   }
--- a/src/store/memory_store.h
+++ b/src/store/memory_store.h
@@ -78,7 +78,7 @@
   WriteFault NextFault();
 
   std::map<Key, StoredObject> objects;
-  std::deque<std::function<void()>> answers;
+  std::deque<std::function<void()>> pending_results;
   std::deque<WriteFault> faults;
   std::vector<Write> delayed;
   std::int64_t revision = 0;
--- a/src/store/object_answers.cc
+++ b/src/store/object_answers.cc
@@ -67,10 +67,10 @@
   const absl::StatusOr<json> item = ParseObject(text, "list", kind);
   const absl::StatusOr<std::string> name =
       item.ok() ? StringField(*item, "name") : item.status();
-  const bool has_place =
+  const bool is_valid =
       name.ok() && !name->empty() && StringOr(*item, "kind", "") == kind &&
       IntOr(*item, "version", 0) > 0 && IntOr(*item, "version", 0) <= revision;
-  if (!has_place) {
+  if (!is_valid) {
     return std::nullopt;
   }
   absl::StatusOr<StoredObject> object = ObjectFromJson(*item);
--- a/src/store/store_errors.cc
+++ b/src/store/store_errors.cc
@@ -5,12 +5,12 @@
 namespace meadowthread {
 namespace {
 
-struct Named {
+struct CodeAndMessage {
   absl::StatusCode code;
   std::string_view message;
 };
 
-Named NameOf(ErrorId id) {
+CodeAndMessage CodeAndMessageFor(ErrorId id) {
   switch (id) {
     case ErrorId::kNotFound:
       return {absl::StatusCode::kNotFound, "no such object"};
@@ -39,8 +39,8 @@
   detail.id = id;
   detail.step = "object-api." + std::string(step);
   detail.peer = std::string(peer);
-  const Named named = NameOf(id);
-  return MakeError(named.code, detail, named.message);
+  const CodeAndMessage entry = CodeAndMessageFor(id);
+  return MakeError(entry.code, detail, entry.message);
 }
 
 }  // namespace meadowthread
--- a/src/store/store_errors.h
+++ b/src/store/store_errors.h
@@ -10,7 +10,7 @@
 
 /// @brief Makes the error of an object API call, with the step that failed and
 /// the object as peer.
-/// @param[in] id one of the kStore* errors, or kNotFound
+/// @param[in] id a kStore* id (4xx), or kNotFound
 absl::Status StoreError(ErrorId id, std::string_view step,
                         std::string_view peer);
 
