--- a/src/net/listen_check.cc
+++ b/src/net/listen_check.cc
@@ -12,31 +12,31 @@
 namespace meadowthread {
 namespace {
 
-/// @brief One connection that is tried; deletes itself when it is over.
-class OneCheck final : public QObject {
+/// @brief One test connection; deletes itself when it has a result.
+class PendingCheck final : public QObject {
  public:
-  OneCheck(const ListenCheck::Done& done, QObject* owner)
+  PendingCheck(const ListenCheck::Done& done, QObject* owner)
       : QObject(owner), done(done) {
     QObject::connect(&this->socket, &QTcpSocket::connected, this,
-                     [this] { this->Tell(ListenState::kListens); });
+                     [this] { this->Finish(ListenState::kListens); });
     QObject::connect(
         &this->socket, &QTcpSocket::errorOccurred, this,
         [this](QAbstractSocket::SocketError error) {
-          this->Tell(error == QAbstractSocket::ConnectionRefusedError
-                         ? ListenState::kRefused
-                         : ListenState::kSilent);
+          this->Finish(error == QAbstractSocket::ConnectionRefusedError
+                           ? ListenState::kRefused
+                           : ListenState::kSilent);
         });
   }
 
   void Begin(const QUrl& to, std::int64_t limit_ms) {
     QTimer::singleShot(std::chrono::milliseconds(limit_ms), this,
-                       [this] { this->Tell(ListenState::kSilent); });
+                       [this] { this->Finish(ListenState::kSilent); });
     this->socket.connectToHost(QHostAddress(to.host()),
                                static_cast<quint16>(to.port()));
   }
 
-  void Tell(ListenState state) {
-    if (!std::exchange(this->told, true)) {
+  void Finish(ListenState state) {
+    if (!std::exchange(this->finished, true)) {
       this->socket.abort();
       this->deleteLater();
       this->done(state);
@@ -46,7 +46,7 @@
  private:
   ListenCheck::Done done;
   QTcpSocket socket;
-  bool told = false;
+  bool finished = false;
 };
 
 }  // namespace
@@ -63,10 +63,11 @@
   return "silent";
 }
 
-// Begun a turn later, so that an end that is known at once is told later too.
+// Starts in the next turn of the event loop, so that `done` is never called
+// from within Ask.
 void QtListenCheck::Ask(std::string_view address, std::int64_t limit_ms,
                         const Done& done) {
-  auto* const check = new OneCheck(done, &this->owner);  // ends by itself
+  auto* const check = new PendingCheck(done, &this->owner);  // deletes itself
   const bool is_address = IsIpAndPort(address);
   const QUrl to("tcp://" +
                 QString::fromUtf8(address.data(), std::ssize(address)));
@@ -74,7 +75,7 @@
     if (is_address) {
       check->Begin(to, limit_ms);
     } else {
-      check->Tell(ListenState::kSilent);
+      check->Finish(ListenState::kSilent);
     }
   });
 }
