--- a/fuzz/answers_fuzzer.cc
+++ b/fuzz/answers_fuzzer.cc
@@ -1,5 +1,5 @@
-// What servers answer: the same answer is read however its bytes arrive, and an
-// answer that ends early never looks whole.
+// Fuzzes the parser of HTTP responses: the result must not depend on how the
+// bytes are split, and a truncated response must never count as complete.
 #include <string>
 
 #include "fuzz/fuzz_input.h"
@@ -10,16 +10,16 @@
 
 constexpr std::size_t kHeadLimit = 512;
 
-struct Reading {
+struct ParseResult {
   ReadState state = ReadState::kMore;
   int http_status = 0;
   std::string body;
 };
 
-Reading Read(std::string_view text, std::size_t step) {
+ParseResult Read(std::string_view text, std::size_t step) {
   MessageReader reader(MessageKind::kAnswer, kHeadLimit);
   reader.ExpectNoBody(false);
-  Reading reading;
+  ParseResult reading;
   for (std::size_t at = 0; at < text.size(); at += step) {
     reading.state = reader.Feed(text.substr(at, step));
     reading.body += reader.TakeBody();
@@ -33,7 +33,7 @@
     reading.state = reader.FeedEnd();
     reading.body += reader.TakeBody();
     fuzz::Require(reading.state != ReadState::kWhole || until_close,
-                  "an answer that ended early looks whole");
+                  "a truncated response counts as complete");
   }
   if (reader.Head() != nullptr) {
     reading.http_status = reader.Head()->http_status;
@@ -55,10 +55,10 @@
   meadowthread::fuzz::Require(
       (whole.state == meadowthread::ReadState::kWhole) ==
           (pieces.state == meadowthread::ReadState::kWhole),
-      "pieces are whole where the whole is not");
+      "whether the response is complete depends on the split");
   meadowthread::fuzz::Require(
       !both || (whole.http_status == pieces.http_status &&
                 whole.body == pieces.body),
-      "pieces are read otherwise than the whole");
+      "the parsed response depends on the split");
   return 0;
 }
--- a/fuzz/events_fuzzer.cc
+++ b/fuzz/events_fuzzer.cc
@@ -1,4 +1,5 @@
-// Streams of events: cut without changing a byte, however the bytes arrive.
+// Fuzzes the splitter and the parser of server-sent events: splitting must
+// preserve every byte and not depend on how the bytes arrive.
 #include <string>
 #include <vector>
 
@@ -11,31 +12,31 @@
 
 constexpr std::size_t kEventLimit = 64;
 
-struct Cut {
+struct SplitResult {
   bool fits = true;
   std::vector<RawSseEvent> events;
   std::string rest;
 };
 
-Cut CutAll(std::string_view text, std::size_t step) {
-  Cut cut;
-  SseEventSplitter cutter(kEventLimit);
-  for (std::size_t at = 0; cut.fits && at < text.size(); at += step) {
-    cut.fits = cutter.Feed(text.substr(at, step), &cut.events);
+SplitResult SplitEvents(std::string_view text, std::size_t step) {
+  SplitResult split;
+  SseEventSplitter splitter(kEventLimit);
+  for (std::size_t at = 0; split.fits && at < text.size(); at += step) {
+    split.fits = splitter.Feed(text.substr(at, step), &split.events);
   }
-  cut.rest = cutter.Rest();
-  return cut;
+  split.rest = splitter.Rest();
+  return split;
 }
 
-std::string Joined(const Cut& cut) {
+std::string Joined(const SplitResult& split) {
   std::string joined;
-  for (const RawSseEvent& event : cut.events) {
+  for (const RawSseEvent& event : split.events) {
     joined += event.bytes;
   }
-  return joined + cut.rest;
+  return joined + split.rest;
 }
 
-class Nothing final : public SseSink {
+class DiscardingSink final : public SseSink {
  public:
   void OnSseEvent(const SseEvent&) override {}
 };
@@ -45,19 +46,19 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
-  using meadowthread::CutAll;
+  using meadowthread::SplitEvents;
   using meadowthread::fuzz::Require;
   const std::string_view text = meadowthread::fuzz::TextOf(data, size);
-  const auto whole = CutAll(text, size + 1);
-  const auto pieces = CutAll(text, 1);
+  const auto whole = SplitEvents(text, size + 1);
+  const auto pieces = SplitEvents(text, 1);
   if (whole.fits && pieces.fits) {
     Require(Joined(whole) == text && Joined(pieces) == text,
-            "cutting changed a byte");
+            "splitting into events changed a byte");
     Require(whole.events.size() == pieces.events.size(),
-            "pieces are cut otherwise than the whole");
+            "the number of events depends on how the bytes arrive");
   }
-  meadowthread::Nothing nothing;
+  meadowthread::DiscardingSink sink;
   meadowthread::SseParser parser(meadowthread::kEventLimit);
-  parser.Feed(text, nothing);
+  parser.Feed(text, sink);
   return 0;
 }
--- a/fuzz/fuzz_input.h
+++ b/fuzz/fuzz_input.h
@@ -9,15 +9,16 @@
 
 namespace meadowthread::fuzz {
 
-/// @brief The fuzzer's bytes as text.
+/// @brief The fuzzer's input as text.
 inline std::string_view TextOf(const std::uint8_t* data, std::size_t size) {
   return {reinterpret_cast<const char*>(data), size};
 }
 
-/// @brief Ends the run, so that the input is kept, where a promise is broken.
+/// @brief Aborts if an invariant doesn't hold, so that the fuzzer saves the
+/// input.
 inline void Require(bool holds, std::string_view what) {
   if (!holds) {
-    std::cerr << "broken promise: " << what << '\n';
+    std::cerr << "invariant violated: " << what << '\n';
     std::abort();
   }
 }
--- a/fuzz/objects_fuzzer.cc
+++ b/fuzz/objects_fuzzer.cc
@@ -1,4 +1,5 @@
-// Lists of the object API and of hosts, and the documents in them.
+// Fuzzes the parsers of object API lists, of host lists and of the documents
+// that they contain.
 #include "configuration/marks.h"
 #include "configuration/template_object.h"
 #include "fuzz/fuzz_input.h"
@@ -19,9 +20,9 @@
   if (list.ok()) {
     for (const StoredObject& item : list->items) {
       fuzz::Require(item.kind == "marks" && !item.name.empty(),
-                    "an object that names nothing");
+                    "an object of another kind or without a name");
       fuzz::Require(item.version > 0 && item.version <= list->revision,
-                    "an object newer than its list");
+                    "an object has a version of 0 or newer than its list");
       (void)MarkFromJson(item.value);
       (void)WithoutOldHistory(item);
     }
@@ -29,11 +30,12 @@
   const absl::StatusOr<HostList> hosts = DecodeHostList(text);
   if (hosts.ok()) {
     fuzz::Require(!hosts->hosts.empty() || hosts->passed_over == 0,
-                  "a list of nothing that can be read");
+                  "a host list of only invalid entries is accepted");
     for (const HostEntry& host : hosts->hosts) {
       fuzz::Require(!host.name.empty() && !host.address.empty(),
-                    "a host without a name");
-      fuzz::Require(host.port >= 0 && host.port <= 65'535, "a port is none");
+                    "a host without a name or address");
+      fuzz::Require(host.port >= 0 && host.port <= 65'535,
+                    "a port is out of range");
     }
   }
   (void)MarkFromJson(text);
--- a/fuzz/peers_fuzzer.cc
+++ b/fuzz/peers_fuzzer.cc
@@ -1,4 +1,5 @@
-// What other hosts tell: datagrams, and the exchange's calls.
+// Fuzzes the parsers of messages from other hosts: datagrams and the calls of
+// the state exchange.
 #include "allocation/allocation_messages.h"
 #include "base/clock.h"
 #include "exchange/datagrams.h"
--- a/fuzz/requests_fuzzer.cc
+++ b/fuzz/requests_fuzzer.cc
@@ -1,5 +1,6 @@
-// What callers send: the same requests are served however the bytes arrive, and
-// nothing is served after a refusal.
+// Fuzzes the HTTP server's parsing of callers' requests: the requests served
+// must not depend on how the bytes are split, and none is served after a
+// refusal.
 #include <memory>
 #include <string>
 
@@ -9,7 +10,7 @@
 namespace meadowthread {
 namespace {
 
-// Small enough that the fuzzer reaches the bounds.
+// Small enough for the fuzzer to reach the limits.
 constexpr std::int64_t kHeadLimit = 512;
 constexpr std::int64_t kBodyLimit = 256;
 
@@ -20,24 +21,25 @@
   return limits;
 }
 
-class Story final : public testing::PlayedConnection {
+class RequestRecorder final : public testing::PlayedConnection {
  public:
-  Story() : PlayedConnection(SmallLimits()) {}
+  RequestRecorder() : PlayedConnection(SmallLimits()) {}
 
-  /// @brief Method, target, headers and body of each request that was served.
+  /// @brief Method, target, headers and body of each served request.
   const std::string& Served() const { return this->served; }
 
   void Serve(const ServerRequest& request,
              std::unique_ptr<ResponseWriter> writer) override {
     fuzz::Require(!this->IsClosed(),
-                  "a request is served after the last answer");
-    fuzz::Require(request.target.starts_with('/'), "a target is no path");
+                  "a request is served after the connection was closed");
+    fuzz::Require(request.target.starts_with('/'),
+                  "a request target is not a path");
     fuzz::Require(request.body.size() <= static_cast<std::size_t>(kBodyLimit),
-                  "a body passed its bound");
+                  "a body exceeds its limit");
     this->served += request.method + ' ' + request.target + '\n';
     for (const HttpHeader& header : request.headers) {
       fuzz::Require(header.value.find('\n') == std::string::npos,
-                    "a header holds a line end");
+                    "a header value contains a line break");
       this->served += header.name + ':' + header.value + '\n';
     }
     this->served += request.body + '\n';
@@ -53,15 +55,16 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
-  using meadowthread::Story;
+  using meadowthread::RequestRecorder;
   const std::string_view text = meadowthread::fuzz::TextOf(data, size);
-  Story whole;
+  RequestRecorder whole;
   whole.Feed(text);
-  Story pieces;
+  RequestRecorder pieces;
   for (const char& byte : text) {
     pieces.Feed({&byte, 1});
   }
-  meadowthread::fuzz::Require(whole.Served() == pieces.Served(),
-                              "pieces are read otherwise than the whole");
+  meadowthread::fuzz::Require(
+      whole.Served() == pieces.Served(),
+      "the served requests depend on how the bytes are split");
   return 0;
 }
--- a/fuzz/settings_fuzzer.cc
+++ b/fuzz/settings_fuzzer.cc
@@ -1,5 +1,5 @@
-// Settings files, operators' templates and callers' bodies of our own
-// interface.
+// Fuzzes the parsers of settings files, of operators' templates and of request
+// bodies of the completion APIs.
 #include "configuration/template_document.h"
 #include "fuzz/fuzz_input.h"
 #include "gateway/caller_request.h"
@@ -12,7 +12,7 @@
   const std::string_view text = fuzz::TextOf(data, size);
   const ParsedRelaySettings relay = ParseRelaySettings(text);
   fuzz::Require(!relay.IsValid() || !relay.settings.host.name.empty(),
-                "settings without a host's name pass");
+                "settings without a host name are accepted");
   (void)ParseTemplate(text, 1);
   (void)ParseCallerRequest(CompletionApi::kChat, text);
   (void)ParseCallerRequest(CompletionApi::kCompletion, text);
--- a/model/claims.pml
+++ b/model/claims.pml
@@ -1,77 +1,78 @@
 /*
- * Claims of requests that may not be repeated (issue 4, model a).
+ * Claims on the idempotency keys of requests that must not run twice.
  *
- * One key, several attempts at different hosts, at the same time or after one
- * another. A shard's claims are a log: the head segment is one object, changed
- * by conditional updates on the version read; when it is full it is copied to
- * an archive of its number, and only then does an update roll the head on to
- * the next number. The key is held by the first claim that wasn't released.
+ * One key; several attempts at different hosts, concurrent or one after
+ * another. The claims of a shard form a log. Its head segment is one object,
+ * changed by conditional updates on the version read. A full head is copied to
+ * an archive object with its segment number; only then may an update move the
+ * head on to the next number. The first claim that is not released holds the
+ * key.
  *
- * Crashes and pauses need no action of their own: a process that is never
- * scheduled again has crashed, one scheduled late was paused, and assertions
- * hold on every prefix of every run. Nor does a caller told 'unknown', at a
- * deadline or in an outage: that is an attempt which goes no further, and the
- * writes it left undecided may land all the same.
+ * Crashes and pauses are not modeled explicitly: a process that is never
+ * scheduled again has crashed, one that is scheduled late was paused, and the
+ * assertions hold on every prefix of every run. Likewise, a caller that is told
+ * 'unknown', at a deadline or in an outage, is an attempt that takes no further
+ * step; writes of it whose result is not known may still be applied.
  *
- * Each macro takes one guard out; scripts/model expects those to fail.
+ * Each macro removes one guard; scripts/model expects these variants to fail.
  */
 #ifndef ATTEMPTS
 #define ATTEMPTS 3
 #endif
-#define CAPACITY 2   /* entries a segment */
+#define CAPACITY 2   /* entries per segment */
 #define SEGMENTS 3
 #ifndef NOISE
 #define NOISE 1      /* entries of other keys */
 #endif
 #ifndef SENDS
-#define SENDS 2      /* engines tried; a second only after a rejection */
+#define SENDS 2      /* engines tried; a further one only after a rejection */
 #endif
 
-/* Entry: kind * 8 + nonce; nonces count from 1. */
+/* A log entry is kind * 8 + nonce; nonces start at 1. */
 #define KCLAIM 1
 #define KRELEASE 2
 #define KRESULT 3
 #define KNOISE 4
 #define ENTRY(kind, nonce) ((kind) * 8 + (nonce))
 
-/* A request on its way to an engine. */
+/* State of the request to an engine. */
 #define NOT_SENT 0
 #define IN_FLIGHT 1
 #define RAN 2
 #define REJECTED 3
-#define LOST 4       /* never runs, but the sender cannot know */
+#define LOST 4       /* never runs, which the sender cannot know */
 
-byte version;             /* of the head object; 0: absent */
-byte number;              /* of the segment that the head holds */
-byte oldest;              /* segments before it were dropped */
-bit dropped;              /* entries as old as the key may have been dropped */
+byte version;             /* version of the head object; 0: absent */
+byte number;              /* number of the segment in the head */
+byte oldest;              /* number of the oldest segment not dropped */
+bit dropped;              /* entries of the key may have been dropped */
 byte count[SEGMENTS];
 bit archived[SEGMENTS];
 byte entries[6];          /* SEGMENTS * CAPACITY */
 
 typedef Write {
-  bit on;                 /* under way without an answer */
-  byte number;            /* the segment that it leaves in the head */
+  bit on;                 /* sent, result not known */
+  byte number;            /* segment in the head after the write */
   byte position;
   byte expected;
   byte entry
 };
-Write delayed[4];         /* by nonce; 0: the writer of other keys */
-Write left[4];            /* a given-up claim's write that may yet land */
+Write delayed[4];         /* by nonce; 0: writer of the other keys */
+Write left[4];            /* pending write of an abandoned claim */
 
 byte sent[4];
 bit denied[4];            /* the caller was told 'not run' */
-bit ran_before[4];        /* the key had run when the attempt began */
+bit ran_before[4];        /* the key had run before the attempt began */
 byte runs;
 byte runner;
-bit late;                 /* every deadline has passed */
+bit late;                 /* all deadlines have passed */
 #ifdef WITNESS
-bit logged_result;        /* some caller was given a recorded result */
+bit logged_result;        /* a caller was given a recorded result */
 bit logged_release;       /* a release was confirmed */
-bit resent;               /* an undecided write was sent again */
+bit resent;               /* a write without a known result was sent again */
 #endif
 
-/* Scratch of atomic steps only. */
+/* Temporaries, used only within atomic steps. */
 hidden byte at_segment, at_entry, holder, result, found;
 
 inline look_at(entry_there, wanted) {
@@ -87,7 +88,8 @@
   fi
 }
 
-/* The log as read now: holder, result; found: does an entry `wanted` stand? */
+/* Reads the current log into holder and result; found: the log contains the
+ * entry `wanted`. */
 inline scan(wanted) {
   holder = 0; result = 0; found = 0; at_segment = oldest;
   do
@@ -111,15 +113,16 @@
   delayed[me].expected = 0; delayed[me].entry = 0
 }
 
-/* The next update of the head as it is: in the same segment, or rolled on once
- * the full one is archived. Its number is SEGMENTS if the bound is reached. */
+/* Prepares an update of the current head: in the same segment, or in the next
+ * one after archiving a full segment. The update's number is SEGMENTS if the
+ * model's bound is reached. */
 inline prepare(me, what) {
   delayed[me].expected = version;
   delayed[me].entry = what;
   if
   :: count[number] == CAPACITY ->
 #ifndef ROLLED_UNARCHIVED
-    archived[number] = 1;      /* one content for good, whoever writes it */
+    archived[number] = 1;      /* immutable, whoever writes it */
 #endif
     delayed[me].number = number + 1;
     delayed[me].position = 0
@@ -129,8 +132,8 @@
   fi
 }
 
-/* A write whose version has passed can't land any more; dropping it here
- * keeps the states few. */
+/* Drops the writes that can no longer be applied, as the version has changed;
+ * this reduces the number of states. */
 inline forget_dead_writes() {
   at_entry = 0;
   do
@@ -153,7 +156,7 @@
   at_entry = 0
 }
 
-/* Applies a write where its condition holds; sets found. */
+/* Applies a write if its condition holds; found: it was applied. */
 inline apply(w) {
   found = 0;
   if
@@ -178,24 +181,25 @@
   sent[k] = RAN;
   runs++;
   runner = k;
-  assert(runs <= 1);             /* M: at most one run a key */
-  assert(!denied[k])             /* N1 */
+  assert(runs <= 1);             /* M: at most one run per key */
+  assert(!denied[k])             /* N1: none after 'not run' */
 }
 
-/* 'Unknown', a result or no answer at all bind nobody, so that only 'not run'
- * is kept as state. */
+/* Only the answer 'not run' is recorded: 'unknown', a result or no answer
+ * restrict no later step. */
 inline tell_not_run(me) {
   denied[me] = 1;
-  assert(!ran_before[me]);   /* N2: nor did an attempt with the key before it */
-  /* N1: it did not run, and no message is left that could make it. */
+  assert(!ran_before[me]);   /* N2: no earlier attempt ran either */
+  /* N1: it did not run, and no pending message can make it run. */
   assert(sent[me] != RAN && sent[me] != IN_FLIGHT)
 }
 
 proctype Attempt(byte me) {
-  byte entry = ENTRY(KCLAIM, me);   /* what it wants to stand in the log */
+  byte entry = ENTRY(KCLAIM, me);   /* the entry to append to the log */
   byte sends;
 
-  /* Attempts are alike, so they may as well begin in the order of nonces. */
+  /* Attempts are interchangeable, so start them in the order of nonces, which
+   * reduces the number of states. */
   atomic {
     ran_before[me] = (runs > 0);
     if
@@ -214,7 +218,7 @@
         goto held
 #endif
       :: entry / 8 == KCLAIM && holder != 0 && holder != me && result != 0 ->
-        /* R: a returned result is that of the one run. */
+        /* R: a returned result is that of the only run. */
         assert(runs == 1 && result == runner);
 #ifdef WITNESS
         logged_result = 1;
@@ -248,13 +252,13 @@
 write:
   atomic {
     if
-    :: apply(delayed[me]);   /* answered */
+    :: apply(delayed[me]);   /* the store answers */
       delayed[me].on = 0;
       if
       :: found -> goto stands
-      :: else -> clear(me); goto read   /* certainly not applied */
+      :: else -> clear(me); goto read   /* not applied */
       fi
-    :: delayed[me].on = 1    /* no answer: it may stand, now or later */
+    :: delayed[me].on = 1    /* no answer: may be applied, now or later */
     fi
   }
 
@@ -272,14 +276,14 @@
       :: found -> goto stands
       :: !found && version != delayed[me].expected ->
         clear(me);
-        goto read            /* overtaken: it can never land */
+        goto read            /* version changed: it can't be applied */
       :: else ->
 #ifdef WITNESS
         resent = 1;
 #endif
-        goto write           /* on the same version again */
+        goto write           /* again, on the same version */
       fi
-    /* Gives up: the caller is told now, the claim is given back. */
+    /* Gives up: tells the caller now and releases the claim. */
     :: entry / 8 == KCLAIM -> goto release
     fi
   }
@@ -301,7 +305,8 @@
   }
 
 held:
-  /* A pause here may be long; the deadline is checked in the step that sends. */
+  /* A long pause is possible here, so the deadline is checked in the same step
+   * that sends. */
   atomic {
     if
 #ifdef SENT_LATE
@@ -309,7 +314,7 @@
 #else
     :: !late -> sent[me] = IN_FLIGHT; sends++
 #endif
-    :: goto release          /* the deadline passed, or no engine has room */
+    :: goto release          /* deadline passed, or no engine has capacity */
     fi
   }
 
@@ -326,18 +331,19 @@
 #endif
 #ifdef SENT_AGAIN_ON_SILENCE
   :: atomic { sent[me] == IN_FLIGHT && sends < SENDS ->
-      run_it(me);   /* the first sending arrives after all */
+      run_it(me);   /* the first request arrives after all */
       goto held }
 #endif
   fi;
 
 release:
-  /* Told before the release stands: nothing is sent any more, whatever becomes
-   * of the log. An undecided claim can't land once the release stands. */
+  /* The caller is told before the release is in the log: nothing will be sent,
+   * whatever happens to the log. Once the release is in the log, a claim whose
+   * result is not known can no longer be applied. */
   atomic {
     tell_not_run(me);
     if
-    :: delayed[me].on ->       /* it stays under way beside the release */
+    :: delayed[me].on ->       /* it stays pending besides the release */
       left[me].on = 1; left[me].number = delayed[me].number;
       left[me].position = delayed[me].position;
       left[me].expected = delayed[me].expected;
@@ -362,7 +368,7 @@
   }
 }
 
-/* Another host, which claims other keys of the shard. */
+/* Another host that claims other keys of the same shard. */
 proctype OtherKeys() {
   byte todo = NOISE;
   do
@@ -378,8 +384,8 @@
 }
 
 #ifdef FORWARDED
-/* The shard's owner, to whom attempt 1 also forwarded its claim: it may append
- * the same entry, any time later, on whatever version then stands. */
+/* The shard's owner, to which attempt 1 has also forwarded its claim: it may
+ * append the same entry at any later time, on the version current then. */
 proctype Owner() {
   atomic {
     scan(ENTRY(KRELEASE, 1));
@@ -406,7 +412,7 @@
 }
 #endif
 
-/* Writes land late or never. */
+/* Pending writes are applied late or never. */
 #define LANDS(w) atomic { w.on -> apply(w); w.on = 0 }
 
 proctype Store() {
@@ -438,9 +444,9 @@
   od
 }
 
-/* Time passes: first every deadline, later the archives are dropped, which the
- * head records. Assumed: retention exceeds a deadline by more than any request
- * is in flight. */
+/* Passage of time: first all deadlines pass, later the archives are dropped,
+ * which is recorded in the head. Assumes that the retention period exceeds the
+ * deadline by more than the longest time a request is in flight. */
 proctype Retention() {
   byte k = 1;
   late = 1;
@@ -464,7 +470,7 @@
 }
 
 #ifdef WITNESS
-/* Shows that the model reaches what it should: fails by design. */
+/* Shows that the interesting states are reachable: fails by design. */
 active proctype Witness() {
   atomic { logged_result && logged_release && resent -> assert(false) }
 }
--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,33 +1,35 @@
 /*
- * Configuration and marks (issue 4, model b): objects with versions, copied by
- * hosts. Two parts that meet only in the store's history, chosen by a macro.
+ * Replication of configuration objects and marks from the store to the hosts.
+ * Two models, chosen by a macro, that share only the store's history.
  *
- * HOSTS: what a host puts in force, from lists and watches that are late or
- * stale, peers' deltas that are late, cut or doubled, operators' offers, and
- * after restarts, with and without the platform. Follows KindView: a watermark
- * (everything up to it is known) and a floor (tombstones up to it are gone).
+ * HOSTS: which version of each object a host puts in force. Its sources are
+ * lists and watches (late or stale), peers' deltas (late, truncated or
+ * duplicated) and operators' offers; it may restart, with and without the
+ * platform. Follows KindView: a watermark (all changes up to it are known) and
+ * a floor (tombstones up to it are no longer kept).
  *
- * OPERATORS: two operators change one object; answers are lost, writes land
- * late, read-backs are stale.
+ * OPERATORS: three operators change one object; answers are lost, writes are
+ * applied late, reads after a write are stale.
  *
- * Versions are the store's revisions; one kind, as each has its own watermark.
+ * Versions are revisions of the store. One kind of objects is enough, as each
+ * kind has its own watermark.
  */
 #ifndef REVISIONS
 #define REVISIONS 4
 #endif
 
 byte rev;                    /* the store's revision */
-byte hist_object[6];         /* what each revision wrote */
+byte hist_object[6];         /* object that each revision wrote */
 bit hist_deleted[6];
 
-/* Scratch of atomic steps only. */
+/* Temporaries, used only within atomic steps. */
 hidden byte first, second, since_rev, upto_rev, state;
 
 #ifdef HOSTS
 
 #define NHOSTS 2
-/* BOTH_WAYS: both hosts restart and send deltas; else host 0 is a peer that
- * feeds host 1, which leaves room for more revisions. */
+/* BOTH_WAYS: both hosts restart and send deltas. Otherwise host 0 only sends
+ * to host 1, so that more revisions can be checked. */
 #ifdef BOTH_WAYS
 #define IS_FED(h) 1
 #define IS_PEER(h) 1
@@ -37,23 +39,23 @@
 #define IS_PEER(h) ((h) == 0)
 #define ANSWERS(h) (watermark[h] > 0)
 #endif
-byte ver[4];                 /* host * 2 + object; 0: not held */
+byte ver[4];                 /* by host * 2 + object; 0: not held */
 byte watermark[NHOSTS];
 byte floor[NHOSTS];
-byte bound[NHOSTS];          /* revision of its own write since it started */
+byte bound[NHOSTS];          /* revision of its status write since its start */
 bit serving[NHOSTS];
 bit restarted[NHOSTS];
-byte in_force[4];            /* ghost: the newest it ever had in force */
+byte in_force[4];            /* for assertions: newest ever in force */
 
-/* A peer's delta under way; it may arrive at any time, any number of times. */
-byte newest[12];             /* by revision * 2 + object: who wrote it last */
+/* A peer's delta in flight; it may arrive at any time, any number of times. */
+byte newest[12];             /* by revision * 2 + object: its last write */
 byte m_since, m_revision, m_ver[2], m_from;
 bit m_whole;
 #ifdef EVENT_LOST
 bit event_lost;
 #endif
 
-/* Newest revision up to `upto` that wrote `object`, in state; 0: none. */
+/* Sets state to the newest revision up to `upto` that wrote `object`, else 0. */
 #define as_of(object, upto) state = newest[(upto) * 2 + object]
 
 /* KindView::Take */
@@ -90,7 +92,7 @@
   fi
 }
 
-/* KindView::TakeWhole; given: the items' versions, 0 for none. */
+/* KindView::TakeWhole; given0 and given1: versions of the items, 0: none. */
 inline take_whole(h, since, revision, whole, given0, given1) {
   if
   :: given0 != 0 -> take(h, 0, given0)
@@ -102,10 +104,10 @@
   fi;
   if
 #ifndef STALE_READ_WHOLE
-  :: revision < watermark[h]              /* stale: absence means nothing */
+  :: revision < watermark[h]       /* stale: a missing object may exist */
 #endif
 #ifndef GAP_JOINED
-  :: !whole && since > watermark[h]        /* a gap between */
+  :: !whole && since > watermark[h]        /* changes in between are unknown */
 #endif
   :: else ->
     if
@@ -122,7 +124,7 @@
   fi
 }
 
-/* In state: the revision whose state of `object` the host has in force. */
+/* Sets state to the revision of `object` that the host has in force. */
 inline position(h, object) {
   as_of(object, watermark[h]);
   if
@@ -134,7 +136,7 @@
 
 inline check_object(h, object) {
 #ifndef EVENT_LOST
-  /* W: the watermark is true. */
+  /* W: the host knows every change up to its watermark. */
   as_of(object, watermark[h]);
   assert(state == 0 || ver[h * 2 + object] >= state ||
          (ver[h * 2 + object] == 0 && hist_deleted[state]));
@@ -142,7 +144,7 @@
   position(h, object);
   if
   :: serving[h] ->
-    /* F: what is in force never goes back. */
+    /* F: what is in force never goes back to an older version. */
     assert(state >= in_force[h * 2 + object]);
     in_force[h * 2 + object] = state
   :: else
@@ -155,7 +157,7 @@
   check_object(h, 1)
 }
 
-/* Some revision from `low` to `high`, in upto_rev. */
+/* Sets upto_rev to any revision from `low` to `high`. */
 inline choose(low, high) {
   upto_rev = low;
   do
@@ -164,8 +166,8 @@
   od
 }
 
-/* A platform list: the whole state at any revision so far, so that every
- * stale, late or doubled answer is covered. It names no tombstones. */
+/* A list from the platform: the complete state at any revision so far, which
+ * covers every stale, late or duplicated answer. It contains no tombstones. */
 inline list_at(h) {
   choose(0, rev);
   d_step {
@@ -177,8 +179,8 @@
   }
 }
 
-/* A watch's answer, late or not: changes in (since, upto_rev] for a watermark
- * that the host has or had, tombstones too. */
+/* A watch response, late or not: the changes in (since_rev, upto_rev], where
+ * since_rev is the host's watermark now or earlier; includes tombstones. */
 inline watch_from(h) {
   choose(1, watermark[h]);
   since_rev = upto_rev;
@@ -199,7 +201,7 @@
   }
 }
 
-/* KindView::DeltaSince into the message, as the other host asks now. */
+/* KindView::DeltaSince for the current watermark of the asker, as a message. */
 inline send_delta(p, asker) {
   d_step {
     m_since = watermark[asker]; m_revision = watermark[p]; m_from = p;
@@ -211,7 +213,7 @@
   }
   if
   :: true
-  /* Cut at the byte limit after the first item. */
+  /* Truncated at the byte limit after the first item. */
 #ifdef WHOLE_STATE_CUT
   :: m_ver[0] != 0 && m_ver[1] > m_ver[0] &&
 #else
@@ -223,7 +225,8 @@
   fi
 }
 
-/* Asks a peer and takes its whole answer at once: no late message between. */
+/* Asks a peer and applies its complete answer in one step, without any late
+ * message in between. */
 inline learn_from(h, p) {
   take_whole(h, 0, watermark[p], (0 < floor[p] -> 1 : 0),
              ver[p * 2], ver[p * 2 + 1])
@@ -236,18 +239,18 @@
   :: atomic { list_at(me) }
   :: atomic { watermark[me] > 0 -> watch_from(me) }
 #ifdef EVENT_LOST
-  /* The peer read again what the watch lost, and is asked after that. */
+  /* The peer has read the lost change again, and is asked afterwards. */
   :: d_step { me == 1 && event_lost && ver[0] != 0 && watermark[1] > 0 &&
       newest[watermark[0] * 2] == ver[0] &&
       watermark[1] == watermark[0] && ver[0] <= watermark[0] ->
-      /* X: peers that agree on the watermark agree on what it covers. */
+      /* X: hosts with the same watermark hold the same objects up to it. */
       assert(ver[2] >= ver[0]) }
 #endif
   :: atomic { IS_PEER(me) -> send_delta(me, peer) }
   :: d_step { m_from == peer ->
       take_whole(me, m_since, m_revision, m_whole, m_ver[0], m_ver[1]);
       check(me) }
-  :: atomic { rev > 0 ->          /* an operator's offer of what is accepted */
+  :: atomic { rev > 0 ->          /* an operator offers an accepted change */
       choose(1, rev);
       d_step {
         second = hist_object[upto_rev];
@@ -262,8 +265,8 @@
         check(me)
       } }
   :: d_step { IS_FED(me) && !serving[me] && bound[me] == 0 ->
-      /* Its own status write: the answer names a revision, so that a read
-       * that shows less is known as stale. */
+      /* The host's status write: its answer contains a revision, so that the
+       * host recognizes a read of an older revision as stale. */
       bound[me] = rev + 1 }
   :: d_step { IS_FED(me) && !serving[me] && bound[me] != 0 &&
 #ifndef SERVE_ON_STALE_READ
@@ -273,21 +276,21 @@
       serving[me] = 1; bound[me] = 0;
       check(me) }                  /* F across the restart */
   :: d_step { IS_FED(me) && !serving[me] && ANSWERS(peer) ->
-      /* Outage: the peers that serve and can be reached know the newest that
-       * can be known. */
+      /* Outage: the newest state that can still be learnt is that of the
+       * reachable peers that serve. */
 #ifndef PEERS_NOT_ASKED
       learn_from(me, peer);
 #endif
       as_of(0, watermark[peer]);
       position(peer, 0); second = state;
       position(me, 0);
-      assert(state >= second);             /* P: not behind the peer asked */
+      assert(state >= second);             /* P: not behind that peer */
       position(peer, 1); second = state;
       position(me, 1);
       assert(state >= second);
       second = 0; state = 0;
 #ifndef STRICT_RESTART
-      /* What it alone knew before it restarted is lost to everybody. */
+      /* What only this host knew before its restart is lost. */
       if
       :: restarted[me] -> in_force[me * 2] = 0; in_force[me * 2 + 1] = 0
       :: else
@@ -305,7 +308,7 @@
   od
 }
 
-/* Accepted changes: objects are put, deleted and put again. */
+/* Accepted changes: creates, deletes and re-creates objects. */
 proctype Writer() {
 end:
   do
@@ -344,9 +347,9 @@
 #define CONFLICT 2
 #define UNKNOWN 3
 
-byte operation[6];           /* of each revision: who wrote it */
-byte base[6];                /* ... and the version it replaced */
-bit delayed[4];              /* an undecided write that may yet land */
+byte operation[6];           /* by revision: the operator that wrote it */
+byte base[6];                /* by revision: the version it replaced */
+bit delayed[4];              /* pending write, result not known */
 byte expected[4];
 bit applied[4];
 byte told[4];
@@ -354,7 +357,7 @@
 bit settled;
 #endif
 
-/* A conditional update by operator o; upto_rev: did it take effect? */
+/* A conditional update by operator o; upto_rev: whether it was applied. */
 inline put(o) {
   upto_rev = 0;
   if
@@ -363,9 +366,9 @@
 #else
   :: rev < REVISIONS && rev == expected[o] ->
 #endif
-    /* L: no accepted change is overwritten by somebody who didn't see it. */
+    /* L: an operator never overwrites an accepted change it hasn't read. */
     assert(expected[o] == rev);
-    assert(!applied[o]);             /* applied once */
+    assert(!applied[o]);             /* applied at most once */
     assert(told[o] != CONFLICT);     /* C: a conflict is never applied */
     rev++;
     operation[rev] = o; base[rev] = expected[o];
@@ -376,15 +379,15 @@
 
 inline tell(o, what) {
   told[o] = what;
-  assert(what != ACCEPTED || applied[o]);    /* A */
-  assert(what != CONFLICT || !applied[o])    /* C */
+  assert(what != ACCEPTED || applied[o]);    /* A: accepted was applied */
+  assert(what != CONFLICT || !applied[o])    /* C: a conflict was not */
 }
 
 proctype Operator(byte o) {
-  bit again;                 /* sent more than once */
+  bit again;                 /* the update was sent again */
   byte seen;                 /* the revision read back */
 
-  atomic {                   /* reads, maybe a stale state */
+  atomic {                   /* reads, possibly a stale state */
     seen = 0;
     do
     :: seen < rev -> seen++
@@ -401,19 +404,19 @@
 #ifdef REFUSED_AGAIN_IS_CONFLICT
       :: !upto_rev -> tell(o, CONFLICT); goto finished
 #else
-      /* Refused: the first sending may have been what stands in the way. */
+      /* Refused: the reason may be that the first update was applied. */
       :: !upto_rev && !again -> tell(o, CONFLICT); goto finished
       :: !upto_rev && again
 #endif
       fi
-    :: delayed[o] = 1        /* lost answer */
+    :: delayed[o] = 1        /* answer lost */
     fi
   };
 settle:
   atomic {
     seen = expected[o];
     do
-    :: seen < rev -> seen++  /* reads back, maybe a stale state */
+    :: seen < rev -> seen++  /* reads back, possibly a stale state */
     :: break
     od;
     if
@@ -436,8 +439,11 @@
 #ifdef OTHER_IS_CONFLICT
       :: tell(o, CONFLICT)
 #else
-      :: base[seen] == expected[o] -> tell(o, CONFLICT)   /* took my place */
-      :: base[seen] != expected[o] -> tell(o, UNKNOWN)    /* maybe after mine */
+      /* Another operator's change replaced the version that this update was
+       * based on, so this update can't have been applied; a change with another
+       * base may have come after this update. */
+      :: base[seen] == expected[o] -> tell(o, CONFLICT)  /* same base */
+      :: base[seen] != expected[o] -> tell(o, UNKNOWN)   /* maybe later */
 #endif
       fi
     fi
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,54 +1,56 @@
 /*
- * Placement (issue 4, model c), in two parts chosen by a macro.
+ * Leases and handover of ownership: two models, chosen by a macro.
  *
- * ORDERS: hosts that take a duty's lease from one another and order one
- * engine. The fence is the lease object's version. Clocks drift; holders
- * pause between any two steps; orders arrive late.
- *   default:          the engine refuses older fences; nothing else is needed,
- *                     so that no host even looks at its lease.
- *   ENGINE_DEADLINE:  it refuses orders past their deadline only.
- *   ENGINE_NEITHER:   it refuses nothing; holds only while pause and delay
- *                     between check and arrival are bounded (BOUNDED_PAUSE).
+ * ORDERS: hosts take over a lease from one another, and its holder sends orders
+ * to one engine. The fencing token is the version of the lease object. Clocks
+ * drift; holders pause between any two steps; orders arrive late.
+ *   default:          the engine refuses older fencing tokens; this suffices,
+ *                     so hosts do not check their lease before an order.
+ *   ENGINE_DEADLINE:  the engine refuses only orders past their deadline.
+ *   ENGINE_NEITHER:   the engine refuses nothing; correct only if pause and
+ *                     delay between the holder's check and the order's arrival
+ *                     are bounded (BOUNDED_PAUSE).
  *
- * HANDOVER: a workspace (or engine) moves from one half to the other by steps
- * of its ownership object, which a host reads late. A host starts work only
- * once its status object stands and it has read the platform since; the mover
- * lists the statuses only once the mark stands. No clock takes part.
+ * HANDOVER: a workspace (or engine) moves from one deployment ("half") to the
+ * other through versions of its ownership object, which hosts read late. A host
+ * starts work only after its status object is written and it has read the
+ * platform since; the mover lists the status objects only after it has written
+ * the draining mark. No clocks are involved.
  */
 #ifdef ORDERS
 
-/* Time is counted in ticks that pass at any moment. A clock that drifts
- * measures an interval by up to one tick too short or too long. */
+/* Time is counted in ticks, which may pass at any moment. A drifting clock
+ * measures an interval up to one tick too short or too long. */
 byte now;
 #define SINCE(t) (now - (t))
 
 #define TTL 3
 #ifndef MARGIN
-#define MARGIN 1       /* what two clocks drift apart by over a lease */
+#define MARGIN 1       /* drift between two clocks over a lease */
 #endif
 #ifndef WINDOW
-#define WINDOW 1       /* from an order's check to its deadline, at most */
+#define WINDOW 1       /* longest time from an order's check to its deadline */
 #endif
 #define LAST_TICK 8
 #define VERSIONS 3
 #define NHOLDERS 2
 
-byte version = 1;              /* of the lease object: the fencing number */
+byte version = 1;              /* of the lease object: the fencing token */
 byte holder = 0;
-bit on_way[NHOLDERS];          /* an order under way, one a holder */
+bit on_way[NHOLDERS];          /* an order in flight; one per holder */
 byte order_fence[NHOLDERS];
 byte order_deadline[NHOLDERS];
 byte order_checked[NHOLDERS];
-bit slow[NHOLDERS];            /* this clock drifts behind */
-bit fast[NHOLDERS];            /* this one ahead */
+bit slow[NHOLDERS];            /* the holder's clock is slow */
+bit fast[NHOLDERS];            /* the holder's clock is fast */
 bit engine_slow;
-byte engine_fence;             /* the newest applied */
+byte engine_fence;             /* highest token of an applied order */
 
 #if defined(ENGINE_DEADLINE) || defined(ENGINE_NEITHER)
 #define TIMED
 #endif
 
-/* Lease::RemainingMs of a write sent at `t`. */
+/* Lease::RemainingMs after a lease write sent at `t`. */
 #define HELD(h, t) (SINCE(t) - slow[h] < TTL - MARGIN)
 #define REMAINING(h, t) (TTL - MARGIN - (SINCE(t) - slow[h]))
 
@@ -58,7 +60,7 @@
 #define MAY_ORDER(h, t) HELD(h, t)
 #endif
 
-/* Lease::WaitedOut, counted from the first sight at `t`. */
+/* Lease::WaitedOut, counted from `t`, when the version was first seen. */
 #if !defined(TIMED) || defined(NO_WAIT)
 #define WAITED_OUT(h, t) true
 #elif defined(NO_WINDOW_WAIT)
@@ -68,10 +70,10 @@
 #endif
 
 proctype Holder(byte me) {
-  byte sent;                   /* when the write that was confirmed left */
+  byte sent;                   /* when the confirmed write was sent */
   byte fence;                  /* 0: not held */
-  byte seen;                   /* another's version, first seen ... */
-  byte seen_at;                /* ... then */
+  byte seen;                   /* version written by another holder */
+  byte seen_at;                /* when it was first seen */
   byte deadline;
   byte checked;
 
@@ -81,13 +83,13 @@
   fi;
 end:
   do
-  /* Sees that another's version stands. */
+  /* Sees a lease version of another holder. */
   :: atomic { fence == 0 && holder != me && seen != version ->
       seen = version; seen_at = now }
-  /* Takes over after the wait, if what it saw still stands. */
+  /* Takes over after the wait, if the version it saw is still current. */
   :: atomic { fence == 0 && seen != 0 && version < VERSIONS &&
       WAITED_OUT(me, seen_at) -> sent = now };
-     /* ... a pause ... */
+     /* It may pause here. */
      atomic {
       if
 #ifdef UNCONDITIONAL_TAKEOVER
@@ -99,10 +101,10 @@
       :: else
       fi;
       seen = 0; seen_at = 0 }
-  /* Renews. */
+  /* Renews the lease. */
   :: atomic { fence != 0 && fence == version && version < VERSIONS ->
       version++; fence = version; sent = now }
-  /* Checks, and makes the order. */
+  /* Checks its lease and creates an order. */
   :: atomic { fence != 0 && !on_way[me] && MAY_ORDER(me, sent) ->
       checked = now;
 #ifdef TIMED
@@ -110,25 +112,25 @@
                         REMAINING(me, sent) : WINDOW)
 #endif
      };
-     /* ... a pause ... */
+     /* It may pause here. */
      atomic {
 #ifdef DEADLINE_FROM_SENDING
       deadline = now + WINDOW;
 #endif
       on_way[me] = 1; order_fence[me] = fence; order_checked[me] = checked;
       order_deadline[me] = deadline; checked = 0; deadline = 0 }
-  /* Finds that it lost the lease. */
+  /* Detects that it has lost the lease. */
   :: atomic { fence != 0 && fence != version && holder != me ->
       fence = 0; sent = 0 }
   od
 }
 
-/* The order arrives, late, or never. */
+/* The order arrives late or never. */
 #define ARRIVES(h) \
   atomic { on_way[h] && PAUSE_IS_BOUNDED(h) -> \
     if \
     :: ACCEPTS(h) -> \
-      assert(order_fence[h] >= engine_fence); /* E: no older after a newer */ \
+      assert(order_fence[h] >= engine_fence); /* E: never an older */ \
       engine_fence = order_fence[h] \
     :: else \
     fi; \
@@ -136,7 +138,7 @@
     order_checked[h] = 0 }
 
 #ifdef BOUNDED_PAUSE
-/* Two ticks: what the wait leaves over the time that a lease may be held. */
+/* Two ticks: by this the wait exceeds the time that a lease may be held. */
 #define PAUSE_IS_BOUNDED(h) (SINCE(order_checked[h]) < WINDOW + 1)
 #else
 #define PAUSE_IS_BOUNDED(h) true
@@ -194,8 +196,8 @@
 
 #ifdef HANDOVER
 
-/* The ownership object's versions, in their order. The move is called off
- * once and begun again, or not. */
+/* Versions of the ownership object, in order. The move may be cancelled once
+ * and then started again. */
 #define FIRST_OWNED 1
 #define FIRST_DRAINING 2
 #define CALLED_OFF 3
@@ -208,18 +210,19 @@
 
 byte version = FIRST_OWNED;
 bit called_off;
-byte drained[OLD_HOSTS];       /* status objects: 0 none, 1 nothing drained,
+byte drained[OLD_HOSTS];       /* status objects: 0 none, 1 not drained,
                                   else the draining version confirmed */
 byte in_flight[OLD_HOSTS];
-byte started_by[3];            /* ghost, by epoch: 1 old half, 2 new half */
+byte started_by[3];            /* for assertions, by epoch: 1 old, 2 new half */
 bit new_works;
 
 inline start(epoch, half) {
-  assert(started_by[epoch] == 0 || started_by[epoch] == half);  /* H1 */
+  /* H1: only one half starts work in an epoch. */
+  assert(started_by[epoch] == 0 || started_by[epoch] == half);
   started_by[epoch] = half
 }
 
-/* Whether a read that shows `v` has all that stood at registration. */
+/* Whether a read of version `v` is as new as the host's registration. */
 #ifdef REVISIONS_COMPARED
 #define COVERS(v) ((v) >= registered_at)
 #else
@@ -240,11 +243,11 @@
 
 proctype OldHost(byte me) {
   byte view;                   /* version read; 0: none */
-  byte answer;                 /* a read under way, and what it will bring */
-  bit asked_registered;        /* that read left after the registration */
-  byte report;                 /* a status write under way */
-  byte registered_at;          /* the object's version then; 0: not yet */
-  bit has_read;                /* since registered */
+  byte answer;                 /* result of the pending read; 0: no read */
+  bit asked_registered;        /* that read was sent after the registration */
+  byte report;                 /* a pending status write; 0: none */
+  byte registered_at;          /* version at registration; 0: not yet */
+  bit has_read;                /* has read since its registration */
   byte starts = 2;
 
 end:
@@ -275,8 +278,8 @@
       :: else
       fi;
       answer = 0; asked_registered = 0 }
-  /* The status object: first registers the host, later says what is drained;
-   * it lands late. */
+  /* Writes the status object: the first one registers the host, later ones
+   * confirm what is drained. The write is applied late. */
   :: atomic { report == 0 && (drained[me] == 0 ||
       (DRAINS(view) && in_flight[me] == 0 && drained[me] != view)) ->
       report = (DRAINS(view) && in_flight[me] == 0 -> view : 1) }
@@ -289,10 +292,10 @@
       :: registered_at == 0 -> registered_at = version
       :: else
       fi }
-  /* DrainTracker::Begin: the check and the count are one step. */
+  /* DrainTracker::Begin checks and counts in one step. */
   :: atomic { starts > 0 && OURS(view) && IS_REGISTERED && HAS_READ ->
       starts--; in_flight[me]++;
-      assert(!new_works);                      /* H2 */
+      assert(!new_works);              /* H2: the new half hasn't begun */
       start(EPOCH(view), 1) }
 #ifdef DRAINING_TAKES_WORK
   :: atomic { starts > 0 && DRAINS(view) && registered_at != 0 ->
@@ -305,7 +308,7 @@
 }
 
 #if defined(STALE_READS) && !defined(REVISIONS_COMPARED)
-#define IS_DRAINED(h) true     /* listed as of before the host registered */
+#define IS_DRAINED(h) true     /* a list from before the host's registration */
 #elif defined(CONFIRMED_BY_EPOCH)
 #define IS_DRAINED(h) (drained[h] == 0 || drained[h] > 1)
 #else
@@ -325,19 +328,19 @@
       version = CALLED_OFF; called_off = 1; goto mark }
   :: skip
   fi;
-  /* Lists the statuses, now that the mark stands; then moves by a conditional
-   * update. */
+  /* The mark is written: lists the status objects, then completes the move by
+   * a conditional update. */
 #ifndef DRAIN_NOT_AWAITED
   IS_DRAINED(0) && IS_DRAINED(1);
 #endif
   atomic { DRAINS(version) -> version = MOVED }
 }
 
-/* A host of the new half; how stale its view is doesn't matter. */
+/* A host of the new half; its view may be arbitrarily stale. */
 proctype NewHost() {
   atomic { version == MOVED ->
     new_works = 1;
-    assert(in_flight[0] == 0 && in_flight[1] == 0);  /* H3 */
+    assert(in_flight[0] == 0 && in_flight[1] == 0);  /* H3: no work in flight */
     start(EPOCH(version), 2) }
 #ifdef WITNESS
   atomic { started_by[1] == 1 -> assert(false) }
--- a/model/move.pml
+++ b/model/move.pml
@@ -1,12 +1,13 @@
 /*
- * A run that moves between two engines while its caller reads (issue 10): one
- * host, the run's engine, the engine that its memory is copied to.
+ * Migration of a run between two engines while its caller reads the answer: one
+ * host, the source engine, and the target engine to which the run's KV cache
+ * ("memory") is copied.
  *
- * Engines may crash at any moment. An order may be lost, and so may its answer
- * once it was carried out. The engine that goes on may begin one event too
- * early or too late, may refuse, and may break off after it began. An engine
- * that stops or crashes closes its stream without an end; one that crashes may
- * take events with it that the host has not read.
+ * Engines may crash at any moment. An order may be lost, and so may the answer
+ * to an executed order. The engine that resumes the run may start one event too
+ * early or too late, may refuse, and may fail after it has started. An engine
+ * that stops or crashes closes its stream without an end event; with a crash,
+ * events that the host has not read may be lost.
  */
 #ifndef EVENTS
 #define EVENTS 3
@@ -15,31 +16,31 @@
 #define SOURCE 1
 #define TARGET 2
 
-/* Engines, by number. */
+/* State of the engines, by SOURCE or TARGET. */
 bit alive[3];
-bit runs[3];                /* works on the run */
-byte made[3];               /* events made, counted from the run's first */
-bit framed[3];              /* its stream ended with an end */
+bit runs[3];                /* is executing the run */
+byte made[3];               /* events generated, counted from the run's first */
+bit framed[3];              /* its stream ended with an end event */
 bit stopped;                /* the source keeps a stopped run's memory */
-bit copied;                 /* the target has the memory */
+bit copied;                 /* the target holds the memory */
 byte crashes;
 
-/* The host. */
+/* State of the host. */
 #define COPYING 0
-#define STOPPING 1          /* the stop was ordered */
-#define STOPPED 2           /* the order's end is known, or nobody tells it */
-#define MOVED 3             /* sent on to the target, or back to the source */
+#define STOPPING 1          /* the stop order was sent */
+#define STOPPED 2           /* the order was answered, or its answer is lost */
+#define MOVED 3             /* resumed at the target, or back at the source */
 #define OVER 4
 byte phase;
-byte at;                    /* the engine whose stream it reads */
-byte read;                  /* events read there, counted from the first */
-bit stream_ended;           /* that stream closed without an end */
+byte at;                    /* the engine whose stream is read */
+byte read;                  /* events read from it, counted from the first */
+bit stream_ended;           /* that stream closed without an end event */
 bit has_handle;
-bit began;                  /* the engine it was sent on to took it */
-byte passed;                /* events that the caller has */
-bit whole;                  /* the caller's answer looks whole */
+bit began;                  /* the engine asked to resume has accepted */
+byte passed;                /* events passed on to the caller */
+bit whole;                  /* the caller's answer appears complete */
 
-/* The stop on its way. */
+/* State of the stop order. */
 #define NOT_SENT 0
 #define ON_ITS_WAY 1
 #define CARRIED_OUT 2
@@ -61,7 +62,7 @@
 #define LOOKS_WHOLE(e) (framed[e])
 #endif
 
-/* One event from an engine, numbered by the engine. */
+/* Receives an event with the number that the engine gave it. */
 inline take_event(number) {
 #if defined(DUPLICATE_TAKEN)
   if
@@ -80,7 +81,7 @@
 #else
   if
   :: number < passed -> skip
-  :: number > passed -> phase = OVER          /* broken off */
+  :: number > passed -> phase = OVER          /* gap: ends the answer */
   :: else ->
      assert(number == passed);
      passed++
@@ -88,18 +89,18 @@
 #endif
 }
 
-/* An engine begins to go on with the run. */
+/* An engine resumes the run. */
 inline begin_at(engine) {
   runs[engine] = 1;
   framed[engine] = 0;
-  assert(!(runs[SOURCE] && runs[TARGET]));    /* never two at work */
+  assert(!(runs[SOURCE] && runs[TARGET]));    /* W: never two engines */
   at = engine;
   stream_ended = 0;
   began = 1;
   if
   :: made[engine] = passed
   :: passed > 0 -> made[engine] = passed - 1  /* repeats an event */
-  :: passed + 1 < EVENTS -> made[engine] = passed + 1 /* leaves one out */
+  :: passed + 1 < EVENTS -> made[engine] = passed + 1 /* skips an event */
   fi;
   read = made[engine]
 }
@@ -127,7 +128,7 @@
   do
   :: phase == OVER -> break
 
-  /* Reading the stream. */
+  /* Reads the stream. */
   :: atomic { phase != OVER && at != 0 && !stream_ended && read < made[at] ->
        take_event(read); read++ }
   :: atomic { phase != OVER && at != 0 && !stream_ended && !runs[at] &&
@@ -137,25 +138,25 @@
        !framed[at] && (read == made[at] || !alive[at]) ->
        stream_ended = 1;
        if
-       :: phase == STOPPING || phase == STOPPED -> skip   /* perhaps stopped */
-       :: else -> phase = OVER                            /* broken off */
+       :: phase == STOPPING || phase == STOPPED -> skip   /* possibly stopped */
+       :: else -> phase = OVER                            /* failed */
        fi }
 
-  /* Copying, then stopping. */
+  /* Copies the memory, then stops the source. */
   :: atomic { phase == COPYING && alive[SOURCE] && alive[TARGET] && runs[SOURCE] ->
        copied = 1; has_handle = 1; phase = STOPPING; order = ON_ITS_WAY }
   :: atomic { phase == STOPPING && order == ON_ITS_WAY -> order = LOST }
   :: atomic { phase == STOPPING && order == CARRIED_OUT && alive[SOURCE] ->
        order = ANSWERED; phase = STOPPED }
   :: atomic { phase == STOPPING && (order == LOST || order == CARRIED_OUT) ->
-       phase = STOPPED }                      /* no answer came */
+       phase = STOPPED }                      /* no answer */
 
-  /* Going on. */
+  /* Resumes the run. */
   :: atomic { MAY_SEND_ON && alive[TARGET] && copied ->
        has_handle = 0; phase = MOVED; at = 0; began = 0;
        if
        :: begin_at(TARGET)
-       :: skip                                /* it refuses: not run */
+       :: skip                                /* the target refuses: not run */
        fi }
   :: atomic { MAY_SEND_ON && !(alive[TARGET] && copied) ->
        has_handle = 0; phase = MOVED; at = 0; began = 0 }
@@ -169,7 +170,7 @@
        phase = OVER }
   :: atomic { phase == STOPPED && stream_ended && !has_handle -> phase = OVER }
   od;
-  /* The caller's answer is whole, or its connection broke. */
+  /* The caller's answer is complete, or its connection was closed. */
   assert(!whole || passed == EVENTS)
 #ifdef WITNESS
   ; assert(!(whole && began && at == TARGET))
--- a/model/quarantine.pml
+++ b/model/quarantine.pml
@@ -1,11 +1,14 @@
 /*
- * A content under which three servers have ended is sent to none any more by
- * any host that its peers have reached since. Hosts learn of ends from their
- * own runs, from words that may be lost or late, and by comparing what they
- * know; they are cut off and start anew with empty memory.
+ * Quarantine of a request content that crashes servers: after three crashes, no
+ * host that has exchanged its records with its peers since sends the content to
+ * a server any more. Hosts learn of crashes ("ends") from their own runs, from
+ * gossip messages that may be lost or late, and from anti-entropy, in which two
+ * hosts compare their records. Hosts may be partitioned from the others ("cut")
+ * and may restart with empty memory.
  *
- * A host is in touch once it has compared with each other one since the third
- * end, its own start and its last cut: what three seconds are for.
+ * A host is in touch once it has compared records with every other host since
+ * the third crash, since its own start and since its last partition; the real
+ * system allows three seconds for this.
  */
 #define HOSTS 3
 #define ENOUGH 3
@@ -14,9 +17,9 @@
 #define STARTS 2
 #endif
 
-byte known[HOSTS];     /* ends, a bit each */
-byte compared[HOSTS];  /* with whom, a bit each */
-bool running[HOSTS];   /* a server runs it for this host */
+byte known[HOSTS];     /* crashes that the host knows of, as bits */
+byte compared[HOSTS];  /* hosts that it compared records with, as bits */
+bool running[HOSTS];   /* a server runs the content for this host */
 bool cut[HOSTS];
 byte ends;
 byte starts;
@@ -82,12 +85,12 @@
 		if
 		:: !running[h] && MAY_SEND(h) && ends < MOST_ENDS -> send(h)
 		:: running[h] && ends < MOST_ENDS -> end_server(h)
-		/* a word: late, twice or never */
+		/* a gossip message: late, twice or never */
 		:: h != o && !cut[h] && !cut[o] -> known[o] = known[o] | known[h]
 		:: h != o && !cut[h] && !cut[o] -> compare(h, o)
 		:: !cut[h] && cuts < 1 -> cut[h] = true; cuts++; forget(h)
 		:: cut[h] -> cut[h] = false
-		/* stopped as planned, once others know what it knows */
+		/* a planned restart, once all hosts have its records */
 		:: starts < STARTS &&
 #ifndef KILLED_AT_ONCE
 		   !running[h] && ARE_TOLD(h) &&
--- a/model/restart.pml
+++ b/model/restart.pml
@@ -1,12 +1,13 @@
 /*
- * Engines that start again under their id: a run at one engine, a move of it
- * to another, and a host that learns of starts late, by words that may be old.
+ * Engines that restart under the same id: a run at one engine, its migration to
+ * another, and a host that learns of restarts late, from messages that may be
+ * outdated. A "start" (`life`) is one incarnation of an engine.
  *
- * An engine starts again at any moment and holds nothing of before. Its entry
- * reaches the host late or not at all, and a word of an older start may come
- * after a newer one's. Orders go to an address: whichever start is there
- * carries them out and tells which one it is. Orders and answers may be lost.
- * Silence proves nothing: the host may take a stream for silent that lives.
+ * An engine may restart at any moment and then has lost all its state. Its new
+ * entry reaches the host late or never, and a message from an older start may
+ * arrive after one from a newer start. Orders go to an address: the start that
+ * is there executes them and names itself in its answer. Orders and answers may
+ * be lost. Silence proves nothing: the host may consider a live stream silent.
  */
 #define SOURCE 1
 #define TARGET 2
@@ -14,47 +15,47 @@
 #define STARTS 3
 #endif
 
-/* Engines, by number. */
-byte life[3];               /* the start that is there now */
-bit runs[3];                /* works on the run */
+/* State of the engines, by SOURCE or TARGET. */
+byte life[3];               /* number of the current start */
+bit runs[3];                /* is executing the run */
 bit copied;                 /* the target holds the run's memory */
 bit stopped;                /* the source keeps the stopped run's memory */
-bit had[12];                /* a start has worked on the run: AT(e, life) */
+bit had[12];                /* by AT(e, life): it has executed the run */
 #define AT(e, l) ((e) * 4 + (l))
 
-/* The host. */
+/* State of the host. */
 #define RUNNING 0
 #define COPYING 1
 #define STOPPING 2
 #define WAITING 3           /* for the end of the source's stream */
 #define OVER 4
 byte phase;
-byte known[3];              /* the start that is listed here */
-byte at_life;               /* the start that the run is taken to be at */
-byte source_life;           /* the start that the move was planned for */
+byte known[3];              /* the newest start that the host knows of */
+byte at_life;               /* the start that the host believes has the run */
+byte source_life;           /* start of the source when the move began */
 byte target_life;
-bit source_gone;            /* it has started again since */
+bit source_gone;            /* the source has restarted since */
 bit target_gone;
-bit has_copy;               /* the target is taken to hold the copy */
+bit has_copy;               /* the target has the copy, as the host believes */
 bit stream_ended;
 bit resumed;
-byte begun;                 /* times that the run was begun from nothing */
+byte begun;                 /* how often the run was started from scratch */
 
-/* The order on its way, and its answer. */
+/* State of the order and its answer. */
 #define NONE 0
 #define ON_ITS_WAY 1
 #define ANSWERED 2
 #define LOST 3
 byte order;
 bit is_stop;
-bit done;                   /* carried out: copied, or stopped */
+bit done;                   /* executed: copied, or stopped */
 byte answer_life;
 
-/* A report on its way: whose it is, none: 0. */
+/* A report in flight: the engine that sent it, 0: none; and its start. */
 byte report_of;
 byte report_life;
 
-/* The host hears that an engine has another start. */
+/* The host learns that an engine has restarted. */
 inline started_again(e) {
 #if defined(KEPT_BY_ID)
   if
@@ -94,12 +95,13 @@
 inline begin_at(e) {
   runs[e] = 1;
   had[AT(e, life[e])] = 1;
-  assert(!(runs[SOURCE] && runs[TARGET]));    /* never two at work */
+  assert(!(runs[SOURCE] && runs[TARGET]));    /* W: never two engines */
   resumed = 1;
   phase = OVER
 }
 
-/* The answer to an order, if it is the word of the start that was asked. */
+/* Receives the answer to an order; valid only if it comes from the start that
+ * the order was meant for. */
 inline take_answer() {
 #if !defined(ANSWERS_UNCOMPARED)
   if
@@ -116,9 +118,9 @@
      :: source_gone -> phase = WAITING
      :: else -> phase = STOPPING; is_stop = 1; done = 0; order = ON_ITS_WAY
      fi
-  :: !is_stop && !(done && !target_gone) -> phase = OVER  /* stays, or broke */
+  :: !is_stop && !(done && !target_gone) -> phase = OVER /* stays, or failed */
   :: is_stop && (done || source_gone) -> phase = WAITING
-  :: is_stop && !done && !source_gone -> phase = OVER     /* it had ended */
+  :: is_stop && !done && !source_gone -> phase = OVER     /* run had ended */
   fi
 }
 
@@ -148,14 +150,14 @@
   do
   :: phase == OVER && report_of == 0 -> break
 
-  /* What the store tells, now or of before. */
+  /* Entries from the store, current or outdated. */
   :: atomic { phase != OVER ->
        if
        :: select(l : 1 .. life[SOURCE]); hear(SOURCE, l)
        :: select(l : 1 .. life[TARGET]); hear(TARGET, l)
        fi }
 
-  /* What an engine tells of itself. */
+  /* A report from an engine. */
   :: atomic { report_of != 0 ->
 #if !defined(REPORTS_UNCOMPARED)
        if
@@ -168,9 +170,9 @@
 #endif
        report_of = 0 }
 
-  /* The move. */
+  /* The migration. */
   :: atomic { phase == RUNNING && !source_gone && !stream_ended ->
-       assert(had[AT(SOURCE, at_life)]);      /* taken for alive there */
+       assert(had[AT(SOURCE, at_life)]);      /* A: the run was there */
        source_life = at_life; target_life = known[TARGET];
        phase = COPYING; is_stop = 0; order = ON_ITS_WAY }
   :: atomic { order == ANSWERED -> order = NONE;
@@ -181,19 +183,19 @@
   :: atomic { order == ON_ITS_WAY || order == ANSWERED -> order = LOST }
   :: atomic { order == LOST -> order = NONE;
        if
-       :: phase == COPYING -> phase = OVER    /* it stays where it is */
+       :: phase == COPYING -> phase = OVER    /* the run stays at the source */
        :: phase == STOPPING -> phase = WAITING
        :: else -> skip
        fi }
 
-  /* The stream's end: its connection's, or its silence after a new start. */
+  /* The stream ends: its connection closes, or it is silent after a restart. */
   :: atomic { !stream_ended && !runs[SOURCE] -> stream_ended = 1 }
   :: atomic { !stream_ended && source_gone -> stream_ended = 1 }
 #if defined(SILENCE_IS_END)
   :: atomic { !stream_ended && phase == WAITING -> stream_ended = 1 }
 #endif
 
-  /* Going on: whoever is asked takes it only with the run's memory. */
+  /* Resumes: an engine accepts the run only if it holds the run's memory. */
   :: atomic { phase == WAITING && stream_ended && has_copy ->
        if
        :: copied -> copied = 0; begin_at(TARGET)
@@ -203,7 +205,7 @@
   :: atomic { phase == WAITING && stream_ended && !has_copy ->
        if
        :: stopped && !source_gone -> stopped = 0; begin_at(SOURCE)
-       :: else -> phase = OVER                /* broken off */
+       :: else -> phase = OVER                /* failed */
        fi }
   :: atomic { phase == RUNNING && stream_ended -> phase = OVER }
   od
--- a/model/resume.pml
+++ b/model/resume.pml
@@ -1,15 +1,15 @@
 /*
- * Streams across hosts (issue 4, model d): one caller, two hosts, an engine
- * that may restart at the same address.
+ * Resuming a stream at another host: one caller, two hosts, an engine that may
+ * restart at the same address.
  *
- * What a host reads from the engine is any token that any of its generations
- * has made so far, in any order and any number of times; that covers loss,
- * duplicates, late and reordered events, and a restarted engine's other
- * generation. A host that is never scheduled again has crashed, one scheduled
- * after the caller went elsewhere was frozen.
+ * A host may read any token that any generation of the engine has produced so
+ * far, in any order and any number of times. This covers lost, duplicated, late
+ * and reordered events as well as another generation after an engine restart. A
+ * host that is never scheduled again has crashed; one that is scheduled after
+ * the caller has reconnected elsewhere was frozen.
  *
- * The caller reads one connection at a time, in order; one that breaks loses
- * what was under way on it, and what is written to it later goes nowhere.
+ * The caller reads one connection at a time, in order. When a connection
+ * breaks, the events in flight and those written to it later are lost.
  */
 #ifndef TOKENS
 #define TOKENS 4            /* of generation 1; generation 2 has one fewer */
@@ -20,14 +20,14 @@
 #define LENGTH(g) ((g) == 1 -> TOKENS : TOKENS - 1)
 
 /* Engine. */
-bit alive[3];               /* by generation: it can be read at the engine */
-byte made[3];               /* tokens so far */
-byte generations;           /* started so far; an id is never used again */
+bit alive[3];               /* by generation: the engine still has it */
+byte made[3];               /* by generation: tokens produced so far */
+byte generations;           /* number started; ids are never reused */
 
-/* The caller's connection: its number, the host at the other end, and the
- * event under way. */
+/* The caller's connection: its number, the host that serves it, and the event
+ * in flight. */
 #define NONE 0
-#define HEADER 1            /* carries the resume token: the generation */
+#define HEADER 1            /* contains the resume token: the generation */
 #define TOKEN 2
 #define COMPLETE 3
 #define INTERRUPTED 4
@@ -36,16 +36,16 @@
 byte kind, event_generation, event_index;
 
 /* Caller. */
-byte token_generation;      /* of its resume token; 0: none */
-byte received;              /* the next index that it lacks */
-byte of_generation;         /* ghost: whose tokens it has */
-bit ended;                  /* it has its outcome */
+byte token_generation;      /* generation in its resume token; 0: none */
+byte received;              /* tokens received: the next index it needs */
+byte of_generation;         /* for assertions: generation of its tokens */
+bit ended;                  /* it has received its outcome */
 
 #ifdef WITNESS
 byte resumed_at;
 #endif
 
-/* Which token a host forwards. */
+/* Whether a host forwards token n of generation g. */
 #if defined(FOREIGN_TAKEN)
 #define TAKES(g, n) (n == next)
 #elif defined(DUPLICATE_TAKEN)
@@ -56,7 +56,7 @@
 #define TAKES(g, n) (g == pinned && n == next)
 #endif
 
-/* When an answer may be run again from its start. */
+/* Whether an answer may be restarted with a new generation. */
 #if defined(RUNS_AGAIN_AFTER_TOKENS)
 #define MAY_RUN_AGAIN (pinned != 0)
 #elif defined(RUNS_AGAIN_AFTER_HEADER)
@@ -97,15 +97,15 @@
 }
 
 proctype Host(byte me) {
-  byte mine;                /* the connection it serves */
-  byte pinned;              /* the generation of this answer */
-  byte next;                /* the index that it forwards next */
-  bit headed;               /* the header has left */
+  byte mine;                /* number of the connection it serves */
+  byte pinned;              /* generation of this answer */
+  byte next;                /* index of the next token to forward */
+  bit headed;               /* the header was sent */
   byte arrives, index;
 
 end:
   do
-  /* A request, new or with a resume token and the last index. */
+  /* A request: new, or with a resume token and the last index. */
   :: atomic { server == me && connection != 0 && mine != connection ->
       mine = connection; pinned = token_generation;
       headed = (token_generation != 0);
@@ -149,10 +149,10 @@
       :: index < made[arrives] && TAKES(arrives, index) ->
         send(TOKEN, arrives, index);
         next = index + 1
-      :: else               /* dropped; after a gap it reads again from next */
+      :: else               /* dropped; after a gap it rereads from next */
       fi;
       index = 0; arrives = 0 }
-  /* The end event names the count, and may overtake tokens. */
+  /* The end event contains the token count; it may overtake tokens. */
   :: atomic { mine == connection && headed && kind == NONE && IS_WHOLE &&
       made[pinned] == LENGTH(pinned) ->
       send(COMPLETE, pinned, next);
@@ -172,7 +172,7 @@
   do
   :: atomic { alive[1] && made[1] < LENGTH(1) -> made[1]++ }
   :: atomic { alive[2] && made[2] < LENGTH(2) -> made[2]++ }
-  /* It restarts, or a generation is cancelled or reclaimed. */
+  /* The engine restarts, or a generation is cancelled or reclaimed. */
   :: atomic { alive[1] || alive[2] -> alive[1] = 0; alive[2] = 0 }
   :: atomic { alive[1] && alive[2] ->
       if
@@ -191,19 +191,19 @@
   :: atomic { kind == HEADER && !ended ->
       token_generation = event_generation; clear_event() }
   :: atomic { kind == TOKEN && !ended ->
-      /* S: 0..n without gap or duplicate ... */
+      /* S: tokens 0..n arrive without gap or duplicate. */
       assert(event_index == received);
-      /* G: ... and of a single generation. */
+      /* G: all tokens are of a single generation. */
       assert(of_generation == 0 || of_generation == event_generation);
       received++; of_generation = event_generation; clear_event() }
   :: atomic { kind >= COMPLETE ->
-      /* O: one outcome ... */
+      /* O: there is only one outcome. */
       assert(!ended);
       ended = 1;
-      /* C: ... complete only where the answer is whole ... */
+      /* C: 'complete' is sent only if the answer is complete. */
       assert(kind != COMPLETE || received == LENGTH(event_generation));
       assert(kind != COMPLETE || of_generation == event_generation);
-      /* I: ... interrupted only where the generation is gone. */
+      /* I: 'interrupted' is sent only if the generation is gone. */
       assert(kind != INTERRUPTED || !alive[event_generation]);
 #ifdef WITNESS
       assert(!(kind == COMPLETE && resumed_at == 2));
--- a/standins/backend/backend_service.h
+++ b/standins/backend/backend_service.h
@@ -11,18 +11,18 @@
 
 namespace meadowthread::standins {
 
-/// @brief The faults of a plain backend server, set by tests.
+/// @brief Faults that tests inject into a plain backend server.
 struct BackendFaults {
-  std::int64_t refuse_after_read = 0;  ///< calls still to be closed unanswered
-  bool run = false;           ///< whether such a call runs all the same
-  int status = 0;             ///< answered instead of 200; 0: none
-  std::int64_t delay_ms = 0;  ///< answers come that much later
+  std::int64_t refuse_after_read = 0;  ///< next calls to close without answer
+  bool run = false;                    ///< whether those calls run nevertheless
+  int status = 0;                      ///< status sent instead of 200; 0: none
+  std::int64_t delay_ms = 0;           ///< delay of each answer
 
-  /// @brief Takes over the fields that `change` names; the others stay.
+  /// @brief Sets the fields that `change` contains; others are unchanged.
   void Merge(const nlohmann::json& change);
 };
 
-/// @brief A call that ran.
+/// @brief A call that was executed.
 struct BackendCall {
   std::string method;
   std::string path;
@@ -30,7 +30,8 @@
   std::string body;
 };
 
-/// @brief A plain service that echoes its calls and counts them by key.
+/// @brief A backend server that echoes each call in its answer and counts the
+/// executions per idempotency key.
 class BackendService final : public QObject, public HttpService {
  public:
   explicit BackendService(std::string name) : name(std::move(name)) {}
--- a/standins/command_line.h
+++ b/standins/command_line.h
@@ -9,23 +9,23 @@
 
 namespace meadowthread::standins {
 
-/// @brief Where a stand-in listens.
+/// @brief Listening address of a stand-in and its name.
 struct ListenOptions {
   std::string address;
   std::string name;
   std::uint16_t port = 0;
 };
 
-/// @brief The command line of one role, with what all roles share.
+/// @brief Command line of one role; defines the arguments that all roles share.
 class CommandLine {
  public:
   explicit CommandLine(std::string_view role);
 
-  /// @brief Where a role adds its own arguments.
+  /// @brief The parser to which a role adds its own arguments.
   TCLAP::CmdLine& Parser() { return this->parser; }
 
-  /// @brief Reads the arguments that follow the role; TCLAP ends the process
-  /// with a message where they are wrong.
+  /// @brief Parses the arguments that follow the role; on an error, TCLAP
+  /// prints a message and exits the process.
   void Parse(std::span<char* const> arguments);
 
   ListenOptions Listen() const;
--- a/standins/engine/engine_arguments.h
+++ b/standins/engine/engine_arguments.h
@@ -6,12 +6,12 @@
 
 namespace meadowthread::standins {
 
-/// @brief The engine role's own arguments.
+/// @brief Command-line arguments of the engine role.
 class EngineArguments {
  public:
   explicit EngineArguments(TCLAP::CmdLine* line);
 
-  /// @brief The engine they describe, once parsed.
+  /// @brief Engine options from the parsed arguments.
   EngineOptions Options() const;
 
   int Count() const { return this->count.getValue(); }
--- a/standins/engine/engine_faults.h
+++ b/standins/engine/engine_faults.h
@@ -8,18 +8,18 @@
 
 namespace meadowthread::standins {
 
-/// @brief The faults of one engine, set by tests; 0 and "" switch one off.
+/// @brief Faults that tests inject into one engine; 0 and "" disable a fault.
 struct EngineFaults {
-  std::int64_t duplicate_every = 0;    ///< each n-th token event comes twice
-  std::int64_t reorder_every = 0;      ///< each n-th comes after the next one
-  std::int64_t drop_every = 0;         ///< each n-th is left out
-  std::int64_t late_ms = 0;            ///< events come that much later
-  std::string reject;                  ///< reason for which starts are rejected
-  std::int64_t refuse_after_read = 0;  ///< starts still to be closed unanswered
-  bool run = false;    ///< whether such a start runs all the same
-  bool stall = false;  ///< accepts, computes and sends nothing
+  std::int64_t duplicate_every = 0;    ///< send each n-th token event twice
+  std::int64_t reorder_every = 0;      ///< swap each n-th with the next
+  std::int64_t drop_every = 0;         ///< omit each n-th
+  std::int64_t late_ms = 0;            ///< delay of token events
+  std::string reject;                  ///< reason to reject all starts with
+  std::int64_t refuse_after_read = 0;  ///< next starts closed unanswered
+  bool run = false;    ///< whether those starts run nevertheless
+  bool stall = false;  ///< accepts connections, neither computes nor sends
 
-  /// @brief Takes over the fields that `change` names; the others stay.
+  /// @brief Sets the fields that `change` contains; others are unchanged.
   void Merge(const nlohmann::json& change);
 };
 
--- a/standins/engine/engine_model.cc
+++ b/standins/engine/engine_model.cc
@@ -8,13 +8,14 @@
 namespace meadowthread::standins {
 namespace {
 
-// A process that was frozen computed nothing meanwhile: it doesn't catch up.
-constexpr double kLongestCatchUpMs = 1000;
+// Limits the steps made up for after a pause: a process that was frozen has
+// computed nothing in the meantime.
+constexpr double kMaxCatchUpMs = 1000;
 
 }  // namespace
 
-bool EngineModel::MoreUrgent::operator()(const Generation* a,
-                                         const Generation* b) const {
+bool EngineModel::HigherPriorityFirst::operator()(const Generation* a,
+                                                  const Generation* b) const {
   if (a->spec.priority != b->spec.priority) {
     return a->spec.priority < b->spec.priority;
   }
@@ -28,7 +29,7 @@
       incarnation(incarnation),
       prefixes(limits.cached_prefixes) {}
 
-// 1. calls of readers
+// 1. calls by clients
 
 Generation* EngineModel::Start(const GenerationSpec& spec,
                                std::int64_t now_ms) {
@@ -84,7 +85,7 @@
 
 int EngineModel::Advance(std::int64_t now_ms) {
   const auto now = static_cast<double>(now_ms);
-  this->next_step_ms = std::max(this->next_step_ms, now - kLongestCatchUpMs);
+  this->next_step_ms = std::max(this->next_step_ms, now - kMaxCatchUpMs);
   int steps = 0;
   while (this->next_step_ms <= now &&
          !(this->waiting.empty() && this->running.empty())) {
@@ -123,7 +124,7 @@
   return load;
 }
 
-// 4. one step
+// 4. phases of a step
 
 double EngineModel::StepMs() const {
   const auto batch = static_cast<double>(this->running.size());
@@ -131,14 +132,14 @@
 }
 
 void EngineModel::Step(std::int64_t now_ms) {
-  this->EndUnread(now_ms);
-  this->EndLate(now_ms);
+  this->EndOrphans(now_ms);
+  this->EndPastDeadline(now_ms);
   this->Admit(now_ms);
-  this->RelieveMemory(now_ms);
+  this->PreemptForMemory(now_ms);
   this->Decode(now_ms);
 }
 
-void EngineModel::EndUnread(std::int64_t now_ms) {
+void EngineModel::EndOrphans(std::int64_t now_ms) {
   const auto is_orphan = [now_ms](const Generation* generation) {
     return generation->unread_since_ms >= 0 &&
            now_ms - generation->unread_since_ms >=
@@ -154,7 +155,7 @@
   }
 }
 
-void EngineModel::EndLate(std::int64_t now_ms) {
+void EngineModel::EndPastDeadline(std::int64_t now_ms) {
   std::vector<Generation*> late;
   for (Generation* generation : this->waiting) {
     const std::int64_t deadline_ms = generation->spec.deadline_ms;
@@ -171,8 +172,8 @@
 void EngineModel::Admit(std::int64_t now_ms) {
   while (!this->waiting.empty()) {
     Generation* head = *this->waiting.begin();
-    // The head goes first even where a later one would fit: nothing overtakes
-    // in the queue but by priority.
+    // Strict order: a generation that would fit doesn't overtake the head of
+    // the queue unless its priority is higher.
     if (!this->MakeRoomFor(*head)) {
       return;
     }
@@ -189,8 +190,8 @@
   std::erase_if(victims, [&generation](const Generation* victim) {
     return victim->spec.priority <= generation.spec.priority;
   });
-  std::sort(victims.begin(), victims.end(), MoreUrgent());
-  // First see whether preempting less urgent ones is enough at all.
+  std::sort(victims.begin(), victims.end(), HigherPriorityFirst());
+  // Preempt only if that frees enough memory and batch slots.
   std::size_t count = 0;
   while ((room < 0 || slots < 1) && count < victims.size()) {
     ++count;
@@ -206,9 +207,9 @@
   return true;
 }
 
-void EngineModel::RelieveMemory(std::int64_t now_ms) {
+void EngineModel::PreemptForMemory(std::int64_t now_ms) {
   while (this->kv_used + this->StepNeed() > this->limits.kv_capacity) {
-    Generation* victim = this->LeastUrgentRunning();
+    Generation* victim = this->LowestPriorityRunning();
     if (this->running.size() == 1) {
       this->Lose(victim, "memory", now_ms);
     } else {
@@ -236,7 +237,7 @@
   }
 }
 
-// 5. changes of state
+// 5. state transitions
 
 std::int64_t EngineModel::Need(const Generation& generation) const {
   return generation.spec.prompt_tokens + generation.generated;
@@ -248,9 +249,9 @@
       [](const Generation* one) { return one->recompute_steps == 0; });
 }
 
-Generation* EngineModel::LeastUrgentRunning() const {
+Generation* EngineModel::LowestPriorityRunning() const {
   return *std::max_element(this->running.begin(), this->running.end(),
-                           MoreUrgent());
+                           HigherPriorityFirst());
 }
 
 void EngineModel::Preempt(Generation* generation) {
--- a/standins/engine/engine_model.h
+++ b/standins/engine/engine_model.h
@@ -13,14 +13,14 @@
 
 namespace meadowthread::standins {
 
-/// @brief How an engine computes.
+/// @brief Speed and capacity of a simulated engine.
 struct EngineLimits {
-  double token_ms = 20;     ///< a step with an empty batch
-  double slowdown = 0.005;  ///< share by which each running one slows it
+  double token_ms = 20;     ///< duration of a step with an empty batch
+  double slowdown = 0.005;  ///< added per running generation
   std::int64_t kv_capacity = 400'000;  ///< tokens
   std::int64_t longest_queue = 1024;   ///< waiting generations
   std::int64_t largest_batch = 512;    ///< running generations
-  std::int64_t prefill_tokens = 2048;  ///< prompt tokens a step works off
+  std::int64_t prefill_tokens = 2048;  ///< prompt tokens prefilled per step
   std::size_t cached_prefixes = 64;
 };
 
@@ -33,41 +33,41 @@
   std::int64_t preemptions = 0;
 };
 
-/// @brief A model engine's computing: continuous batching by a token clock
-/// with limited memory, preemption with recompute and a priority queue.
+/// @brief Simulates a model engine: continuous batching, one token per step,
+/// with a limited KV cache, preemption with recomputation and a priority queue.
 ///
-/// Pure: time is an argument and never goes back; no sockets.
+/// Does no I/O; the time is an argument and must not go back.
 class EngineModel {
  public:
-  /// @param[in] name the engine; part of every generation's id
-  /// @param[in] incarnation differs for every start of the engine
+  /// @param[in] name the engine's name; part of every generation's id
+  /// @param[in] incarnation unique to each start of the engine
   EngineModel(const EngineLimits& limits, std::string_view name,
               std::string_view incarnation);
 
-  // 1. calls of readers
+  // 1. calls by clients
 
-  /// @brief Takes a generation in; it has a reader from the start on.
-  /// @return null where the queue is full or memory could never hold it
+  /// @brief Queues a generation, which initially has a reader.
+  /// @return null if the queue is full or the KV cache is too small for it
   Generation* Start(const GenerationSpec& spec, std::int64_t now_ms);
 
-  /// @brief A generation that runs or can still be read; null where unknown.
+  /// @brief A generation that is active or can still be read; null if unknown.
   Generation* Find(std::string_view id, std::int64_t now_ms);
 
-  /// @brief Ends a generation that runs or waits.
-  /// @return false where it does neither
+  /// @brief Cancels a running or waiting generation.
+  /// @return false if it is neither
   bool Cancel(std::string_view id, std::int64_t now_ms);
 
-  /// @brief Says whether a generation has a reader.
+  /// @brief Sets whether a generation has a reader.
   void SetRead(Generation* generation, bool is_read, std::int64_t now_ms);
 
   // 2. time
 
-  /// @brief Computes every step due up to `now_ms`.
-  /// @return the steps taken
+  /// @brief Executes every step that is due by `now_ms`.
+  /// @return the number of steps executed
   /// @complexity steps times running generations
   int Advance(std::int64_t now_ms);
 
-  /// @brief Loses every generation, as a restart in the same place does.
+  /// @brief Loses every generation, as a restart at the same address does.
   void Restart(std::string_view incarnation, std::int64_t now_ms);
 
   // 3. state
@@ -80,24 +80,24 @@
   PrefixCache& Prefixes() { return this->prefixes; }
 
  private:
-  struct MoreUrgent {
+  struct HigherPriorityFirst {
     bool operator()(const Generation* a, const Generation* b) const;
   };
 
-  // 4. one step
+  // 4. phases of a step
   double StepMs() const;
   void Step(std::int64_t now_ms);
-  void EndUnread(std::int64_t now_ms);
-  void EndLate(std::int64_t now_ms);
+  void EndOrphans(std::int64_t now_ms);
+  void EndPastDeadline(std::int64_t now_ms);
   void Admit(std::int64_t now_ms);
   bool MakeRoomFor(const Generation& generation);
-  void RelieveMemory(std::int64_t now_ms);
+  void PreemptForMemory(std::int64_t now_ms);
   void Decode(std::int64_t now_ms);
 
-  // 5. changes of state
+  // 5. state transitions
   std::int64_t Need(const Generation& generation) const;
   std::int64_t StepNeed() const;
-  Generation* LeastUrgentRunning() const;
+  Generation* LowestPriorityRunning() const;
   void Preempt(Generation* generation);
   void Run(Generation* generation, std::int64_t now_ms);
   void Release(Generation* generation);
@@ -111,7 +111,7 @@
   PrefixCache prefixes;
   std::vector<std::unique_ptr<Generation>> generations;
   std::unordered_map<std::string, Generation*> by_id;
-  std::set<Generation*, MoreUrgent> waiting;
+  std::set<Generation*, HigherPriorityFirst> waiting;
   std::vector<Generation*> running;
   std::int64_t kv_used = 0;
   std::int64_t preemptions = 0;
--- a/standins/engine/engine_pool.cc
+++ b/standins/engine/engine_pool.cc
@@ -6,10 +6,10 @@
 namespace meadowthread::standins {
 namespace {
 
-// From the begin of a generation that ends its engine to that end, and from
-// there to the engine's next start.
-constexpr std::chrono::milliseconds kEndsAfter{20};
-constexpr std::chrono::milliseconds kBackAfter{1'000};
+// Delay from the start of a generation that crashes its engine to the crash,
+// and from the crash to the engine's restart.
+constexpr std::chrono::milliseconds kCrashDelay{20};
+constexpr std::chrono::milliseconds kRestartDelay{1'000};
 
 }  // namespace
 
@@ -34,24 +34,24 @@
   member.name = name;
   member.address = address;
   member.port = actual;
-  member.service->OnEnding([this, n = this->members.size()] {
-    QTimer::singleShot(kEndsAfter, [this, n] { this->End(n); });
+  member.service->OnEngineCrash([this, n = this->members.size()] {
+    QTimer::singleShot(kCrashDelay, [this, n] { this->CrashEngine(n); });
   });
   this->members.push_back(std::move(member));
   return actual != 0;
 }
 
-void EnginePool::End(std::size_t n) {
+void EnginePool::CrashEngine(std::size_t n) {
   Member& member = this->members[n];
   if (member.listener == nullptr) {
-    return;  // another generation has ended it
+    return;  // another generation has already crashed it
   }
   member.service->LoseAll();
   member.listener.reset();
-  QTimer::singleShot(kBackAfter, [this, n] { this->StartAgain(n); });
+  QTimer::singleShot(kRestartDelay, [this, n] { this->RestartEngine(n); });
 }
 
-void EnginePool::StartAgain(std::size_t n) {
+void EnginePool::RestartEngine(std::size_t n) {
   Member& member = this->members[n];
   member.listener = std::make_unique<HttpListener>(member.service.get());
   member.listener->Listen(member.address, member.port, "engine", member.name);
--- a/standins/engine/engine_pool.h
+++ b/standins/engine/engine_pool.h
@@ -10,24 +10,25 @@
 
 namespace meadowthread::standins {
 
-/// @brief Several engines in one process, each on its own port, moved on by
-/// one shared timer.
+/// @brief Several engines in one process, each on its own port, all driven by
+/// one timer.
 class EnginePool {
  public:
   explicit EnginePool(int tick_ms);
 
-  /// @brief Adds an engine and listens.
-  /// @return whether its port could be had
+  /// @brief Adds an engine and starts to listen.
+  /// @return whether its port could be bound
   bool Add(const EngineOptions& options, const std::string& name,
            const std::string& address, std::uint16_t port);
 
  private:
-  void End(std::size_t n);
-  void StartAgain(std::size_t n);
+  void CrashEngine(std::size_t n);
+  void RestartEngine(std::size_t n);
 
   struct Member {
     std::unique_ptr<EngineService> service;
-    std::unique_ptr<HttpListener> listener;  ///< null: it has ended
+    std::unique_ptr<HttpListener>
+        listener;  ///< null: crashed, not yet restarted
     std::string name;
     std::string address;
     std::uint16_t port = 0;
--- a/standins/engine/engine_record.cc
+++ b/standins/engine/engine_record.cc
@@ -32,7 +32,7 @@
           {"started_unix_ms", refused.at_ms}};
 }
 
-json OrderJson(const OrderSeen& seen) {
+json OrderJson(const ReceivedOrder& seen) {
   return {{"holder", seen.order.holder},
           {"fence", seen.order.fence},
           {"role", seen.order.role},
@@ -44,7 +44,7 @@
 }  // namespace
 
 json EngineRecord::ToJson(const EngineModel& model,
-                          const OrderBook& orders) const {
+                          const OrderLog& orders) const {
   json attempts = json::array();
   for (const auto& generation : model.Generations()) {
     attempts.push_back(AttemptJson(*generation));
@@ -53,7 +53,7 @@
     attempts.push_back(RefusedJson(one));
   }
   json order_log = json::array();
-  for (const OrderSeen& seen : orders.Seen()) {
+  for (const ReceivedOrder& seen : orders.Seen()) {
     order_log.push_back(OrderJson(seen));
   }
   const json calls = {{"starts", this->counts.starts},
--- a/standins/engine/engine_record.h
+++ b/standins/engine/engine_record.h
@@ -6,12 +6,12 @@
 #include <vector>
 
 #include "engine/engine_model.h"
-#include "engine/order_book.h"
+#include "engine/order_log.h"
 #include "nlohmann/json.hpp"
 
 namespace meadowthread::standins {
 
-/// @brief A start that ran nothing.
+/// @brief A start request that was refused, so that nothing ran.
 struct RefusedStart {
   std::string request;
   std::string workspace;
@@ -19,7 +19,7 @@
   std::int64_t at_ms = 0;
 };
 
-/// @brief How often each kind of call came.
+/// @brief Number of calls received, by kind.
 struct EngineCounts {
   std::int64_t starts = 0;
   std::int64_t rejects = 0;
@@ -29,14 +29,13 @@
   std::int64_t load_reads = 0;
 };
 
-/// @brief What an engine saw, for tests to check.
+/// @brief Calls and orders that an engine received, for tests to check.
 struct EngineRecord {
   EngineCounts counts;
   std::vector<RefusedStart> refused;
 
-  /// @brief The record as JSON, with every attempt and order.
-  nlohmann::json ToJson(const EngineModel& model,
-                        const OrderBook& orders) const;
+  /// @brief The record as JSON, including every attempt and order.
+  nlohmann::json ToJson(const EngineModel& model, const OrderLog& orders) const;
 };
 
 }  // namespace meadowthread::standins
--- a/standins/engine/engine_service.cc
+++ b/standins/engine/engine_service.cc
@@ -10,7 +10,7 @@
 namespace meadowthread::standins {
 namespace {
 
-// The time and a random part: no two starts of an engine share it.
+// The time and a random part, so that each start of an engine has its own.
 std::string NewIncarnation(std::int64_t now_ms) {
   std::random_device random;
   return absl::StrCat(absl::Hex(now_ms),
@@ -51,14 +51,14 @@
   if (this->faults.stall) {
     this->Cork(exchange);
   }
-  const bool of_one = request.segments.size() == 3 &&
-                      request.segments[0] == "v1" &&
-                      request.segments[1] == "generations";
+  const bool is_one_generation = request.segments.size() == 3 &&
+                                 request.segments[0] == "v1" &&
+                                 request.segments[1] == "generations";
   if (request.PathIs({"v1", "generations"}) && request.method == "POST") {
     this->Start(request, exchange);
-  } else if (of_one && request.method == "GET") {
+  } else if (is_one_generation && request.method == "GET") {
     this->Resume(request, exchange);
-  } else if (of_one && request.method == "DELETE") {
+  } else if (is_one_generation && request.method == "DELETE") {
     this->Cancel(request.segments[2], exchange);
   } else if (request.PathIs({"v1", "load"})) {
     this->SendLoad(exchange);
@@ -78,7 +78,7 @@
   const std::int64_t now_ms = this->clock.NowMs();
   const bool stepped = this->model.Advance(now_ms) > 0;
   this->reports.Note(this->model.Load(), now_ms);
-  // Most ticks fall between two steps, when no stream has anything new.
+  // Most ticks fall between two steps, when there are no new tokens to send.
   if (stepped || this->streams_behind) {
     this->PumpStreams(now_ms);
   }
@@ -86,17 +86,17 @@
 
 void EngineService::PumpStreams(std::int64_t now_ms) {
   this->streams_behind = false;
-  std::vector<Generation*> over;
+  std::vector<Generation*> finished;
   for (const auto& [generation, stream] : this->streams) {
-    const Pumped pumped =
+    const PumpResult pumped =
         stream->Pump(this->faults, now_ms, &this->token_events, &this->buffer);
-    if (pumped == Pumped::kOver) {
-      over.push_back(generation);
-    } else if (pumped == Pumped::kBehind) {
+    if (pumped == PumpResult::kOver) {
+      finished.push_back(generation);
+    } else if (pumped == PumpResult::kBehind) {
       this->streams_behind = true;
     }
   }
-  for (Generation* generation : over) {
+  for (Generation* generation : finished) {
     this->Detach(generation);
   }
 }
@@ -115,7 +115,7 @@
     --this->faults.refuse_after_read;
   }
   if (refuses && !this->faults.run) {
-    this->Refuse(*spec, "refused_after_read");
+    this->RecordRefusal(*spec, "refused_after_read");
     exchange->Abort();
     return;
   }
@@ -125,9 +125,9 @@
       reason.empty() ? this->model.Start(*spec, now_ms) : nullptr;
   if (generation == nullptr) {
     this->Reject(*spec, reason.empty() ? "full" : reason, exchange);
-  } else if (spec->ends_engine && this->ending) {
+  } else if (spec->crashes_engine && this->on_engine_crash) {
     this->Cork(exchange);
-    this->ending();
+    this->on_engine_crash();
   } else if (refuses) {
     this->model.SetRead(generation, false, now_ms);
     exchange->Abort();
@@ -146,8 +146,8 @@
   return this->models.Has(spec.model) ? "" : "not_loaded";
 }
 
-void EngineService::Refuse(const GenerationSpec& spec,
-                           std::string_view reason) {
+void EngineService::RecordRefusal(const GenerationSpec& spec,
+                                  std::string_view reason) {
   this->record.refused.push_back(
       {spec.request, spec.workspace, std::string(reason), this->clock.NowMs()});
 }
@@ -155,7 +155,7 @@
 void EngineService::Reject(const GenerationSpec& spec, std::string_view reason,
                            const ExchangePtr& exchange) {
   ++this->record.counts.rejects;
-  this->Refuse(spec, reason);
+  this->RecordRefusal(spec, reason);
   exchange->Send(ErrorReply(StatusOf(reason), reason, "not run"));
 }
 
@@ -188,10 +188,10 @@
 
 void EngineService::Attach(Generation* generation, std::int64_t from,
                            const ExchangePtr& exchange) {
-  const auto standing = this->streams.find(generation);
-  if (standing != this->streams.end()) {
-    const ExchangePtr replaced = standing->second->Exchange();
-    this->streams.erase(standing);
+  const auto current = this->streams.find(generation);
+  if (current != this->streams.end()) {
+    const ExchangePtr replaced = current->second->Exchange();
+    this->streams.erase(current);
     replaced->OnClosed([] {});
     replaced->SendChunk("event: replaced\ndata: {\"g\":\"" + generation->id +
                         "\"}\n\n");
@@ -264,7 +264,7 @@
   exchange->Send(JsonReply(200, {{"applied", true}}));
 }
 
-// 3. control by tests
+// 3. control calls of tests
 
 void EngineService::HandleControl(const Request& request,
                                   const ExchangePtr& exchange) {
--- a/standins/engine/engine_service.h
+++ b/standins/engine/engine_service.h
@@ -13,14 +13,14 @@
 #include "engine/load_reports.h"
 #include "engine/loaded_models.h"
 #include "engine/model_loader.h"
-#include "engine/order_book.h"
+#include "engine/order_log.h"
 #include "engine/token_stream.h"
 #include "http/http_listener.h"
 #include "http/standin_clock.h"
 
 namespace meadowthread::standins {
 
-/// @brief How an engine stand-in is set up.
+/// @brief Configuration of an engine stand-in.
 struct EngineOptions {
   EngineLimits limits;
   std::string role = "general";
@@ -32,27 +32,30 @@
   std::int64_t cache_gap_every = 7;
 };
 
-/// @brief One model engine over HTTP.
+/// @brief HTTP interface of one simulated model engine.
 class EngineService final : public HttpService {
  public:
   EngineService(const EngineOptions& options, const std::string& name);
 
   void Handle(const Request& request, const ExchangePtr& exchange) override;
 
-  /// @brief Computes and sends what is due.
+  /// @brief Executes the steps that are due and sends the new tokens.
   void Tick();
 
-  /// @brief Told when a generation has begun whose prompt ends the engine.
-  void OnEnding(const std::function<void()>& told) { this->ending = told; }
+  /// @brief Sets the callback for a generation whose prompt crashes the engine;
+  /// called when such a generation has started.
+  void OnEngineCrash(const std::function<void()>& callback) {
+    this->on_engine_crash = callback;
+  }
 
-  /// @brief Loses all that it has, as a process does that ends.
+  /// @brief Closes all streams and loses all generations, as a crash does.
   void LoseAll();
 
  private:
   // 1. generations
   void Start(const Request& request, const ExchangePtr& exchange);
   std::string RejectionOf(const GenerationSpec& spec) const;
-  void Refuse(const GenerationSpec& spec, std::string_view reason);
+  void RecordRefusal(const GenerationSpec& spec, std::string_view reason);
   void Reject(const GenerationSpec& spec, std::string_view reason,
               const ExchangePtr& exchange);
   void Resume(const Request& request, const ExchangePtr& exchange);
@@ -67,7 +70,7 @@
   void SendCacheEvents(const Request& request, const ExchangePtr& exchange);
   void TakeOrder(const Request& request, const ExchangePtr& exchange);
 
-  // 3. control by tests
+  // 3. control calls of tests
   void HandleControl(const Request& request, const ExchangePtr& exchange);
   void ApplyFaults(const nlohmann::json& change);
   void CloseStreams();
@@ -80,17 +83,17 @@
   StandinClock clock;
   EngineModel model;
   LoadReports reports;
-  OrderBook orders;
+  OrderLog orders;
   LoadedModels models;
   ModelLoader loader;
   EngineRecord record;
   EngineFaults faults;
-  std::function<void()> ending;
+  std::function<void()> on_engine_crash;
   std::unordered_map<Generation*, std::unique_ptr<TokenStream>> streams;
   std::vector<ExchangePtr> corked;
   std::string buffer;
   std::int64_t token_events = 0;
-  bool streams_behind = false;  ///< a stream waits for more than a step
+  bool streams_behind = false;  ///< streams need pumping before the next step
 };
 
 }  // namespace meadowthread::standins
--- a/standins/engine/engine_wire.cc
+++ b/standins/engine/engine_wire.cc
@@ -13,16 +13,16 @@
 
 constexpr std::int64_t kDefaultOrphanTimeoutMs = 30'000;
 
-ModelRef ModelFrom(const json& source) {
+ModelRef ParseModel(const json& source) {
   return {source.value("model", ""), source.value("adapter", ""),
           source.value("version", "")};
 }
 
-GenerationSpec SpecFrom(const json& body) {
+GenerationSpec ParseSpec(const json& body) {
   GenerationSpec spec;
   spec.request = body.at("request").get<std::string>();
   spec.workspace = body.value("workspace", "");
-  spec.model = ModelFrom(body);
+  spec.model = ParseModel(body);
   spec.priority = body.value("priority", std::int64_t{0});
   spec.deadline_ms = body.value("deadline_unix_ms", std::int64_t{0});
   spec.orphan_timeout_ms =
@@ -35,7 +35,7 @@
   return spec;
 }
 
-Order OrderFrom(const json& body) {
+Order ParseOrderBody(const json& body) {
   Order order;
   order.holder = body.at("holder").get<std::string>();
   order.fence = body.at("fence").get<std::int64_t>();
@@ -43,7 +43,7 @@
   const json& desired = body.at("desired");
   order.role = desired.value("role", "");
   for (const json& model : desired.at("models")) {
-    order.models.push_back(ModelFrom(model));
+    order.models.push_back(ParseModel(model));
   }
   return order;
 }
@@ -52,7 +52,7 @@
 
 std::optional<GenerationSpec> ParseStart(std::string_view body) {
   try {
-    return SpecFrom(json::parse(body));
+    return ParseSpec(json::parse(body));
   } catch (const json::exception&) {
     return std::nullopt;
   }
@@ -60,7 +60,7 @@
 
 std::optional<Order> ParseOrder(std::string_view body) {
   try {
-    return OrderFrom(json::parse(body));
+    return ParseOrderBody(json::parse(body));
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/standins/engine/engine_wire.h
+++ b/standins/engine/engine_wire.h
@@ -7,28 +7,29 @@
 #include <vector>
 
 #include "engine/generation.h"
-#include "engine/order_book.h"
+#include "engine/order_log.h"
 #include "engine/prefix_cache.h"
 #include "nlohmann/json.hpp"
 
 namespace meadowthread::standins {
 
-/// @brief Reads the body of a start; none where a field is missing or wrong.
+/// @brief Parses the body of a start request; none if a field is missing or
+/// invalid.
 std::optional<GenerationSpec> ParseStart(std::string_view body);
 
-/// @brief Reads an order; none where it is malformed.
+/// @brief Parses an order; none if it is malformed.
 std::optional<Order> ParseOrder(std::string_view body);
 
-/// @brief Reads `model[/adapter[/version]],...` from the command line.
+/// @brief Parses the command-line value `model[/adapter[/version]],...`.
 std::vector<ModelRef> ParseModels(std::string_view text);
 
-/// @brief Models as the interface shows them.
+/// @brief The JSON form of a list of models.
 nlohmann::json ModelsJson(std::span<const ModelRef> models);
 
-/// @brief Cache events as the interface shows them.
+/// @brief The JSON form of a list of cache events.
 nlohmann::json CacheEventsJson(std::span<const CacheEvent> events);
 
-/// @brief The answer's name in the record.
+/// @brief The name under which the record shows an answer.
 std::string_view OrderAnswerName(OrderAnswer answer);
 
 }  // namespace meadowthread::standins
--- a/standins/engine/load_reports.cc
+++ b/standins/engine/load_reports.cc
@@ -5,18 +5,19 @@
 namespace meadowthread::standins {
 namespace {
 
-constexpr std::int64_t kNoteEveryMs = 20;
+constexpr std::int64_t kMinReportIntervalMs = 20;
 
 }  // namespace
 
 void LoadReports::Note(const EngineLoad& load, std::int64_t now_ms) {
-  const bool too_soon = !this->reports.empty() &&
-                        now_ms - this->reports.back().as_of_ms < kNoteEveryMs;
+  const bool too_soon =
+      !this->reports.empty() &&
+      now_ms - this->reports.back().as_of_ms < kMinReportIntervalMs;
   if (too_soon) {
     return;
   }
   this->reports.push_back({now_ms, load});
-  // One that is old enough stays; what came before it is never shown again.
+  // Keep the newest report older than the lag; earlier ones are no longer used.
   while (this->reports.size() > 1 &&
          this->reports[1].as_of_ms <= now_ms - this->lag_ms) {
     this->reports.pop_front();
--- a/standins/engine/load_reports.h
+++ b/standins/engine/load_reports.h
@@ -8,21 +8,21 @@
 
 namespace meadowthread::standins {
 
-/// @brief An engine's load as of a time.
+/// @brief An engine's load at a point in time.
 struct LoadReport {
   std::int64_t as_of_ms = 0;
   EngineLoad load;
 };
 
-/// @brief Gives load reports that lag; pure.
+/// @brief Delays load reports by a fixed lag; does no I/O.
 class LoadReports {
  public:
   explicit LoadReports(std::int64_t lag_ms) : lag_ms(lag_ms) {}
 
-  /// @brief Notes the load; often enough for the lag to be smooth.
+  /// @brief Records the load, unless the last record is less than 20 ms old.
   void Note(const EngineLoad& load, std::int64_t now_ms);
 
-  /// @brief The newest report that is old enough, else the oldest there is.
+  /// @brief The newest report at least as old as the lag, else the oldest one.
   LoadReport At(std::int64_t now_ms) const;
 
  private:
--- a/standins/engine/loaded_models.h
+++ b/standins/engine/loaded_models.h
@@ -7,23 +7,23 @@
 
 namespace meadowthread::standins {
 
-/// @brief Which models an engine has and which are on their way; pure.
+/// @brief Models that an engine has loaded or is loading; does no I/O.
 class LoadedModels {
  public:
-  /// @brief Loads at once.
+  /// @brief Adds a model as loaded.
   void Add(const ModelRef& model) { this->loaded.push_back(model); }
 
-  /// @brief Sets what is wanted; what isn't any more is unloaded at once.
-  /// @return the models whose loading begins now
+  /// @brief Sets the desired models; all others are unloaded at once.
+  /// @return the models to start loading
   std::vector<ModelRef> SetDesired(const std::vector<ModelRef>& desired);
 
-  /// @brief A model has come; ignored where it is no longer wanted.
+  /// @brief Marks a model as loaded; ignored if it is no longer desired.
   void MarkReady(const ModelRef& model);
 
-  /// @brief Whether a model is on its way and still wanted.
+  /// @brief Whether a model is being loaded and still desired.
   bool IsLoading(const ModelRef& model) const;
 
-  /// @brief Whether a model is there; an empty version stands for any.
+  /// @brief Whether a model is loaded; an empty version matches any.
   bool Has(const ModelRef& model) const;
 
   const std::vector<ModelRef>& Loaded() const { return this->loaded; }
--- a/standins/engine/model_loader.cc
+++ b/standins/engine/model_loader.cc
@@ -11,28 +11,29 @@
 namespace meadowthread::standins {
 namespace {
 
-constexpr std::chrono::seconds kShortestRetry{1};
+constexpr std::chrono::seconds kMinRetryDelay{1};
 
 }  // namespace
 
 ModelLoader::ModelLoader(std::string weights_url, std::string engine,
-                         StillWanted wanted, Ready ready)
+                         IsDesired is_desired, OnReady on_ready)
     : weights_url(std::move(weights_url)),
       engine(std::move(engine)),
-      wanted(std::move(wanted)),
-      ready(std::move(ready)) {}
+      is_desired(std::move(is_desired)),
+      on_ready(std::move(on_ready)) {}
 
 void ModelLoader::Load(const ModelRef& model) {
   if (this->weights_url.empty()) {
-    this->ready(model);
+    this->on_ready(model);
   } else {
-    this->Ask(model);
+    this->RequestLoad(model);
   }
 }
 
-// Qt may send this twice; a load twice only costs the store's budget.
-void ModelLoader::Ask(const ModelRef& model) {
-  if (!this->wanted(model)) {
+// Qt may send the request twice; a duplicate only uses up some of the weight
+// store's rate limit.
+void ModelLoader::RequestLoad(const ModelRef& model) {
+  if (!this->is_desired(model)) {
     return;
   }
   const nlohmann::json body = {{"engine", this->engine},
@@ -45,10 +46,10 @@
   QNetworkReply* reply =
       this->network.post(request, QByteArray::fromStdString(body.dump()));
   QObject::connect(reply, &QNetworkReply::finished, this,
-                   [this, model, reply] { this->Answered(model, reply); });
+                   [this, model, reply] { this->OnResponse(model, reply); });
 }
 
-void ModelLoader::Answered(const ModelRef& model, QNetworkReply* reply) {
+void ModelLoader::OnResponse(const ModelRef& model, QNetworkReply* reply) {
   reply->deleteLater();
   const int status =
       reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
@@ -58,13 +59,13 @@
     const std::int64_t wait_ms =
         body.is_object() ? body.value("ready_after_ms", std::int64_t{0}) : 0;
     QTimer::singleShot(std::chrono::milliseconds(wait_ms), this,
-                       [this, model] { this->ready(model); });
+                       [this, model] { this->on_ready(model); });
     return;
   }
   const std::chrono::seconds asked(reply->rawHeader("Retry-After").toInt());
-  // A coarse timer may fire early, before the store has anything to give.
-  QTimer::singleShot(std::max(asked, kShortestRetry), Qt::PreciseTimer, this,
-                     [this, model] { this->Ask(model); });
+  // A coarse timer may fire early, while the store still refuses the load.
+  QTimer::singleShot(std::max(asked, kMinRetryDelay), Qt::PreciseTimer, this,
+                     [this, model] { this->RequestLoad(model); });
 }
 
 }  // namespace meadowthread::standins
--- a/standins/engine/model_loader.h
+++ b/standins/engine/model_loader.h
@@ -10,28 +10,28 @@
 
 namespace meadowthread::standins {
 
-/// @brief Fetches models from the weight store, coming back when it is busy.
+/// @brief Loads models from the weight store; retries after a refusal.
 class ModelLoader final : public QObject {
  public:
-  using Ready = std::function<void(const ModelRef&)>;
-  using StillWanted = std::function<bool(const ModelRef&)>;
+  using OnReady = std::function<void(const ModelRef&)>;
+  using IsDesired = std::function<bool(const ModelRef&)>;
 
-  /// @param[in] weights_url the weight store; empty: everything is there
-  ModelLoader(std::string weights_url, std::string engine, StillWanted wanted,
-              Ready ready);
+  /// @param[in] weights_url the weight store; empty: models load at once
+  ModelLoader(std::string weights_url, std::string engine, IsDesired is_desired,
+              OnReady on_ready);
 
-  /// @brief Loads a model; `ready` is told, never from within the call unless
-  /// there is no weight store.
+  /// @brief Loads a model and then calls `on_ready`; from within this call only
+  /// if there is no weight store.
   void Load(const ModelRef& model);
 
  private:
-  void Ask(const ModelRef& model);
-  void Answered(const ModelRef& model, QNetworkReply* reply);
+  void RequestLoad(const ModelRef& model);
+  void OnResponse(const ModelRef& model, QNetworkReply* reply);
 
   std::string weights_url;
   std::string engine;
-  StillWanted wanted;
-  Ready ready;
+  IsDesired is_desired;
+  OnReady on_ready;
   QNetworkAccessManager network;
 };
 
--- a/standins/engine/order_book.cc
+++ b/standins/engine/order_log.cc
@@ -1,11 +1,11 @@
-#include "engine/order_book.h"
+#include "engine/order_log.h"
 
 #include <algorithm>
 
 namespace meadowthread::standins {
 
-OrderAnswer OrderBook::Take(const Order& order, std::int64_t now_ms) {
-  const OrderAnswer answer = this->Judge(order, now_ms);
+OrderAnswer OrderLog::Take(const Order& order, std::int64_t now_ms) {
+  const OrderAnswer answer = this->Evaluate(order, now_ms);
   if (answer == OrderAnswer::kApplied) {
     this->highest_fence = std::max(this->highest_fence, order.fence);
   }
@@ -13,7 +13,7 @@
   return answer;
 }
 
-OrderAnswer OrderBook::Judge(const Order& order, std::int64_t now_ms) const {
+OrderAnswer OrderLog::Evaluate(const Order& order, std::int64_t now_ms) const {
   if (order.deadline_ms > 0 && order.deadline_ms <= now_ms) {
     return OrderAnswer::kDeadlinePassed;
   }
--- a/standins/engine/prefix_cache.cc
+++ b/standins/engine/prefix_cache.cc
@@ -5,7 +5,7 @@
 namespace meadowthread::standins {
 namespace {
 
-constexpr std::size_t kKeptEvents = 10'000;
+constexpr std::size_t kMaxEvents = 10'000;
 
 }  // namespace
 
@@ -45,7 +45,7 @@
 void PrefixCache::Note(CacheEventKind kind, std::uint64_t prefix,
                        std::int64_t now_ms) {
   this->events.push_back({++this->last_seq, kind, prefix, now_ms});
-  if (this->events.size() > kKeptEvents) {
+  if (this->events.size() > kMaxEvents) {
     this->events.pop_front();
   }
 }
--- a/standins/engine/prefix_cache.h
+++ b/standins/engine/prefix_cache.h
@@ -8,10 +8,10 @@
 
 namespace meadowthread::standins {
 
-/// @brief What happened to a cached prefix.
+/// @brief Kind of change to the cache.
 enum class CacheEventKind { kStored, kEvicted };
 
-/// @brief One change of the cache.
+/// @brief One change to the cache.
 struct CacheEvent {
   std::int64_t seq = 0;
   CacheEventKind kind = CacheEventKind::kStored;
@@ -19,23 +19,21 @@
   std::int64_t at_ms = 0;
 };
 
-/// @brief Which prompt prefixes an engine holds, the least recently used one
-/// going first; pure.
+/// @brief LRU cache of prompt prefixes with a log of its changes; does no I/O.
 class PrefixCache {
  public:
-  /// @param[in] capacity prefixes held at most, at least one
+  /// @param[in] capacity maximum number of prefixes, at least 1
   explicit PrefixCache(std::size_t capacity) : capacity(capacity) {}
 
-  /// @brief Uses a prefix and holds it from now on.
-  /// @return whether it was held before
+  /// @brief Looks up a prefix and stores it if it is missing.
+  /// @return whether it was cached before
   bool Use(std::uint64_t prefix, std::int64_t now_ms);
 
-  /// @brief Forgets all prefixes; event numbers go on.
+  /// @brief Removes all prefixes and events; event numbers continue.
   void Clear();
 
-  /// @brief Events after a number that happened up to a time.
-  /// @param[in] gap_every each event whose number it divides is left out; 0:
-  /// none
+  /// @brief Events numbered above `seq` that occurred by `as_of_ms`.
+  /// @param[in] gap_every omits events whose number is a multiple; 0: none
   std::vector<CacheEvent> EventsAfter(std::int64_t seq, std::int64_t as_of_ms,
                                       std::int64_t gap_every) const;
 
@@ -43,7 +41,7 @@
   void Note(CacheEventKind kind, std::uint64_t prefix, std::int64_t now_ms);
 
   std::size_t capacity;
-  std::list<std::uint64_t> held;  ///< the most recently used first
+  std::list<std::uint64_t> held;  ///< most recently used first
   std::deque<CacheEvent> events;
   std::int64_t last_seq = 0;
 };
--- a/standins/engine/prompt.cc
+++ b/standins/engine/prompt.cc
@@ -11,11 +11,11 @@
 
 constexpr std::string_view kTokensDirective = "[tokens=";
 constexpr std::string_view kEchoDirective = "[echo-generation]";
-constexpr std::string_view kEndsDirective = "[ends-engine]";
-constexpr std::size_t kPrefixBytes = 256;
+constexpr std::string_view kCrashDirective = "[ends-engine]";
+constexpr std::size_t kMaxPrefixBytes = 256;
 constexpr std::int64_t kBytesPerToken = 4;
-constexpr std::int64_t kShortestOutput = 16;
-constexpr std::uint64_t kOutputSpread = 240;
+constexpr std::int64_t kMinOutputTokens = 16;
+constexpr std::uint64_t kOutputRangeTokens = 240;
 constexpr std::size_t kDigits = 20;
 
 std::int64_t LengthFor(std::string_view prompt) {
@@ -27,7 +27,8 @@
     return std::max<std::int64_t>(1, length);
   }
   const std::uint64_t hash = XXH64(prompt.data(), prompt.size(), 0);
-  return kShortestOutput + static_cast<std::int64_t>(hash % kOutputSpread);
+  return kMinOutputTokens +
+         static_cast<std::int64_t>(hash % kOutputRangeTokens);
 }
 
 }  // namespace
@@ -36,10 +37,10 @@
                  GenerationSpec* spec) {
   const auto bytes = static_cast<std::int64_t>(prompt.size());
   spec->prompt_tokens = bytes / kBytesPerToken + 1;
-  const std::size_t prefix_bytes = std::min(prompt.size(), kPrefixBytes);
+  const std::size_t prefix_bytes = std::min(prompt.size(), kMaxPrefixBytes);
   spec->prefix = XXH64(prompt.data(), prefix_bytes, 0);
   spec->echo_generation = prompt.find(kEchoDirective) != std::string_view::npos;
-  spec->ends_engine = prompt.find(kEndsDirective) != std::string_view::npos;
+  spec->crashes_engine = prompt.find(kCrashDirective) != std::string_view::npos;
   spec->length = LengthFor(prompt);
   spec->finish = Finish::kStop;
   if (max_tokens > 0 && spec->length > max_tokens) {
--- a/standins/engine/prompt.h
+++ b/standins/engine/prompt.h
@@ -9,14 +9,16 @@
 
 namespace meadowthread::standins {
 
-/// @brief Fixes a generation's output by its prompt: `[tokens=N]` fixes the
-/// length, `[echo-generation]` puts the generation's id into each token,
-/// `[ends-engine]` ends the engine that begins it.
+/// @brief Derives a generation's parameters from its prompt: `[tokens=N]` sets
+/// the output length, `[echo-generation]` puts the generation's id into each
+/// token, `[ends-engine]` crashes the engine that starts it. Without `[tokens=`
+/// the length depends on the prompt's hash.
 /// @param[in] max_tokens 0: no limit
 void ApplyPrompt(std::string_view prompt, std::int64_t max_tokens,
                  GenerationSpec* spec);
 
-/// @brief Appends the token at an index, `w<index> `.
+/// @brief Appends the text of the token at `index`: `w<index> `, or
+/// `w<index>@<generation id> ` if the generation echoes its id.
 void AppendToken(const Generation& generation, std::int64_t index,
                  std::string* out);
 
--- a/standins/engine/token_events.cc
+++ b/standins/engine/token_events.cc
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kDigits = 20;
 
-bool Chosen(std::int64_t count, std::int64_t every) {
+bool IsEveryNth(std::int64_t count, std::int64_t every) {
   return every > 0 && count % every == 0;
 }
 
@@ -33,16 +33,16 @@
   while (this->next_index < this->generation->generated) {
     const std::int64_t index = this->next_index++;
     ++*count;
-    if (Chosen(*count, faults.drop_every) &&
-        this->generation->left_out.insert(index).second) {
+    if (IsEveryNth(*count, faults.drop_every) &&
+        this->generation->dropped_indexes.insert(index).second) {
       continue;
     }
-    if (Chosen(*count, faults.reorder_every) && this->held_back.empty()) {
+    if (IsEveryNth(*count, faults.reorder_every) && this->held_back.empty()) {
       this->AppendToken(index, &this->held_back);
       continue;
     }
     this->AppendToken(index, out);
-    if (Chosen(*count, faults.duplicate_every)) {
+    if (IsEveryNth(*count, faults.duplicate_every)) {
       this->AppendToken(index, out);
     }
     out->append(std::exchange(this->held_back, {}));
--- a/standins/engine/token_events.h
+++ b/standins/engine/token_events.h
@@ -9,7 +9,8 @@
 
 namespace meadowthread::standins {
 
-/// @brief Writes one reader's events of a generation; pure.
+/// @brief Formats a generation's server-sent events for one reader, with
+/// injected faults; does no I/O.
 class TokenEvents {
  public:
   /// @param[in] from index of the first token to send
@@ -18,8 +19,9 @@
   /// @brief The `start` event.
   std::string StartEvent() const;
 
-  /// @brief Appends what is new: tokens, and the last event after the end.
-  /// @param[in,out] count token events of the engine, by which faults choose
+  /// @brief Appends the new tokens and, after the end, the final event.
+  /// @param[in,out] count the engine's token events so far; faults hit each
+  /// n-th of them
   /// @complexity the number of new tokens
   void AppendNew(const EngineFaults& faults, std::int64_t* count,
                  std::string* out);
@@ -30,7 +32,7 @@
            !this->generation->IsActive();
   }
 
-  /// @brief Whether the last event was appended.
+  /// @brief Whether the final event has been appended.
   bool IsOver() const { return this->over; }
 
  private:
@@ -39,8 +41,8 @@
 
   Generation* generation;
   std::int64_t next_index;
-  std::string data_start;  ///< the constant part of each token's data line
-  std::string held_back;   ///< an event that comes after its successor
+  std::string data_start;  ///< constant start of each token's data line
+  std::string held_back;   ///< event to send after its successor
   bool over = false;
 };
 
--- a/standins/engine/token_stream.cc
+++ b/standins/engine/token_stream.cc
@@ -5,8 +5,9 @@
 namespace meadowthread::standins {
 namespace {
 
-// A reader this far behind gets nothing more until it has read.
-constexpr std::int64_t kMostPendingBytes = std::int64_t{256} << 10;
+// Backpressure: a connection with more unsent bytes than this gets no further
+// events until the reader has caught up.
+constexpr std::int64_t kMaxPendingBytes = std::int64_t{256} << 10;
 
 }  // namespace
 
@@ -18,13 +19,13 @@
   this->exchange->StartStream("text/event-stream", this->events.StartEvent());
 }
 
-Pumped TokenStream::Pump(const EngineFaults& faults, std::int64_t now_ms,
-                         std::int64_t* count, std::string* buffer) {
+PumpResult TokenStream::Pump(const EngineFaults& faults, std::int64_t now_ms,
+                             std::int64_t* count, std::string* buffer) {
   if (!this->events.HasNew() && this->late.empty()) {
-    return Pumped::kUpToDate;
+    return PumpResult::kUpToDate;
   }
-  if (this->exchange->PendingBytes() > kMostPendingBytes) {
-    return Pumped::kBehind;
+  if (this->exchange->PendingBytes() > kMaxPendingBytes) {
+    return PumpResult::kBehind;
   }
   buffer->clear();
   this->events.AppendNew(faults, count, buffer);
@@ -35,13 +36,13 @@
     this->exchange->SendChunk(*buffer);
   }
   if (!this->late.empty()) {
-    return Pumped::kBehind;
+    return PumpResult::kBehind;
   }
   if (!this->events.IsOver()) {
-    return Pumped::kUpToDate;
+    return PumpResult::kUpToDate;
   }
   this->exchange->EndStream();
-  return Pumped::kOver;
+  return PumpResult::kOver;
 }
 
 void TokenStream::Delay(std::int64_t due_ms, std::int64_t now_ms,
--- a/standins/engine/token_stream.h
+++ b/standins/engine/token_stream.h
@@ -9,26 +9,26 @@
 
 namespace meadowthread::standins {
 
-/// @brief How a stream stands after it was pumped.
-enum class Pumped {
-  kUpToDate,  ///< nothing to send until the generation goes on
-  kBehind,    ///< something is held back and comes later
-  kOver,      ///< the last event was sent
+/// @brief State of a stream after `Pump`.
+enum class PumpResult {
+  kUpToDate,  ///< nothing to send until there are new tokens
+  kBehind,    ///< events are waiting to be sent later
+  kOver,      ///< the final event was sent
 };
 
-/// @brief One reader's stream of a generation over HTTP.
+/// @brief The HTTP event stream of a generation to one reader.
 class TokenStream {
  public:
   TokenStream(ExchangePtr exchange, Generation* generation, std::int64_t from);
 
-  /// @brief Sends the head and the `start` event.
+  /// @brief Sends the response head and the `start` event.
   void Begin();
 
-  /// @brief Sends what is new and due, in one write.
-  /// @param[in,out] count token events of the engine
+  /// @brief Sends the new events that are due, in one write.
+  /// @param[in,out] count the engine's token events so far
   /// @param[in,out] buffer scratch space, shared by an engine's streams
-  Pumped Pump(const EngineFaults& faults, std::int64_t now_ms,
-              std::int64_t* count, std::string* buffer);
+  PumpResult Pump(const EngineFaults& faults, std::int64_t now_ms,
+                  std::int64_t* count, std::string* buffer);
 
   const ExchangePtr& Exchange() const { return this->exchange; }
 
@@ -38,7 +38,8 @@
     std::string text;
   };
 
-  /// @brief Queues the buffer's text and puts what is due in its place.
+  /// @brief Queues the buffer's text until `due_ms` and replaces it by the
+  /// queued text that is due.
   void Delay(std::int64_t due_ms, std::int64_t now_ms, std::string* buffer);
 
   ExchangePtr exchange;
--- a/standins/hostlist/host_history.cc
+++ b/standins/hostlist/host_history.cc
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-// Plain scalars are typed as YAML's core schema types them; quoted ones stay
-// strings.
+// Plain numbers, booleans and nulls become JSON values of that type, as in
+// YAML's core schema; quoted scalars stay strings.
 json ScalarJson(const YAML::Node& node) {
   const std::string& text = node.Scalar();
   if (node.Tag() == "!") {
--- a/standins/hostlist/host_history.h
+++ b/standins/hostlist/host_history.h
@@ -11,27 +11,27 @@
 
 namespace meadowthread::standins {
 
-/// @brief The host list as it stood from a time on.
+/// @brief A version of the host list and when it became valid.
 struct HostListVersion {
   std::int64_t since_ms = 0;
   nlohmann::json hosts = nlohmann::json::array();
 };
 
-/// @brief The host list over time; pure, time is an argument.
+/// @brief All versions of the host list; does no I/O, time is an argument.
 class HostHistory {
  public:
-  /// @brief Puts a whole list in force.
+  /// @brief Replaces the list.
   void Set(const nlohmann::json& hosts, std::int64_t now_ms);
 
-  /// @brief The list as it stood at a time; empty before the first.
+  /// @brief The list that was valid at a time; empty before the first.
   HostListVersion At(std::int64_t as_of_ms) const;
 
  private:
   std::vector<HostListVersion> versions;
 };
 
-/// @brief Reads `{"hosts": [...]}` or a plain list; YAML or JSON.
-/// @return the entries, or an error that names the entry and field at fault
+/// @brief Parses `{"hosts": [...]}` or a plain list, in YAML or JSON.
+/// @return the entries, or an error that names the invalid entry and field
 absl::StatusOr<nlohmann::json> ParseHosts(std::string_view text);
 
 }  // namespace meadowthread::standins
--- a/standins/hostlist/host_list_service.h
+++ b/standins/hostlist/host_list_service.h
@@ -7,13 +7,13 @@
 
 namespace meadowthread::standins {
 
-/// @brief The platform's lagging host list over HTTP.
+/// @brief The platform's host list over HTTP; shows changes with a delay.
 class HostListService final : public HttpService {
  public:
-  /// @param[in] lag_ms how late a change is shown
+  /// @param[in] lag_ms delay until a change is visible
   explicit HostListService(std::int64_t lag_ms) : lag_ms(lag_ms) {}
 
-  /// @brief The list at the start, shown at once.
+  /// @brief Sets the initial list, which is visible at once.
   void SetFirst(const nlohmann::json& hosts) { this->history.Set(hosts, 0); }
 
   void Handle(const Request& request, const ExchangePtr& exchange) override;
--- a/standins/hostlist/run_host_list.cc
+++ b/standins/hostlist/run_host_list.cc
@@ -26,10 +26,11 @@
 
 int RunHostList(std::span<char* const> arguments) {
   CommandLine line("hostlist");
-  TCLAP::ValueArg<std::string> file("", "file", "The list at the start", false,
-                                    "", "path", line.Parser());
-  TCLAP::ValueArg<std::int64_t> lag("", "lag-ms", "How late changes are shown",
-                                    false, 0, "ms", line.Parser());
+  TCLAP::ValueArg<std::string> file("", "file", "File with the initial list",
+                                    false, "", "path", line.Parser());
+  TCLAP::ValueArg<std::int64_t> lag("", "lag-ms",
+                                    "Delay until a change is visible", false, 0,
+                                    "ms", line.Parser());
   line.Parse(arguments);
   HostListService service(lag.getValue());
   if (file.isSet() && !LoadFile(file.getValue(), &service)) {
--- a/standins/http/fault_control.h
+++ b/standins/http/fault_control.h
@@ -9,8 +9,8 @@
 
 namespace meadowthread::standins {
 
-/// @brief Answers `POST /standin/faults`; any other control call is refused.
-/// @param[in] apply takes the change; may throw nlohmann::json::exception
+/// @brief Handles `/standin/faults`; answers 400 to any other control call.
+/// @param[in] apply applies the change; may throw nlohmann::json::exception
 void ApplyFaultControl(
     const Request& request, const ExchangePtr& exchange,
     const std::function<void(const nlohmann::json& change)>& apply);
--- a/standins/http/http_exchange.cc
+++ b/standins/http/http_exchange.cc
@@ -29,7 +29,7 @@
 void HttpExchange::Send(const Reply& reply) {
   this->answered = true;
   QObject::disconnect(this->closed_connection);
-  std::string out = HeadOf(reply);
+  std::string out = FormatHead(reply);
   absl::StrAppend(&out, "Content-Length: ", reply.body.size(), "\r\n\r\n",
                   reply.body);
   this->Write(out);
@@ -41,7 +41,7 @@
   reply.content_type = content_type;
   reply.headers.push_back({"Cache-Control", "no-store"});
   reply.headers.push_back({"Transfer-Encoding", "chunked"});
-  this->frame = HeadOf(reply);
+  this->frame = FormatHead(reply);
   this->frame.append("\r\n");
   AppendChunk(&this->frame, first);
   this->Write(this->frame);
@@ -76,8 +76,8 @@
 
 void HttpExchange::SetCorked(bool is_corked) {
   this->corked = is_corked;
-  if (!is_corked && !this->held.empty()) {
-    this->Write(std::exchange(this->held, {}));
+  if (!is_corked && !this->corked_data.empty()) {
+    this->Write(std::exchange(this->corked_data, {}));
   }
 }
 
@@ -89,7 +89,7 @@
 std::int64_t HttpExchange::PendingBytes() const {
   const std::int64_t queued =
       this->socket == nullptr ? 0 : this->socket->bytesToWrite();
-  return queued + static_cast<std::int64_t>(this->held.size());
+  return queued + static_cast<std::int64_t>(this->corked_data.size());
 }
 
 void HttpExchange::OnClosed(std::function<void()> callback) {
@@ -106,11 +106,11 @@
     return;
   }
   if (this->corked) {
-    this->held.append(data);
+    this->corked_data.append(data);
     return;
   }
-  // Straight to the kernel while Qt holds nothing back: this saves a pass
-  // through its buffer and its write notifier for each token.
+  // Write to the socket directly while Qt has nothing buffered: this saves a
+  // pass through Qt's buffer and write notifier for each token.
   std::size_t sent = 0;
   if (this->socket->bytesToWrite() == 0) {
     const auto handle = static_cast<int>(this->socket->socketDescriptor());
--- a/standins/http/http_exchange.h
+++ b/standins/http/http_exchange.h
@@ -12,45 +12,46 @@
 
 namespace meadowthread::standins {
 
-/// @brief The answering side of one request.
+/// @brief The response side of one HTTP request.
 ///
-/// It outlives its connection: once that is gone, writing does nothing.
+/// May outlive its connection: once that is closed, writes do nothing.
 class HttpExchange {
  public:
   explicit HttpExchange(QTcpSocket* socket);
   ~HttpExchange();
 
-  /// @brief Sends a whole answer; the connection stays open for the next.
+  /// @brief Sends a complete response; the connection stays open.
   void Send(const Reply& reply);
 
-  /// @brief Sends the head of a chunked answer together with a first chunk.
+  /// @brief Sends the head of a chunked response together with a first chunk.
   void StartStream(std::string_view content_type, std::string_view first);
 
   /// @brief Sends one chunk.
   void SendChunk(std::string_view data);
 
-  /// @brief Ends a chunked answer.
+  /// @brief Ends a chunked response.
   void EndStream();
 
-  /// @brief Ends a chunked answer and closes the connection once it has left.
+  /// @brief Ends a chunked response; closes the connection once it is sent.
   void EndStreamAndClose();
 
-  /// @brief Closes the connection at once, whatever was answered.
+  /// @brief Closes the connection at once, even within a response.
   void Abort();
 
-  /// @brief While corked, bytes are kept instead of sent.
+  /// @brief While corked, bytes are buffered instead of sent.
   void SetCorked(bool is_corked);
 
-  /// @brief Whether the connection stands.
+  /// @brief Whether the connection is open.
   bool IsOpen() const;
 
-  /// @brief Whether the answer is whole.
+  /// @brief Whether the response is complete.
   bool IsAnswered() const { return this->answered; }
 
-  /// @brief Bytes waiting for a slow reader.
+  /// @brief Bytes that are not yet written to the socket.
   std::int64_t PendingBytes() const;
 
-  /// @brief Told once when the connection closes before the answer is whole.
+  /// @brief Sets the callback for a connection that closes before the response
+  /// is complete; called at most once.
   void OnClosed(std::function<void()> callback);
 
  private:
@@ -58,8 +59,8 @@
 
   QPointer<QTcpSocket> socket;
   QMetaObject::Connection closed_connection;
-  std::string held;
-  std::string frame;  ///< reused for framing, so that a chunk is one write
+  std::string corked_data;
+  std::string frame;  ///< reused buffer; frames a chunk as one write
   bool corked = false;
   bool answered = false;
 };
--- a/standins/http/http_listener.cc
+++ b/standins/http/http_listener.cc
@@ -10,7 +10,7 @@
 namespace meadowthread::standins {
 namespace {
 
-constexpr int kNewConnections = 4096;
+constexpr int kListenBacklog = 4096;
 
 std::string Decoded(const QByteArray& encoded) {
   return QByteArray::fromPercentEncoding(encoded).toStdString();
@@ -61,11 +61,10 @@
 std::uint16_t HttpListener::Listen(const std::string& address,
                                    std::uint16_t port, std::string_view role,
                                    std::string_view name) {
-  // A server of our own, since the one that listen() makes queues 50 new
-  // connections only: the kernel drops those beyond, and their callers try
-  // again a second later.
+  // The server that listen() creates has a backlog of only 50 connections; the
+  // kernel drops further ones, and their clients retry only a second later.
   auto server = std::make_unique<QTcpServer>();
-  server->setListenBacklogSize(kNewConnections);
+  server->setListenBacklogSize(kListenBacklog);
   if (!server->listen(QHostAddress(QString::fromStdString(address)), port)) {
     return 0;
   }
@@ -85,8 +84,9 @@
                      [this, socket] { this->latest.erase(socket); });
   } else if (const ExchangePtr before = known->second.lock();
              before != nullptr && !before->IsAnswered()) {
-    // Answers would mix: a request sent before the last one's answer is whole
-    // costs the connection.
+    // Pipelining is not supported, as the responses would interleave: a request
+    // that arrives before the previous response is complete closes the
+    // connection.
     socket->abort();
     return true;
   }
--- a/standins/http/http_listener.h
+++ b/standins/http/http_listener.h
@@ -11,24 +11,24 @@
 
 namespace meadowthread::standins {
 
-/// @brief What answers the requests of one listener.
+/// @brief Handles the requests of one listener.
 class HttpService {
  public:
   virtual ~HttpService() = default;
 
-  /// @brief Answers now or keeps the exchange and answers later.
+  /// @brief Answers the request, at once or later through `exchange`.
   virtual void Handle(const Request& request, const ExchangePtr& exchange) = 0;
 };
 
-/// @brief One listening port on Qt's HTTP server.
+/// @brief Listens on one port, with Qt's HTTP server.
 class HttpListener final : public QAbstractHttpServer {
  public:
-  /// @param[in] service outlives the listener
+  /// @param[in] service must outlive the listener
   explicit HttpListener(HttpService* service) : service(service) {}
 
   /// @brief Listens and prints the line `ready role=... name=... port=...`.
-  /// @param[in] port 0: any free one
-  /// @return the port, 0 where it cannot be had
+  /// @param[in] port 0: any free port
+  /// @return the port; 0 if it could not be bound
   std::uint16_t Listen(const std::string& address, std::uint16_t port,
                        std::string_view role, std::string_view name);
 
@@ -40,7 +40,7 @@
 
  private:
   HttpService* service;
-  /// The latest request of each connection.
+  /// Exchange of the latest request on each connection.
   std::unordered_map<QTcpSocket*, std::weak_ptr<HttpExchange>> latest;
 };
 
--- a/standins/http/http_message.cc
+++ b/standins/http/http_message.cc
@@ -9,7 +9,7 @@
 namespace meadowthread::standins {
 namespace {
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsName(std::string_view a, std::string_view b) {
   return absl::EqualsIgnoreCase(absl::string_view(a.data(), a.size()),
                                 absl::string_view(b.data(), b.size()));
 }
@@ -47,7 +47,7 @@
 
 std::string_view Request::HeaderValue(std::string_view name) const {
   for (const Header& header : this->headers) {
-    if (SameName(header.name, name)) {
+    if (EqualsName(header.name, name)) {
       return header.value;
     }
   }
@@ -80,7 +80,7 @@
 Reply JsonReply(int status, const nlohmann::json& body) {
   Reply reply;
   reply.status = status;
-  // Values that are no UTF-8 are shown mended rather than ending the process.
+  // Invalid UTF-8 is replaced; by default dump() would throw.
   reply.body =
       body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   return reply;
@@ -91,7 +91,7 @@
   return JsonReply(status, {{"reason", reason}, {"message", message}});
 }
 
-std::string HeadOf(const Reply& reply) {
+std::string FormatHead(const Reply& reply) {
   const std::string_view phrase = ReasonPhrase(reply.status);
   std::string head =
       absl::StrCat("HTTP/1.1 ", reply.status, " ",
--- a/standins/http/http_message.h
+++ b/standins/http/http_message.h
@@ -9,19 +9,19 @@
 
 namespace meadowthread::standins {
 
-/// @brief One header; names compare without case.
+/// @brief One header; the name is case-insensitive.
 struct Header {
   std::string name;
   std::string value;
 };
 
-/// @brief One parameter of a query.
+/// @brief One query parameter.
 struct QueryParameter {
   std::string name;
   std::string value;
 };
 
-/// @brief A whole request, already read.
+/// @brief A complete HTTP request.
 struct Request {
   std::string method;
   std::string path;                   ///< as sent, percent-encoded
@@ -31,20 +31,20 @@
   std::vector<Header> headers;
   std::string body;
 
-  /// @brief A header's value, empty where it is missing.
+  /// @brief A header's value; empty if it is missing.
   std::string_view HeaderValue(std::string_view name) const;
 
-  /// @brief A query parameter's value, empty where it is missing.
+  /// @brief A query parameter's value; empty if it is missing.
   std::string_view QueryValue(std::string_view name) const;
 
-  /// @brief A numeric query parameter, or `fallback`.
+  /// @brief A numeric query parameter; `fallback` if missing or no number.
   std::int64_t QueryNumber(std::string_view name, std::int64_t fallback) const;
 
-  /// @brief Whether the path has just these segments.
+  /// @brief Whether the path consists of exactly these segments.
   bool PathIs(std::initializer_list<std::string_view> parts) const;
 };
 
-/// @brief A whole answer.
+/// @brief A complete HTTP response.
 struct Reply {
   int status = 200;
   std::string content_type = "application/json";
@@ -52,14 +52,14 @@
   std::string body;
 };
 
-/// @brief An answer with a JSON body.
+/// @brief A response with a JSON body.
 Reply JsonReply(int status, const nlohmann::json& body);
 
-/// @brief An error answer with the body `{"reason", "message"}`.
+/// @brief An error response with the body `{"reason", "message"}`.
 Reply ErrorReply(int status, std::string_view reason, std::string_view message);
 
-/// @brief The status line and headers of an answer.
-std::string HeadOf(const Reply& reply);
+/// @brief The status line and headers of a response.
+std::string FormatHead(const Reply& reply);
 
 }  // namespace meadowthread::standins
 
--- a/standins/http/rate_limit.h
+++ b/standins/http/rate_limit.h
@@ -5,23 +5,24 @@
 
 namespace meadowthread::standins {
 
-/// @brief A token bucket that holds up to one second's worth.
+/// @brief A token bucket that holds the tokens of one second.
 class RateLimit {
  public:
   /// @param[in] per_second 0: no limit
   explicit RateLimit(double per_second);
 
-  /// @brief Takes one where there is one.
-  /// @param[in] now_ms milliseconds, never going back
+  /// @brief Takes a token if there is one.
+  /// @param[in] now_ms time in milliseconds; must not go back
+  /// @return whether a token was taken
   bool Take(std::int64_t now_ms);
 
-  /// @brief Milliseconds until the next one is there.
+  /// @brief Milliseconds until the next token, as of the last `Take`.
   std::int64_t WaitMs() const;
 
  private:
   double per_second;
-  double level;
-  std::int64_t filled_ms = 0;
+  double tokens;
+  std::int64_t last_refill_ms = 0;
 };
 
 }  // namespace meadowthread::standins
--- a/standins/http/standin_clock.h
+++ b/standins/http/standin_clock.h
@@ -5,8 +5,8 @@
 
 namespace meadowthread::standins {
 
-/// @brief Unix time that never goes back: the wall clock as it stood at the
-/// start, moved on by the monotonic one.
+/// @brief Unix time that never goes back: the wall clock at construction,
+/// advanced by the monotonic clock.
 class StandinClock {
  public:
   StandinClock()
--- a/standins/http/stop_signal.h
+++ b/standins/http/stop_signal.h
@@ -6,10 +6,10 @@
 
 namespace meadowthread::standins {
 
-/// @brief Ends the event loop on SIGTERM and SIGINT.
+/// @brief Quits the event loop on SIGTERM or SIGINT.
 ///
-/// The signals are blocked and read from a descriptor, so that nothing runs in
-/// a signal handler.
+/// The signals are blocked and read from a signalfd, so that no code runs in a
+/// signal handler.
 class StopSignal {
  public:
   StopSignal();
--- a/standins/objects/object_faults.h
+++ b/standins/objects/object_faults.h
@@ -7,30 +7,30 @@
 
 namespace meadowthread::standins {
 
-/// @brief What happens to one write.
+/// @brief How a fault affects one write.
 enum class WriteFate {
   kNormal,
-  kAnswerLost,   ///< takes effect, the connection closes without an answer
-  kRequestLost,  ///< never takes effect, the connection closes
-  kDelayed,      ///< the connection closes, takes effect later
+  kAnswerLost,   ///< applied; connection closed without an answer
+  kRequestLost,  ///< never applied; connection closed
+  kDelayed,      ///< connection closed; applied later
 };
 
-/// @brief The faults of the object API, set by tests.
+/// @brief Faults that tests inject into the object API.
 struct ObjectFaults {
   bool down = false;
   bool hang = false;
   bool watch_stall = false;
   std::int64_t slow_ms = 0;
   std::int64_t stale_reads_ms = 0;
-  std::int64_t lose_answers = 0;     ///< writes still to meet this
-  std::int64_t lose_requests = 0;    ///< writes still to meet this
-  std::int64_t delay_writes = 0;     ///< writes still to meet this
-  std::int64_t delay_writes_ms = 0;  ///< negative: until released
+  std::int64_t lose_answers = 0;     ///< number of next writes affected
+  std::int64_t lose_requests = 0;    ///< number of next writes affected
+  std::int64_t delay_writes = 0;     ///< number of next writes affected
+  std::int64_t delay_writes_ms = 0;  ///< negative: until `release_delayed`
 
-  /// @brief Takes over the fields that `change` names; the others stay.
+  /// @brief Sets the fields that `change` contains; others are unchanged.
   void Merge(const nlohmann::json& change);
 
-  /// @brief The next write's fate; counts it.
+  /// @brief The fate of the next write; decrements its fault's counter.
   WriteFate NextWrite();
 };
 
--- a/standins/objects/object_record.cc
+++ b/standins/objects/object_record.cc
@@ -3,15 +3,15 @@
 namespace meadowthread::standins {
 namespace {
 
-// Values past this are not kept in the record; keys and versions always are.
-constexpr std::size_t kKeptValueBytes = std::size_t{256} << 20;
+// Beyond this total the record omits values; keys and versions are always kept.
+constexpr std::size_t kMaxRecordedValueBytes = std::size_t{256} << 20;
 
 }  // namespace
 
 void ObjectRecord::Add(const ObjectWrite& write, std::int64_t version,
                        std::int64_t now_ms) {
   AppliedWrite applied{write.key, version, now_ms, write.removes, ""};
-  if (this->value_bytes + write.value.size() <= kKeptValueBytes) {
+  if (this->value_bytes + write.value.size() <= kMaxRecordedValueBytes) {
     applied.value = write.value;
     this->value_bytes += write.value.size();
   }
--- a/standins/objects/object_record.h
+++ b/standins/objects/object_record.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread::standins {
 
-/// @brief How often each kind of call came.
+/// @brief Number of calls received, by kind and by error.
 struct CallCounts {
   std::int64_t get = 0;
   std::int64_t put = 0;
@@ -23,7 +23,7 @@
   std::int64_t conflicts = 0;    ///< answered 412
 };
 
-/// @brief A write that took effect.
+/// @brief A write that was applied.
 struct AppliedWrite {
   ObjectKey key;
   std::int64_t version = 0;
@@ -32,16 +32,16 @@
   std::string value;
 };
 
-/// @brief What the object API saw, for tests to check.
+/// @brief Calls and applied writes of the object API, for tests to check.
 class ObjectRecord {
  public:
   CallCounts calls;
 
-  /// @brief Notes a write that took effect.
+  /// @brief Records a write that was applied.
   void Add(const ObjectWrite& write, std::int64_t version, std::int64_t now_ms);
 
   /// @brief The record as JSON.
-  /// @param[in] kind where not empty, only writes of this kind, with values
+  /// @param[in] kind if not empty, only writes of this kind, with their values
   nlohmann::json ToJson(std::string_view kind) const;
 
  private:
--- a/standins/objects/object_service.cc
+++ b/standins/objects/object_service.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kWatchTick{20};
-constexpr std::int64_t kLongestWatchMs = 60'000;
-constexpr std::size_t kLargestValueBytes = std::size_t{1} << 20;
+constexpr std::int64_t kMaxWatchMs = 60'000;
+constexpr std::size_t kMaxValueBytes = std::size_t{1} << 20;
 
 }  // namespace
 
@@ -67,7 +67,7 @@
       request.segments.size() == 3 && request.segments[0] == "objects";
   if (one_object && request.method == "GET") {
     ++this->record.calls.get;
-    if (!this->Limited(&this->read_limit, exchange)) {
+    if (!this->RejectIfLimited(&this->read_limit, exchange)) {
       this->Get({request.segments[1], request.segments[2]}, exchange);
     }
   } else if (one_object) {
@@ -75,13 +75,13 @@
   } else if (request.segments.size() == 2 && request.method == "GET" &&
              request.segments[0] == "objects") {
     ++this->record.calls.list;
-    if (!this->Limited(&this->read_limit, exchange)) {
+    if (!this->RejectIfLimited(&this->read_limit, exchange)) {
       this->List(request, exchange);
     }
   } else if (request.segments.size() == 2 && request.method == "GET" &&
              request.segments[0] == "watch") {
     ++this->record.calls.watch;
-    if (!this->Limited(&this->read_limit, exchange)) {
+    if (!this->RejectIfLimited(&this->read_limit, exchange)) {
       this->StartWatch(request, exchange);
     }
   } else {
@@ -89,7 +89,8 @@
   }
 }
 
-bool ObjectService::Limited(RateLimit* limit, const ExchangePtr& exchange) {
+bool ObjectService::RejectIfLimited(RateLimit* limit,
+                                    const ExchangePtr& exchange) {
   if (limit->Take(this->clock.NowMs())) {
     return false;
   }
@@ -131,7 +132,7 @@
 
 void ObjectService::List(const Request& request, const ExchangePtr& exchange) {
   const std::int64_t since = request.QueryNumber("since", 0);
-  if (this->table.TooOld(since)) {
+  if (this->table.IsTooOld(since)) {
     this->Answer(exchange, ErrorReply(410, "too_old", "list anew from 0"));
     return;
   }
@@ -147,7 +148,7 @@
   watch.kind = request.segments[1];
   watch.since = request.QueryNumber("since", 0);
   const std::int64_t wait_ms = std::clamp<std::int64_t>(
-      request.QueryNumber("wait_ms", 0), 0, kLongestWatchMs);
+      request.QueryNumber("wait_ms", 0), 0, kMaxWatchMs);
   watch.until_ms = this->clock.NowMs() + wait_ms;
   this->watches.push_back(watch);
   this->watch_timer.start();
@@ -174,13 +175,13 @@
     this->Answer(watch->exchange, ErrorReply(503, "unavailable", "an outage"));
     return true;
   }
-  if (this->table.TooOld(watch->since)) {
+  if (this->table.IsTooOld(watch->since)) {
     this->Answer(watch->exchange, ErrorReply(410, "too_old", "list anew"));
     return true;
   }
   const bool over = this->clock.NowMs() >= watch->until_ms;
-  // Stale reads show a write later than it happens, so that the standing
-  // revision alone doesn't tell whether there is anything new to see.
+  // With stale reads a write becomes visible later than the revision changes,
+  // so that an unchanged revision doesn't mean that there is nothing new.
   const bool unchanged = this->faults.stale_reads_ms == 0 &&
                          watch->seen_revision == this->table.Revision();
   if (unchanged && !over) {
@@ -201,10 +202,10 @@
 void ObjectService::Write(const Request& request, const ExchangePtr& exchange) {
   const bool removes = request.method == "DELETE";
   ++(removes ? this->record.calls.remove : this->record.calls.put);
-  if (this->Limited(&this->write_limit, exchange)) {
+  if (this->RejectIfLimited(&this->write_limit, exchange)) {
     return;
   }
-  if (request.body.size() > kLargestValueBytes) {
+  if (request.body.size() > kMaxValueBytes) {
     this->Answer(exchange, ErrorReply(413, "too_large", "over 1 MiB"));
     return;
   }
--- a/standins/objects/object_service.h
+++ b/standins/objects/object_service.h
@@ -14,14 +14,14 @@
 
 namespace meadowthread::standins {
 
-/// @brief How the object API stand-in is set up.
+/// @brief Configuration of the object API stand-in.
 struct ObjectOptions {
   double writes_per_second = 0;  ///< 0: no limit
-  double reads_per_second = 0;   ///< 0: no limit; a watch is one read
+  double reads_per_second = 0;   ///< 0: no limit; a watch counts as one read
   std::int64_t history_revisions = 1'000'000;
 };
 
-/// @brief The object API over HTTP.
+/// @brief The platform's object API over HTTP.
 class ObjectService final : public QObject, public HttpService {
  public:
   explicit ObjectService(const ObjectOptions& options);
@@ -40,7 +40,7 @@
   // 1. routing
   void HandleControl(const Request& request, const ExchangePtr& exchange);
   void HandleCall(const Request& request, const ExchangePtr& exchange);
-  bool Limited(RateLimit* limit, const ExchangePtr& exchange);
+  bool RejectIfLimited(RateLimit* limit, const ExchangePtr& exchange);
   void Answer(const ExchangePtr& exchange, const Reply& reply);
 
   // 2. reads
--- a/standins/objects/object_table.cc
+++ b/standins/objects/object_table.cc
@@ -5,20 +5,21 @@
 namespace meadowthread::standins {
 namespace {
 
-// Stale reads never reach further back.
-constexpr std::int64_t kKeptHistoryMs = 600'000;
+// Stale reads never go back further than this.
+constexpr std::int64_t kMaxHistoryAgeMs = 600'000;
 
 }  // namespace
 
 std::optional<std::int64_t> ObjectTable::Apply(const ObjectWrite& write,
                                                std::int64_t now_ms) {
   const auto found = this->objects.find(write.key);
-  const bool stands =
+  const bool exists =
       found != this->objects.end() && !found->second.back().deleted;
-  const std::int64_t standing = stands ? found->second.back().version : 0;
+  const std::int64_t current_version =
+      exists ? found->second.back().version : 0;
   const bool holds = write.condition.kind == ConditionKind::kAbsent
-                         ? !stands
-                         : stands && standing == write.condition.version;
+                         ? !exists
+                         : exists && current_version == write.condition.version;
   if (!holds) {
     return std::nullopt;
   }
@@ -52,16 +53,16 @@
                                 std::int64_t as_of_ms) const {
   ObjectListing listing;
   listing.revision = this->RevisionAt(as_of_ms);
-  // Many watches ask after each write: they must not cost a scan each.
+  // Every watch lists after each write, so avoid a full scan where possible.
   if (since > 0 && listing.revision == this->revision) {
-    this->AddNewest(kind, since, &listing);
+    this->ListByRevision(kind, since, &listing);
   } else {
-    this->AddScanned(kind, since, as_of_ms, &listing);
+    this->ListByScan(kind, since, as_of_ms, &listing);
   }
   return listing;
 }
 
-void ObjectTable::AddScanned(std::string_view kind, std::int64_t since,
+void ObjectTable::ListByScan(std::string_view kind, std::int64_t since,
                              std::int64_t as_of_ms,
                              ObjectListing* listing) const {
   const ObjectKey first{std::string(kind), ""};
@@ -75,8 +76,8 @@
   }
 }
 
-void ObjectTable::AddNewest(std::string_view kind, std::int64_t since,
-                            ObjectListing* listing) const {
+void ObjectTable::ListByRevision(std::string_view kind, std::int64_t since,
+                                 ObjectListing* listing) const {
   const auto names = this->newest.find(kind);
   if (names == this->newest.end()) {
     return;
@@ -86,14 +87,14 @@
     const ObjectKey key{std::string(kind), entry->second};
     listing->items.push_back({key, this->objects.at(key).back()});
   }
-  // By name, as a scan gives them.
+  // Sorted by name, as ListByScan returns them.
   std::sort(listing->items.begin(), listing->items.end(),
             [](const ListedObject& a, const ListedObject& b) {
               return a.key < b.key;
             });
 }
 
-bool ObjectTable::TooOld(std::int64_t since) const {
+bool ObjectTable::IsTooOld(std::int64_t since) const {
   const std::int64_t oldest = std::max(
       this->compacted_revision, this->revision - this->history_revisions);
   return since > 0 && since < oldest;
@@ -118,9 +119,9 @@
 void ObjectTable::Prune(History* history, std::int64_t now_ms) {
   const auto fresh = std::find_if(
       history->begin(), history->end(), [now_ms](const ObjectVersion& version) {
-        return version.written_ms > now_ms - kKeptHistoryMs;
+        return version.written_ms > now_ms - kMaxHistoryAgeMs;
       });
-  // The last old version is what a read of that long ago still shows.
+  // Keep the newest of the old versions: the oldest allowed read still sees it.
   if (fresh - history->begin() > 1) {
     history->erase(history->begin(), fresh - 1);
   }
--- a/standins/objects/object_table.h
+++ b/standins/objects/object_table.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread::standins {
 
-/// @brief The name of an object.
+/// @brief Kind and name that identify an object.
 struct ObjectKey {
   std::string kind;
   std::string name;
@@ -23,13 +23,13 @@
 
 /// @brief One version of an object.
 struct ObjectVersion {
-  std::int64_t version = 0;  ///< the store's revision at the write
+  std::int64_t version = 0;  ///< revision of the store after the write
   std::int64_t written_ms = 0;
   std::string value;
   bool deleted = false;  ///< a tombstone
 };
 
-/// @brief An object as a list shows it.
+/// @brief An object in a listing.
 struct ListedObject {
   ObjectKey key;
   ObjectVersion version;
@@ -37,11 +37,11 @@
 
 /// @brief The objects of a kind that changed after a revision.
 struct ObjectListing {
-  std::int64_t revision = 0;  ///< the revision that the listing shows
+  std::int64_t revision = 0;  ///< revision of the listed state
   std::vector<ListedObject> items;
 };
 
-/// @brief What must stand for a write to take effect.
+/// @brief Precondition of a write: the object is absent or has a given version.
 enum class ConditionKind { kAbsent, kVersion };
 struct Condition {
   ConditionKind kind = ConditionKind::kAbsent;
@@ -56,33 +56,35 @@
   bool removes = false;
 };
 
-/// @brief Versioned objects with their history; pure, time is an argument.
+/// @brief Versioned objects with their history; does no I/O, time is an
+/// argument.
 class ObjectTable {
  public:
-  /// @param[in] history_revisions how far back a reader may ask from
+  /// @param[in] history_revisions number of revisions back from which changes
+  /// can be listed
   explicit ObjectTable(std::int64_t history_revisions)
       : history_revisions(history_revisions) {}
 
-  /// @brief Applies a write whose condition holds.
-  /// @return the new version; none where the condition fails
+  /// @brief Applies a write if its condition holds.
+  /// @return the new version; none if the condition fails
   std::optional<std::int64_t> Apply(const ObjectWrite& write,
                                     std::int64_t now_ms);
 
-  /// @brief An object as it stood at a time, none where absent or deleted.
+  /// @brief An object's version at a time; none if absent or deleted.
   std::optional<ObjectVersion> Get(const ObjectKey& key,
                                    std::int64_t as_of_ms) const;
 
-  /// @brief Objects changed after `since`, as they stood at a time; tombstones
-  /// too where `since` is not 0.
-  /// @complexity the objects changed since; all of the kind where `since` is 0
-  /// or the time lies before the last write
+  /// @brief Objects changed after revision `since`, as of a time; includes
+  /// tombstones unless `since` is 0.
+  /// @complexity the objects changed since; all of the kind if `since` is 0 or
+  /// the time is before the last write
   ObjectListing List(std::string_view kind, std::int64_t since,
                      std::int64_t as_of_ms) const;
 
-  /// @brief Whether changes after `since` can no longer be told apart.
-  bool TooOld(std::int64_t since) const;
+  /// @brief Whether the history since `since` is no longer available.
+  bool IsTooOld(std::int64_t since) const;
 
-  /// @brief Forgets the history: every earlier revision is too old.
+  /// @brief Compacts the history: every earlier revision becomes too old.
   void Compact() { this->compacted_revision = this->revision; }
 
   std::int64_t Revision() const { return this->revision; }
@@ -90,13 +92,13 @@
  private:
   using History = std::vector<ObjectVersion>;
 
-  /// @brief Names of a kind by the revision of their newest version.
+  /// @brief Object names of a kind, by the revision of their newest version.
   using NamesByRevision = std::map<std::int64_t, std::string>;
 
-  void AddScanned(std::string_view kind, std::int64_t since,
+  void ListByScan(std::string_view kind, std::int64_t since,
                   std::int64_t as_of_ms, ObjectListing* listing) const;
-  void AddNewest(std::string_view kind, std::int64_t since,
-                 ObjectListing* listing) const;
+  void ListByRevision(std::string_view kind, std::int64_t since,
+                      ObjectListing* listing) const;
   static const ObjectVersion* VersionAt(const History& history,
                                         std::int64_t as_of_ms);
   std::int64_t RevisionAt(std::int64_t as_of_ms) const;
@@ -104,7 +106,8 @@
 
   std::map<ObjectKey, History> objects;
   std::map<std::string, NamesByRevision, std::less<>> newest;  ///< by kind
-  std::vector<std::int64_t> write_times_ms;  ///< by revision, from 1
+  std::vector<std::int64_t>
+      write_times_ms;  ///< element i: time of revision i + 1
   std::int64_t history_revisions;
   std::int64_t compacted_revision = 0;
   std::int64_t revision = 0;
--- a/standins/objects/object_wire.h
+++ b/standins/objects/object_wire.h
@@ -9,17 +9,17 @@
 
 namespace meadowthread::standins {
 
-/// @brief The version in quotes.
+/// @brief The ETag of a version: the number in double quotes.
 std::string EntityTag(std::int64_t version);
 
-/// @brief What `If-Match` or `If-None-Match: *` asks for; none where neither
-/// is there or it cannot be read.
+/// @brief The condition in `If-Match` or `If-None-Match: *`; none if both are
+/// missing or malformed.
 std::optional<Condition> ConditionOf(const Request& request);
 
-/// @brief An object as the interface shows it.
+/// @brief The JSON form of an object.
 nlohmann::json ObjectJson(const ObjectKey& key, const ObjectVersion& version);
 
-/// @brief A list or a watch's answer.
+/// @brief The JSON body of a list or watch response.
 nlohmann::json ListingJson(const ObjectListing& listing);
 
 }  // namespace meadowthread::standins
--- a/standins/objects/run_objects.cc
+++ b/standins/objects/run_objects.cc
@@ -8,13 +8,14 @@
 int RunObjects(std::span<char* const> arguments) {
   CommandLine line("objects");
   TCLAP::ValueArg<double> writes("", "writes-per-second",
-                                 "Writes let through; 0: all", false, 0, "rate",
-                                 line.Parser());
+                                 "Rate limit of writes; 0: none", false, 0,
+                                 "rate", line.Parser());
   TCLAP::ValueArg<double> reads("", "reads-per-second",
-                                "Reads and watches let through; 0: all", false,
-                                0, "rate", line.Parser());
+                                "Rate limit of reads and watches; 0: none",
+                                false, 0, "rate", line.Parser());
   TCLAP::ValueArg<std::int64_t> history(
-      "", "history", "Revisions back to which changes can be asked for", false,
+      "", "history",
+      "Number of past revisions from which changes can be listed", false,
       1'000'000, "revisions", line.Parser());
   line.Parse(arguments);
   ObjectService service(
--- a/standins/roles.h
+++ b/standins/roles.h
@@ -5,8 +5,8 @@
 
 namespace meadowthread::standins {
 
-// Each serves one role until SIGTERM, given the arguments after the role, and
-// returns the process's exit code.
+// Each function serves one role until SIGTERM or SIGINT. It gets the arguments
+// that follow the role and returns the exit code of the process.
 
 /// @brief Model engines, one or many, each on its own port.
 int RunEngine(std::span<char* const> arguments);
--- a/standins/serve.h
+++ b/standins/serve.h
@@ -8,8 +8,8 @@
 
 namespace meadowthread::standins {
 
-/// @brief Serves one service on one port until SIGTERM.
-/// @return the process's exit code
+/// @brief Serves one service on one port until SIGTERM or SIGINT.
+/// @return the exit code of the process
 int ServeUntilStopped(HttpService* service, std::string_view role,
                       const ListenOptions& listen);
 
--- a/standins/tests/engine_fixture.h
+++ b/standins/tests/engine_fixture.h
@@ -10,7 +10,8 @@
 constexpr std::int64_t kStartMs = 1'000'000;
 constexpr std::int64_t kTokenMs = 20;
 
-/// @brief An engine whose batch slows nothing, with this much memory.
+/// @brief Limits with this KV cache capacity and the same step time for every
+/// batch size.
 inline EngineLimits LimitsOf(std::int64_t kv_capacity) {
   EngineLimits limits;
   limits.token_ms = kTokenMs;
@@ -19,7 +20,7 @@
   return limits;
 }
 
-/// @brief A generation of this many tokens after a prompt of one.
+/// @brief A generation of `length` tokens with a one-token prompt.
 inline GenerationSpec SpecOf(std::int64_t length, std::int64_t priority = 1) {
   GenerationSpec spec;
   spec.request = "r";
@@ -29,9 +30,10 @@
   return spec;
 }
 
-/// @brief Moves an engine on by steps.
-inline std::int64_t RunSteps(EngineModel* model, std::int64_t from_ms,
-                             int steps) {
+/// @brief Advances an engine by `steps` token times.
+/// @return the time of the last step
+inline std::int64_t AdvanceSteps(EngineModel* model, std::int64_t from_ms,
+                                 int steps) {
   std::int64_t now_ms = from_ms;
   for (int step = 0; step < steps; ++step) {
     now_ms += kTokenMs;
--- a/standins/tests/engine_orders_test.cc
+++ b/standins/tests/engine_orders_test.cc
@@ -18,8 +18,8 @@
   return order;
 }
 
-Test(an_engine_that_checks, refuses_an_old_fencing_number) {
-  OrderBook book(true);
+Test(an_engine_that_checks_fences, refuses_an_old_fencing_token) {
+  OrderLog book(true);
   cr_assert(book.Take(OrderOf("a", 7), kNowMs) == OrderAnswer::kApplied);
   cr_assert(book.Take(OrderOf("b", 9), kNowMs) == OrderAnswer::kApplied);
   cr_assert(book.Take(OrderOf("a", 7), kNowMs) == OrderAnswer::kStaleFence);
@@ -27,14 +27,14 @@
   cr_assert(book.HighestFence() == 9 && book.Seen().size() == 4);
 }
 
-Test(an_engine_that_checks_nothing, takes_an_old_fencing_number) {
-  OrderBook book(false);
+Test(an_engine_that_checks_no_fences, applies_an_old_fencing_token) {
+  OrderLog book(false);
   cr_assert(book.Take(OrderOf("b", 9), kNowMs) == OrderAnswer::kApplied);
   cr_assert(book.Take(OrderOf("a", 7), kNowMs) == OrderAnswer::kApplied);
 }
 
-Test(an_engine_that_checks_nothing, refuses_an_order_past_its_deadline) {
-  OrderBook book(false);
+Test(an_engine_that_checks_no_fences, refuses_an_order_past_its_deadline) {
+  OrderLog book(false);
   cr_assert(book.Take(OrderOf("a", 7, kNowMs), kNowMs) ==
             OrderAnswer::kDeadlinePassed);
   cr_assert(book.HighestFence() == 0);
@@ -62,7 +62,7 @@
   cr_assert(!models.Has(one[0]));
 }
 
-Test(a_lagging_report, shows_the_load_of_that_long_ago) {
+Test(a_lagging_report, shows_the_load_at_the_lag_before_now) {
   LoadReports reports(1000);
   for (std::int64_t now_ms = 0; now_ms <= 5000; now_ms += 20) {
     EngineLoad load;
--- a/standins/tests/engine_service_test.cc
+++ b/standins/tests/engine_service_test.cc
@@ -7,7 +7,7 @@
 namespace meadowthread::standins {
 namespace {
 
-/// One engine over HTTP whose tokens come as fast as the timer goes.
+/// An engine over HTTP that generates a token about every millisecond.
 struct ServedEngine {
   ServedEngine() {
     EngineOptions options;
@@ -56,7 +56,7 @@
          "\"}";
 }
 
-std::string IdIn(const std::string& text) {
+std::string GenerationIdIn(const std::string& text) {
   const std::string mark = "{\"generation\":\"";
   const std::size_t at = text.find(mark) + mark.size();
   return text.substr(at, text.find('"', at) - at);
@@ -77,20 +77,21 @@
   cr_assert(WaitFor([&] { return caller.Got("\"incarnation\""); }));
 }
 
-Test(a_served_engine, gives_a_new_reader_the_place_of_the_old) {
+Test(a_served_engine, replaces_the_previous_reader_by_a_new_one) {
   const ServedEngine engine;
   RawCaller old_reader(engine.port);
   old_reader.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
   cr_assert(WaitFor([&] { return old_reader.Got("\"i\":9,"); }));
   RawCaller reader(engine.port);
-  reader.Send("GET", "/v1/generations/" + IdIn(old_reader.text) + "?from=5");
+  reader.Send("GET",
+              "/v1/generations/" + GenerationIdIn(old_reader.text) + "?from=5");
   cr_assert(WaitFor([&] { return reader.Got("\"i\":9,"); }));
   cr_assert(reader.Got("\"i\":5,") && !reader.Got("\"i\":4,"));
   cr_assert(WaitFor([&] { return old_reader.IsClosed(); }));
   cr_assert(engine.Record()["attempts"][0]["has_reader"] == true);
 }
 
-Test(a_served_engine, notices_that_a_reader_is_gone) {
+Test(a_served_engine, detects_that_a_reader_has_disconnected) {
   const ServedEngine engine;
   RawCaller reader(engine.port);
   reader.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
@@ -100,7 +101,7 @@
       [&] { return engine.Record()["attempts"][0]["has_reader"] == false; }));
 }
 
-Test(a_served_engine, records_what_it_refused_and_what_it_ran) {
+Test(a_served_engine, records_refused_and_executed_starts) {
   const ServedEngine engine;
   {
     engine.SetFaults(R"({"refuse_after_read":1})");
@@ -128,7 +129,7 @@
   }
 }
 
-Test(a_served_engine, goes_on_without_its_streams_and_resumes) {
+Test(a_served_engine, continues_without_readers_and_can_be_resumed) {
   const ServedEngine engine;
   RawCaller reader(engine.port);
   reader.Send("POST", "/v1/generations", StartOf("[tokens=600]"));
@@ -136,15 +137,17 @@
   engine.SetFaults(R"({"close_streams":true})");
   cr_assert(WaitFor([&] { return reader.IsClosed(); }));
   RawCaller again(engine.port);
-  again.Send("GET", "/v1/generations/" + IdIn(reader.text) + "?from=10");
+  again.Send("GET",
+             "/v1/generations/" + GenerationIdIn(reader.text) + "?from=10");
   cr_assert(WaitFor([&] { return again.Got("\"count\":600"); }));
   engine.SetFaults(R"({"lose_generations":true})");
   RawCaller late(engine.port);
-  late.Send("GET", "/v1/generations/" + IdIn(reader.text) + "?from=10");
+  late.Send("GET",
+            "/v1/generations/" + GenerationIdIn(reader.text) + "?from=10");
   cr_assert(WaitFor([&] { return late.Got("HTTP/1.1 404"); }));
 }
 
-Test(a_served_engine, closes_on_a_request_within_a_stream) {
+Test(a_served_engine, closes_the_connection_on_a_request_within_a_stream) {
   const ServedEngine engine;
   RawCaller caller(engine.port);
   caller.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
@@ -156,7 +159,7 @@
       [&] { return engine.Record()["attempts"][0]["has_reader"] == false; }));
 }
 
-Test(a_stalled_engine, accepts_and_sends_nothing_until_it_goes_on) {
+Test(a_stalled_engine, accepts_requests_but_sends_nothing_until_it_continues) {
   const ServedEngine engine;
   engine.SetFaults(R"({"stall":true})");
   RawCaller caller(engine.port);
--- a/standins/tests/host_history_test.cc
+++ b/standins/tests/host_history_test.cc
@@ -5,7 +5,7 @@
 namespace meadowthread::standins {
 namespace {
 
-Test(a_host_list, shows_changes_late) {
+Test(a_host_list, shows_the_version_valid_at_a_time) {
   HostHistory history;
   history.Set(nlohmann::json::array({1}), 0);
   history.Set(nlohmann::json::array({2}), 1000);
@@ -14,7 +14,7 @@
   cr_assert(history.At(-1).hosts.empty());
 }
 
-Test(a_host_list, is_read_from_yaml_and_json) {
+Test(a_host_list, is_parsed_from_yaml_and_json) {
   const auto hosts = ParseHosts(
       "- {name: n1, role: engine, address: 127.0.0.1, port: 80,"
       " checks_fence: true, zone: \"7\"}");
@@ -24,7 +24,7 @@
   cr_assert(ParseHosts("{\"hosts\": []}").ok());
 }
 
-Test(a_host_list, names_the_field_at_fault) {
+Test(a_host_list, names_the_invalid_field) {
   const auto hosts = ParseHosts("- {name: n1, role: engine}");
   cr_assert(!hosts.ok());
   cr_assert(hosts.status().message() == "hosts[0]: no text address");
--- a/standins/tests/http_fixture.h
+++ b/standins/tests/http_fixture.h
@@ -12,8 +12,8 @@
 
 namespace meadowthread::standins {
 
-/// @brief Runs the event loop until something holds; a generous limit ends a
-/// test that would never.
+/// @brief Runs the event loop until `holds` returns true, for at most 20 s.
+/// @return whether it did
 inline bool WaitFor(const std::function<bool()>& holds) {
   constexpr qint64 kLimitMs = 20'000;
   QElapsedTimer timer;
@@ -24,7 +24,7 @@
   return holds();
 }
 
-/// @brief A caller that sends bytes and gathers what comes back.
+/// @brief A client that sends raw HTTP and collects the bytes it receives.
 class RawCaller {
  public:
   explicit RawCaller(std::uint16_t port) {
@@ -47,7 +47,7 @@
     return this->text.find(part) != std::string::npos;
   }
 
-  /// @brief Whether an answer with a length is there as a whole.
+  /// @brief Whether a complete response with a Content-Length has arrived.
   bool IsAnswered() const {
     const std::string mark = "Content-Length: ";
     const std::size_t at = this->text.find(mark);
--- a/standins/tests/object_faults_test.cc
+++ b/standins/tests/object_faults_test.cc
@@ -7,7 +7,7 @@
 namespace meadowthread::standins {
 namespace {
 
-Test(a_faulty_object_api, counts_the_writes_that_meet_a_fault) {
+Test(a_faulty_object_api, applies_each_fault_to_the_given_number_of_writes) {
   ObjectFaults faults;
   faults.Merge({{"lose_answers", 1}, {"lose_requests", 1}});
   faults.Merge({{"delay_writes", 1}, {"delay_writes_ms", 50}});
@@ -25,7 +25,7 @@
   return ConditionOf(request);
 }
 
-Test(a_write, needs_a_condition_that_can_be_read) {
+Test(a_write, needs_a_well_formed_condition) {
   cr_assert(ConditionFrom("if-none-match", "*")->kind ==
             ConditionKind::kAbsent);
   cr_assert(ConditionFrom("If-Match", "\"17\"")->version == 17);
--- a/standins/tests/object_service_test.cc
+++ b/standins/tests/object_service_test.cc
@@ -13,7 +13,8 @@
     this->port = this->listener.Listen("127.0.0.1", 0, "objects", "o");
   }
 
-  /// @brief One call on its own connection; empty where it closed unanswered.
+  /// @brief Makes one call on its own connection; returns an empty string if it
+  /// was closed without an answer.
   std::string Call(const std::string& method, const std::string& path,
                    const std::string& body = "",
                    const std::string& header = "") const {
@@ -46,7 +47,7 @@
   std::uint16_t port = 0;
 };
 
-Test(a_write_that_meets_a_fault, takes_effect_though_its_answer_is_lost) {
+Test(a_write_with_an_injected_fault, is_applied_although_its_answer_is_lost) {
   const ServedObjects objects;
   objects.SetFaults(R"({"lose_answers":1})");
   cr_assert(objects.Create("a").empty());
@@ -54,14 +55,14 @@
   cr_assert(objects.Create("b").find("ETag: \"2\"") != std::string::npos);
 }
 
-Test(a_write_that_meets_a_fault, never_takes_effect_if_the_request_is_lost) {
+Test(a_write_with_an_injected_fault, is_never_applied_if_the_request_is_lost) {
   const ServedObjects objects;
   objects.SetFaults(R"({"lose_requests":1})");
   cr_assert(objects.Create("a").empty());
   cr_assert(!objects.Has("a"));
 }
 
-Test(a_write_that_meets_a_fault, takes_effect_late_if_its_condition_holds) {
+Test(a_write_with_an_injected_fault, is_applied_late_if_its_condition_holds) {
   const ServedObjects objects;
   objects.SetFaults(R"({"delay_writes":2,"delay_writes_ms":-1})");
   cr_assert(objects.Create("a").empty());
@@ -70,12 +71,12 @@
   cr_assert(!objects.Has("b"));
   objects.SetFaults(R"({"release_delayed":true})");
   cr_assert(objects.Has("b"));
-  // Of the two writes of "a" only the one with an answer took effect.
+  // Of the two writes of "a" only the one that was answered was applied.
   const std::string record = objects.Call("GET", "/standin/record");
   cr_assert(record.find("\"revision\":2") != std::string::npos);
 }
 
-Test(an_object_api, over_its_rate_applies_nothing) {
+Test(an_object_api, over_its_rate_limit_applies_nothing) {
   ObjectOptions options;
   options.writes_per_second = 0.001;
   const ServedObjects objects(options);
@@ -94,7 +95,7 @@
   cr_assert(!objects.Has("a"));
 }
 
-Test(a_watch, is_answered_by_the_first_change) {
+Test(a_watch, is_answered_at_the_first_change) {
   const ServedObjects objects;
   objects.Create("a");
   RawCaller watch(objects.port);
@@ -105,7 +106,7 @@
   cr_assert(!watch.Got("\"name\":\"a\""));
 }
 
-Test(a_stalled_watch, is_answered_only_when_it_goes_on) {
+Test(a_stalled_watch, is_answered_only_when_it_continues) {
   const ServedObjects objects;
   objects.Create("a");
   objects.SetFaults(R"({"watch_stall":true})");
--- a/standins/tests/object_table_test.cc
+++ b/standins/tests/object_table_test.cc
@@ -24,7 +24,7 @@
   return {{"claims", name}, "", {ConditionKind::kVersion, version}, true};
 }
 
-Test(a_conditional_write, takes_effect_only_while_its_condition_holds) {
+Test(a_conditional_write, is_applied_only_if_its_condition_holds) {
   ObjectTable table(kLongHistory);
   cr_assert(table.Apply(CreateOf("a", "1"), 0) == 1);
   cr_assert(!table.Apply(CreateOf("a", "2"), 0).has_value());
@@ -36,7 +36,7 @@
   cr_assert(table.Revision() == 2);
 }
 
-Test(a_conditional_write, creates_again_after_a_removal) {
+Test(a_conditional_write, can_create_an_object_again_after_its_removal) {
   ObjectTable table(kLongHistory);
   table.Apply(CreateOf("a", "1"), 0);
   cr_assert(table.Apply(RemovalOf("a", 1), 0) == 2);
@@ -47,7 +47,7 @@
   cr_assert(table.Apply(CreateOf("a", "4"), 0) == 3);
 }
 
-Test(a_list, shows_what_changed_with_tombstones) {
+Test(a_list, shows_changes_and_tombstones) {
   ObjectTable table(kLongHistory);
   table.Apply(CreateOf("a", "1"), 0);
   table.Apply(CreateOf("b", "2"), 0);
@@ -60,7 +60,7 @@
   cr_assert(table.List("claims", 3, kAlways).items.empty());
 }
 
-Test(a_stale_read, shows_one_earlier_state_whole) {
+Test(a_stale_read, shows_a_consistent_earlier_state) {
   ObjectTable table(kLongHistory);
   table.Apply(CreateOf("a", "1"), 100);
   table.Apply(UpdateOf("a", "2", 1), 200);
@@ -81,7 +81,7 @@
   return names;
 }
 
-Test(a_list, is_the_same_by_revision_and_by_scan) {
+Test(a_list, is_the_same_from_the_index_and_from_a_scan) {
   ObjectTable table(kLongHistory);
   std::mt19937 random(11);
   for (int write = 0; write < 500; ++write) {
@@ -96,7 +96,7 @@
     }
   }
   const std::int64_t revision = table.Revision();
-  // One more write later: reads as of before it have to scan.
+  // After this later write, a read as of an earlier time has to scan.
   table.Apply({{"marks", "m"}, "", {ConditionKind::kAbsent, 0}, false}, 1000);
   for (std::int64_t since = 1; since <= revision; ++since) {
     cr_assert(NamesIn(table.List("claims", since, kAlways)) ==
@@ -105,15 +105,15 @@
   cr_assert(table.List("claims", 1, kAlways).items.size() > 20);
 }
 
-Test(a_revision, is_too_old_past_the_history) {
+Test(a_revision, is_too_old_beyond_the_history) {
   ObjectTable table(2);
   for (int write = 0; write < 5; ++write) {
     table.Apply(CreateOf(std::to_string(write), ""), 0);
   }
-  cr_assert(table.TooOld(2));
-  cr_assert(!table.TooOld(3) && !table.TooOld(0));
+  cr_assert(table.IsTooOld(2));
+  cr_assert(!table.IsTooOld(3) && !table.IsTooOld(0));
   table.Compact();
-  cr_assert(table.TooOld(4) && !table.TooOld(5));
+  cr_assert(table.IsTooOld(4) && !table.IsTooOld(5));
 }
 
 }  // namespace
--- a/standins/tests/token_events_test.cc
+++ b/standins/tests/token_events_test.cc
@@ -41,7 +41,7 @@
   return IndexesIn(out);
 }
 
-Test(a_stream, writes_the_events_of_the_interface) {
+Test(a_stream, writes_events_in_the_wire_format) {
   Generation generation = GenerationOf(2);
   TokenEvents events(&generation, 1);
   std::int64_t count = 0;
@@ -57,7 +57,7 @@
   cr_assert(events.IsOver());
 }
 
-Test(a_stream, says_that_its_generation_is_lost) {
+Test(a_stream, ends_with_a_lost_event_for_a_lost_generation) {
   Generation generation = GenerationOf(0);
   generation.state = GenerationState::kLost;
   generation.lost_reason = "memory";
@@ -69,7 +69,7 @@
             "event: lost\ndata: {\"g\":\"g1\",\"reason\":\"memory\"}\n\n");
 }
 
-Test(a_faulty_stream, doubles_swaps_and_drops_events) {
+Test(a_faulty_stream, duplicates_reorders_and_drops_events) {
   EngineFaults duplicates;
   duplicates.duplicate_every = 3;
   cr_assert(SentWith(duplicates) == (std::vector<int>{0, 1, 2, 2, 3, 4, 5, 5}));
@@ -81,25 +81,26 @@
   cr_assert(SentWith(drops) == (std::vector<int>{0, 1, 3, 4}));
 }
 
-// Of 400 tokens 74 were left, twice what lies between two that are left out:
-// read on from there, each stream left out its first token again, and the
-// answer ended as one whose tokens are missing.
-Test(a_faulty_stream, sends_a_token_that_it_left_out_when_it_is_read_on) {
+// Guards against a token that is dropped again on each resume: with 74 of 400
+// tokens left, twice the distance of 37 between dropped tokens, each resumed
+// stream dropped its first token again, so that the answer ended with tokens
+// missing.
+Test(a_faulty_stream, sends_a_dropped_token_after_a_resume) {
   constexpr std::int64_t kEvery = 37;
   Generation generation = GenerationOf(2 * kEvery);
   EngineFaults drops;
   drops.drop_every = kEvery;
   std::int64_t count = kEvery - 1;
-  for (const bool is_left_out : {true, false}) {
+  for (const bool is_dropped : {true, false}) {
     TokenEvents events(&generation, 0);
     std::string out;
     events.AppendNew(drops, &count, &out);
-    cr_assert(out.starts_with("id: 1\n") == is_left_out, "%s",
+    cr_assert(out.starts_with("id: 1\n") == is_dropped, "%s",
               out.substr(0, 40).c_str());
   }
 }
 
-Test(a_prompt, fixes_the_output) {
+Test(a_prompt, determines_the_output) {
   const auto spec_of = [](const std::string& prompt, int max_tokens) {
     GenerationSpec spec;
     ApplyPrompt(prompt, max_tokens, &spec);
@@ -113,7 +114,7 @@
   cr_assert(spec_of("[echo-generation]", 0).echo_generation);
 }
 
-Test(a_start, without_its_fields_is_malformed) {
+Test(a_start, without_required_fields_is_malformed) {
   cr_assert(ParseStart("{\"request\":\"r\",\"prompt\":\"p\"}").has_value());
   cr_assert(!ParseStart("{\"request\":\"r\"}").has_value());
   cr_assert(!ParseStart("{\"request\":1,\"prompt\":\"p\"}").has_value());
--- a/standins/weights/run_weights.cc
+++ b/standins/weights/run_weights.cc
@@ -8,9 +8,9 @@
 int RunWeights(std::span<char* const> arguments) {
   CommandLine line("weights");
   TCLAP::ValueArg<double> rate("", "loads-per-second",
-                               "Loads let through; 0: all", false, 0, "rate",
+                               "Rate limit of loads; 0: none", false, 0, "rate",
                                line.Parser());
-  TCLAP::ValueArg<std::int64_t> load_ms("", "load-ms", "How long a load takes",
+  TCLAP::ValueArg<std::int64_t> load_ms("", "load-ms", "Duration of a load",
                                         false, WeightOptions().load_ms, "ms",
                                         line.Parser());
   line.Parse(arguments);
--- a/standins/weights/weight_service.h
+++ b/standins/weights/weight_service.h
@@ -11,13 +11,13 @@
 
 namespace meadowthread::standins {
 
-/// @brief How the weight store is set up.
+/// @brief Configuration of the weight store stand-in.
 struct WeightOptions {
   double loads_per_second = 0;  ///< 0: no limit
-  std::int64_t load_ms = 200;   ///< how long a load takes
+  std::int64_t load_ms = 200;   ///< duration of a load
 };
 
-/// @brief A load that was asked for.
+/// @brief A requested load of a model into an engine.
 struct WeightLoad {
   std::string engine;
   std::string model;
