--- a/standins/engine/engine_arguments.cc
+++ b/standins/engine/engine_arguments.cc
@@ -20,7 +20,7 @@
       slowdown("", "slowdown",
                "Share by which each running generation slows a step", false,
                EngineLimits().slowdown, "share", *line),
-      kv("", "kv", "KV cache capacity", false, EngineLimits().kv_capacity,
+      kv("", "kv", "Memory", false, EngineLimits().kv_capacity,
          "tokens", *line),
       queue("", "queue", "Longest queue", false, EngineLimits().longest_queue,
             "n", *line),
--- a/standins/engine/engine_model.h
+++ b/standins/engine/engine_model.h
@@ -16,7 +16,7 @@
 /// @brief Speed and capacity of a simulated engine.
 struct EngineLimits {
   double token_ms = 20;     ///< duration of a step with an empty batch
-  double slowdown = 0.005;  ///< added per running generation
+  double slowdown = 0.005;  ///< relative slowdown per running generation
   std::int64_t kv_capacity = 400'000;  ///< tokens
   std::int64_t longest_queue = 1024;   ///< waiting generations
   std::int64_t largest_batch = 512;    ///< running generations
--- a/standins/engine/engine_pool.h
+++ b/standins/engine/engine_pool.h
@@ -27,8 +27,8 @@
 
   struct Member {
     std::unique_ptr<EngineService> service;
-    std::unique_ptr<HttpListener>
-        listener;  ///< null: crashed, not yet restarted
+    /// Null between a crash and the restart.
+    std::unique_ptr<HttpListener> listener;
     std::string name;
     std::string address;
     std::uint16_t port = 0;
--- a/standins/objects/object_table.h
+++ b/standins/objects/object_table.h
@@ -106,8 +106,7 @@
 
   std::map<ObjectKey, History> objects;
   std::map<std::string, NamesByRevision, std::less<>> newest;  ///< by kind
-  std::vector<std::int64_t>
-      write_times_ms;  ///< element i: time of revision i + 1
+  std::vector<std::int64_t> write_times_ms;  ///< [i]: time of revision i + 1
   std::int64_t history_revisions;
   std::int64_t compacted_revision = 0;
   std::int64_t revision = 0;
