--- a/model/lease.pml
+++ b/model/lease.pml
@@ -130,7 +130,7 @@
   atomic { on_way[h] && PAUSE_IS_BOUNDED(h) -> \
     if \
     :: ACCEPTS(h) -> \
-      assert(order_fence[h] >= engine_fence); /* E: never an older */ \
+      assert(order_fence[h] >= engine_fence); /* E: never decreases */ \
       engine_fence = order_fence[h] \
     :: else \
     fi; \
@@ -138,7 +138,8 @@
     order_checked[h] = 0 }
 
 #ifdef BOUNDED_PAUSE
-/* Two ticks: by this the wait exceeds the time that a lease may be held. */
+/* Two ticks: the difference between the wait before a takeover and the longest
+ * time that a lease may be held. */
 #define PAUSE_IS_BOUNDED(h) (SINCE(order_checked[h]) < WINDOW + 1)
 #else
 #define PAUSE_IS_BOUNDED(h) true
@@ -222,7 +223,7 @@
   started_by[epoch] = half
 }
 
-/* Whether a read of version `v` is as new as the host's registration. */
+/* Whether a read of version `v` is at least as new as the registration. */
 #ifdef REVISIONS_COMPARED
 #define COVERS(v) ((v) >= registered_at)
 #else
--- a/model/move.pml
+++ b/model/move.pml
@@ -29,7 +29,7 @@
 #define COPYING 0
 #define STOPPING 1          /* the stop order was sent */
 #define STOPPED 2           /* the order was answered, or its answer is lost */
-#define MOVED 3             /* resumed at the target, or back at the source */
+#define MOVED 3             /* resume requested at the target or the source */
 #define OVER 4
 byte phase;
 byte at;                    /* the engine whose stream is read */
--- a/standins/engine/prompt.h
+++ b/standins/engine/prompt.h
@@ -11,8 +11,8 @@
 
 /// @brief Derives a generation's parameters from its prompt: `[tokens=N]` sets
 /// the output length, `[echo-generation]` puts the generation's id into each
-/// token, `[ends-engine]` crashes the engine that starts it. Without `[tokens=`
-/// the length depends on the prompt's hash.
+/// token, `[ends-engine]` crashes the engine that starts it. Without
+/// `[tokens=N]` the length depends on the prompt's hash.
 /// @param[in] max_tokens 0: no limit
 void ApplyPrompt(std::string_view prompt, std::int64_t max_tokens,
                  GenerationSpec* spec);
