--- a/src/base/absl_view.h
+++ b/src/base/absl_view.h
@@ -7,7 +7,8 @@
 
 namespace meadowthread {
 
-/// @brief The same text for Abseil, whose packaged build has a view of its own.
+/// @brief Converts to absl::string_view, which is not std::string_view in the
+/// packaged build of Abseil.
 inline absl::string_view AbslView(std::string_view text) {
   return {text.data(), text.size()};
 }
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -5,26 +5,26 @@
 
 namespace meadowthread {
 
-/// @brief Where time comes from; tests give their own.
+/// @brief Source of the current time; tests substitute a ManualClock.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  /// @brief Milliseconds of a clock that never goes back.
+  /// @brief Milliseconds of a monotonic clock.
   virtual std::int64_t MonotonicMs() const = 0;
 
   /// @brief Milliseconds since the Unix epoch.
   virtual std::int64_t WallMs() const = 0;
 };
 
-/// @brief The machine's clocks.
+/// @brief Reads the clocks of the operating system.
 class SystemClock final : public Clock {
  public:
   std::int64_t MonotonicMs() const override;
   std::int64_t WallMs() const override;
 };
 
-/// @brief A clock that moves only when told to.
+/// @brief A clock for tests that moves only through Advance.
 class ManualClock final : public Clock {
  public:
   explicit ManualClock(std::int64_t start_ms) : now_ms(start_ms) {}
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -14,7 +14,8 @@
 
 using nlohmann::json;
 
-// The payload is JSON so that it survives being printed by Status::ToString.
+// The payload is JSON so that it stays readable in the output of
+// Status::ToString.
 std::string Encode(const ErrorDetail& detail) {
   return ErrorDetailJson(detail).dump(-1, ' ', false,
                                       json::error_handler_t::replace);
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -9,10 +9,11 @@
 
 namespace meadowthread {
 
-/// @brief Stable error numbers; a number is never given a second meaning.
+/// @brief Error numbers. They are stable: a number is never reused with another
+/// meaning.
 enum class ErrorId : int {
   kInternal = 100,
-  // 1xx: what the caller sent.
+  // 1xx: errors in the caller's request.
   kMalformedRequest = 101,
   kFieldMissing = 102,
   kFieldInvalid = 103,
@@ -27,7 +28,7 @@
   kResumeTokenExpired = 112,
   kNotFound = 113,
   kHeaderTooLarge = 114,
-  // 2xx: refusals by policy.
+  // 2xx: requests rejected by policy.
   kOverloaded = 201,
   kWorkspaceLimit = 202,
   kDeadlinePassed = 203,
@@ -61,22 +62,22 @@
   kClaimUnsettled = 602,
 };
 
-/// @brief How a request that did not complete ended.
+/// @brief Whether a request that failed was executed.
 enum class Outcome {
-  kNone,         ///< not a request's end
-  kNotRun,       ///< no engine or backend server ran it and none ever will
+  kNone,         ///< the error does not end a request
+  kNotRun,       ///< no engine or backend server ran it or will run it
   kUnknown,      ///< it may have run
-  kInterrupted,  ///< it ran and ended before its answer was whole
+  kInterrupted,  ///< it ran but ended before its answer was complete
 };
 
-/// @brief What an error carries besides its message.
+/// @brief Structured details of an error, in addition to its message.
 struct ErrorDetail {
   ErrorId id = ErrorId::kInternal;
   Outcome outcome = Outcome::kNone;
-  std::string step;                  ///< the step at which it arose
-  std::string peer;                  ///< the peer it arose with, empty if none
-  std::string field;                 ///< the field at fault, empty if none
-  std::int64_t retry_after_ms = -1;  ///< when to come back; -1: says nothing
+  std::string step;                  ///< the step that failed
+  std::string peer;                  ///< the peer involved, empty if none
+  std::string field;                 ///< the invalid field, empty if none
+  std::int64_t retry_after_ms = -1;  ///< when to retry; -1: not specified
 
   friend bool operator==(const ErrorDetail&, const ErrorDetail&) = default;
 };
@@ -84,17 +85,18 @@
 /// @brief The outcome's name on the wire ("none", "not_run", ...).
 std::string_view OutcomeName(Outcome outcome);
 
-/// @brief A status that carries the detail.
-/// @param[in] code the canonical code
-/// @param[in] detail id, outcome, step, peer, field and time to come back
-/// @param[in] message what happened, for a person
+/// @brief Creates a status that carries the detail as a payload.
+/// @param[in] code the canonical Abseil status code
+/// @param[in] detail id, outcome, step, peer, field and retry delay
+/// @param[in] message a readable description
 absl::Status MakeError(absl::StatusCode code, const ErrorDetail& detail,
                        std::string_view message);
 
-/// @brief The detail carried by `status`; kInternal where it carries none.
+/// @brief The detail carried by `status`; a default one with kInternal if it
+/// carries none.
 ErrorDetail DetailOf(const absl::Status& status);
 
-/// @brief The same error with another outcome.
+/// @brief A copy of the error with another outcome.
 absl::Status WithOutcome(const absl::Status& status, Outcome outcome);
 
 }  // namespace meadowthread
--- a/src/base/error_json.h
+++ b/src/base/error_json.h
@@ -6,7 +6,8 @@
 
 namespace meadowthread {
 
-/// @brief An error's detail as every message between our processes carries it.
+/// @brief An error detail in the JSON form used in all messages between
+/// processes of this system.
 nlohmann::json ErrorDetailJson(const ErrorDetail& detail);
 
 }  // namespace meadowthread
--- a/src/base/ip_and_port.cc
+++ b/src/base/ip_and_port.cc
@@ -13,7 +13,7 @@
 bool IsNumberOf(int family, std::string_view text) {
   const std::string terminated(text);
   std::array<unsigned char, sizeof(in6_addr)> address = {};
-  // What follows a zero byte would go unseen.
+  // inet_pton stops at a zero byte and would ignore the rest of the text.
   return text.find('\0') == std::string_view::npos &&
          inet_pton(family, terminated.c_str(), address.data()) == 1;
 }
--- a/src/base/json_fields.cc
+++ b/src/base/json_fields.cc
@@ -19,7 +19,8 @@
   return found == object.end() ? nullptr : &*found;
 }
 
-// A number beyond 64 signed bits would come back as another one.
+// An unsigned number beyond the range of int64 would be converted to a
+// different value.
 bool IsInt64(const json& value) {
   return value.is_number_integer() &&
          (!value.is_number_unsigned() ||
--- a/src/base/json_slices.cc
+++ b/src/base/json_slices.cc
@@ -11,14 +11,15 @@
 constexpr std::string_view kSpaces = " \t\r\n";
 constexpr std::string_view kAfterScalar = " \t\r\n,]}:\"[{";
 
-/// @brief A place in a text of JSON.
+/// @brief A read position in JSON text.
 class Cursor {
  public:
   explicit Cursor(std::string_view text) : text(text) {}
 
   bool AtEnd() const { return this->at >= this->text.size(); }
 
-  /// @brief Goes over spaces and over `wanted` behind them, if it stands there.
+  /// @brief Skips white space and then `wanted`, if it comes next.
+  /// @return whether `wanted` was skipped
   bool Take(char wanted) {
     this->SkipSpaces();
     if (this->AtEnd() || this->text[this->at] != wanted) {
@@ -28,8 +29,8 @@
     return true;
   }
 
-  /// @brief Goes over spaces and one value.
-  /// @return its text, empty where there is none
+  /// @brief Skips white space and one value.
+  /// @return the text of the value, empty if there is none
   std::string_view TakeValue() {
     this->SkipSpaces();
     const std::size_t begin = this->at;
@@ -46,7 +47,7 @@
                         this->text.size());
   }
 
-  /// @brief Goes over a string that begins here.
+  /// @brief Skips the string that starts at the current position.
   bool SkipString() {
     for (++this->at; !this->AtEnd(); ++this->at) {
       if (this->text[this->at] == '"') {
@@ -113,7 +114,7 @@
   for (std::size_t at = 0; at < json_text.size(); ++at) {
     const char here = json_text[at];
     if (here == '"') {
-      // To the string's end, or to the text's where it has none.
+      // Skip to the closing quote, or to the end of the text if there is none.
       for (++at; at < json_text.size() && json_text[at] != '"'; ++at) {
         at += json_text[at] == '\\' ? 1 : 0;
       }
--- a/src/base/json_slices.h
+++ b/src/base/json_slices.h
@@ -9,32 +9,37 @@
 
 namespace meadowthread {
 
-/// @brief Deepest nesting of a document that is read.
+/// @brief Maximum nesting depth of an accepted JSON document.
 ///
-/// Documents of this product nest less than ten deep; libraries copy and write
-/// values by recursion, a frame of some hundred bytes a level.
+/// The limit protects the stack: libraries copy and write values by recursion,
+/// with a stack frame of some hundred bytes per level. Documents of this system
+/// nest less than ten levels deep.
 inline constexpr std::size_t kMostJsonDepth = 200;
 
-/// @brief Whether arrays and objects nest deeper than `limit`.
+/// @brief Whether arrays and objects are nested deeper than `limit`.
 /// @complexity linear, without recursion
 bool NestsDeeper(std::string_view json_text, std::size_t limit);
 
-/// @brief A member as it stands in the text; the key with its quotes.
+/// @brief The unparsed text of an object member: the key, with its quotes, and
+/// the value.
 using JsonMember = std::pair<std::string_view, std::string_view>;
 
-/// @brief The texts of an array's elements, empty where it is no array.
+/// @brief Splits an array into the unparsed texts of its elements; empty if the
+/// text is not an array.
 ///
-/// Only brackets and quotes are looked at: what stands between them may be
-/// anything, so that one element that can't be read costs no other one.
+/// Only brackets, quotes and separators are examined, so that one invalid
+/// element does not make the others unreadable.
 /// @complexity linear, without recursion
 std::optional<std::vector<std::string_view>> JsonElements(
     std::string_view array_text);
 
-/// @brief The texts of an object's members, as JsonElements.
+/// @brief Splits an object into the unparsed texts of its members, in the same
+/// way as JsonElements.
 std::optional<std::vector<JsonMember>> JsonMembers(
     std::string_view object_text);
 
-/// @brief A member's text, empty where there is none; of several the last.
+/// @brief The unparsed value of a member, empty if there is none; the last one
+/// if the key is repeated.
 std::string_view JsonMemberText(std::string_view object_text,
                                 std::string_view name);
 
--- a/src/base/lifetime.h
+++ b/src/base/lifetime.h
@@ -6,11 +6,12 @@
 
 namespace meadowthread {
 
-/// @brief A member of an object whose callbacks may be called after its end.
-/// Declared last, so that it ends first.
+/// @brief Disables the callbacks of an object once it is destroyed.
+///
+/// To be the last member of the object, so that it is destroyed first.
 class Lifetime {
  public:
-  /// @brief `task`, which does nothing any more once the owner is gone.
+  /// @brief Wraps `task` so that it does nothing once the owner is destroyed.
   template <typename Task>
   auto Guarded(Task task) const {
     return [task = std::move(task),
--- a/src/base/log_line.cc
+++ b/src/base/log_line.cc
@@ -12,7 +12,8 @@
 namespace meadowthread {
 namespace {
 
-// Control characters would act on whoever shows the line.
+// Control characters are quoted too, as they could manipulate the terminal that
+// shows the line.
 bool NeedsQuotes(std::string_view value) {
   return value.empty() ||
          value.find_first_of(" \"=\\") != std::string_view::npos ||
--- a/src/base/log_writer.cc
+++ b/src/base/log_writer.cc
@@ -15,10 +15,11 @@
 
 constexpr double kMsPerSecond = 1000.0;
 constexpr std::int64_t kTellEveryMs = 1'000;
-// Lines are gathered up to this much before a write is tried: one call of the
-// system for many lines. A process flushes the rest a few times a second.
+// Lines are buffered up to this size before a write is attempted, to use one
+// system call for many lines. The process flushes the rest a few times per
+// second.
 constexpr std::size_t kWriteFromBytes = 3'072;
-// A pipe that can be written to takes at least this much without waiting.
+// A pipe that is ready for writing accepts at least this much without blocking.
 constexpr std::size_t kPipeBytes = PIPE_BUF;
 
 }  // namespace
@@ -60,7 +61,8 @@
   const std::lock_guard<std::mutex> lock(this->mutex);
   const std::int64_t now_ms = this->clock.MonotonicMs();
   Allowance& allowance = is_important ? this->important : this->routine;
-  // Routine makes way before the room for what matters is used up.
+  // Routine lines may fill only half of the buffer, to leave room for important
+  // ones.
   const std::size_t room =
       is_important ? this->bounds.held_bytes : this->bounds.held_bytes / 2;
   if (!allowance.Spend(now_ms) || this->held.size() + line.size() > room) {
@@ -100,8 +102,8 @@
   this->WriteSome();
 }
 
-// In pieces that a pipe takes whole once it takes anything, so that no write
-// waits for the reader.
+// Writes in pieces of at most PIPE_BUF bytes, which a pipe that is ready
+// accepts whole, so that no write blocks on the reader.
 void LogWriter::WriteSome() {
   std::size_t begin = 0;
   while (begin < this->held.size()) {
@@ -113,7 +115,8 @@
     const ssize_t count =
         write(this->descriptor, this->held.data() + begin, size);
     if (count <= 0) {
-      // Nobody reads any more: there is nowhere to say so.
+      // The reader is gone: drop the lines, as there is nowhere to report the
+      // error.
       if (count < 0 && errno != EINTR && errno != EAGAIN) {
         begin = this->held.size();
       }
@@ -131,7 +134,7 @@
 
 namespace {
 
-// Lines of other threads may come until the very end: never destroyed.
+// Never destroyed, as other threads may log until the process exits.
 LogWriter* standard_output_log = nullptr;
 
 }  // namespace
--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -13,24 +13,25 @@
 
 namespace meadowthread {
 
-/// @brief How much a process logs at most.
+/// @brief Limits on the log output of a process.
 struct LogBounds {
-  /// Lines of routine decisions a second: a host under its usual load writes a
-  /// tenth of it.
+  /// Routine lines per second; a host under normal load writes a tenth of this.
   double routine_per_second = 400.0;
-  /// Lines of failures and of changed beliefs a second, kept before routine.
+  /// Lines per second about failures and changes of state; separate from the
+  /// routine limit, so that routine lines do not displace them.
   double important_per_second = 200.0;
-  /// Held for a reader that does not read; beyond it lines are dropped.
+  /// Buffer size for a reader that falls behind; further lines are dropped.
   std::size_t held_bytes = std::size_t{256} * 1024;
 };
 
-/// @brief Writes glog's lines to a descriptor without ever waiting for it.
+/// @brief A glog sink that writes to a file descriptor without ever blocking on
+/// it.
 ///
-/// What a bound or a reader that does not read makes it drop is counted and
-/// told in a line of its own: `event=log-dropped`.
+/// Lines dropped because of a limit or a slow reader are counted and reported
+/// in a line `event=log-dropped`.
 class LogWriter final : public google::LogSink {
  public:
-  /// @param[in] descriptor a pipe, a file or a terminal; stays the caller's
+  /// @param[in] descriptor a pipe, a file or a terminal; owned by the caller
   /// @param[in] clock outlives the writer
   LogWriter(int descriptor, const LogBounds& bounds, const Clock& clock);
   LogWriter(const LogWriter&) = delete;
@@ -41,17 +42,19 @@
             const google::LogMessageTime& time, const char* message,
             std::size_t message_len) override;
 
-  /// @brief Takes a line without its end.
+  /// @brief Buffers a line, given without its line break, or drops it if a
+  /// limit is exceeded.
   void Take(std::string_view line, bool is_important);
 
-  /// @brief Writes what the reader takes now.
+  /// @brief Writes as much of the buffer as the descriptor accepts without
+  /// blocking.
   void Flush();
 
-  /// @brief Lines dropped since the start.
+  /// @brief Number of lines dropped since the start.
   std::int64_t Dropped() const;
 
  private:
-  /// @brief A count of lines that refills with time.
+  /// @brief A token bucket that limits lines per second.
   struct Allowance {
     double per_second = 0.0;
     double level = 0.0;
@@ -75,16 +78,17 @@
   std::int64_t told_ms = 0;
 };
 
-/// @brief Sends every line of this process to the standard output by a
-/// LogWriter that lasts as long as the process. Nothing goes to files. To be
+/// @brief Redirects all glog output of this process, instead of to files, to
+/// standard output through a LogWriter that lives as long as the process. To be
 /// called once.
 void LogToStandardOutput();
 
-/// @brief Writes what that log holds and its reader takes now; to be called a
-/// few times a second.
+/// @brief Flushes the log of LogToStandardOutput without blocking; to be called
+/// a few times per second.
 void FlushLog();
 
-/// @brief Lines that the log has dropped since the start.
+/// @brief Number of lines that the log of LogToStandardOutput has dropped since
+/// the start.
 std::int64_t LogLinesDropped();
 
 }  // namespace meadowthread
--- a/src/base/manual_scheduler.h
+++ b/src/base/manual_scheduler.h
@@ -11,19 +11,19 @@
 
 namespace meadowthread {
 
-/// @brief A scheduler for tests: tasks run only when the test says so, those
-/// due first first, and equal ones in the order they were given.
+/// @brief A scheduler for tests: tasks run only when the test asks for it,
+/// ordered by due time, and in the order of scheduling if due at the same time.
 class ManualScheduler final : public Scheduler {
  public:
-  /// @param[in] clock tells what is due; outlives the scheduler
+  /// @param[in] clock decides which tasks are due; outlives the scheduler
   explicit ManualScheduler(ManualClock* clock) : clock(clock) {}
 
   void After(std::int64_t delay_ms, std::function<void()> task) override {
     this->tasks.emplace(this->clock->MonotonicMs() + delay_ms, std::move(task));
   }
 
-  /// @brief Runs the first task that is due now.
-  /// @return whether there was one
+  /// @brief Runs the earliest task that is due.
+  /// @return whether a task was due
   bool RunOne() {
     const auto first = this->tasks.begin();
     const bool due = first != this->tasks.end() &&
@@ -37,7 +37,7 @@
     return true;
   }
 
-  /// @brief Runs everything that is due now.
+  /// @brief Runs all tasks that are due.
   void RunDue() {
     while (this->RunOne()) {
     }
--- a/src/base/nearest_name.cc
+++ b/src/base/nearest_name.cc
@@ -8,11 +8,12 @@
 namespace meadowthread {
 namespace {
 
-// Longer names are no slip of the pen, and the cost grows with their length.
+// Longer names are unlikely to be typing errors, and the cost grows with the
+// length.
 constexpr std::size_t kMaxNameLength = 64;
 constexpr std::size_t kShortestPart = 3;
 
-// Levenshtein's distance, one row at a time.
+// Levenshtein distance, computed row by row.
 std::size_t EditDistance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -28,7 +29,8 @@
   return row.back();
 }
 
-// A name that only lacks its beginning or end was surely meant.
+// A name that contains the input counts as a close match: only its beginning or
+// end is missing.
 bool IsPartOf(std::string_view part, std::string_view name) {
   return part.size() >= kShortestPart &&
          name.find(part) != std::string_view::npos;
--- a/src/base/nearest_name.h
+++ b/src/base/nearest_name.h
@@ -6,9 +6,9 @@
 
 namespace meadowthread {
 
-/// @brief The known name that a misspelt one was most likely meant to be.
-/// @return empty where none is near enough
-/// @complexity product of both lengths, for each known name
+/// @brief The known name closest to a misspelt one, for "did you mean" hints.
+/// @return empty if no name is close enough
+/// @complexity O(product of both lengths) per known name
 std::string_view NearestName(std::string_view misspelt,
                              std::span<const std::string_view> known);
 
--- a/src/base/scheduler.h
+++ b/src/base/scheduler.h
@@ -6,7 +6,7 @@
 
 namespace meadowthread {
 
-/// @brief Runs tasks later, on the event loop's thread.
+/// @brief Runs delayed tasks on the event loop's thread.
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
@@ -15,9 +15,10 @@
   virtual void After(std::int64_t delay_ms, std::function<void()> task) = 0;
 };
 
-/// @brief Runs `task` every `period_ms`, for as long as the scheduler runs
-/// anything.
-/// @param[in] scheduler,task what the task uses outlives the scheduler's tasks
+/// @brief Runs `task` every `period_ms`, first after one period, for as long as
+/// the scheduler runs tasks.
+/// @param[in] scheduler outlived by everything that `task` uses
+/// @param[in] task the task to repeat
 void RunEvery(Scheduler& scheduler, std::int64_t period_ms,
               const std::function<void()>& task);
 
--- a/src/base/served_model.h
+++ b/src/base/served_model.h
@@ -6,13 +6,14 @@
 
 namespace meadowthread {
 
-/// @brief A model with its adapter and version, as engines have it loaded.
+/// @brief A model with its adapter and version, as loaded by an engine.
 struct ServedModel {
   std::string model;
-  std::string adapter;  ///< empty: the bare model
+  std::string adapter;  ///< empty: the model without an adapter
   std::string version;
 
-  // clang-tidy 14 takes the comparison's own 0 for a null pointer.
+  // clang-tidy 14 mistakes the literal 0 in the defaulted comparison for a null
+  // pointer.
   friend auto operator<=>(  // NOLINTNEXTLINE(modernize-use-nullptr)
       const ServedModel&, const ServedModel&) = default;
 };
--- a/src/base/sha256.h
+++ b/src/base/sha256.h
@@ -7,10 +7,10 @@
 
 namespace meadowthread {
 
-/// @brief A SHA-256.
+/// @brief A SHA-256 hash.
 using Hash256 = std::array<std::uint8_t, 32>;
 
-/// @brief The SHA-256 of these bytes.
+/// @brief Computes the SHA-256 hash of `bytes`.
 Hash256 Sha256Of(std::string_view bytes);
 
 }  // namespace meadowthread
--- a/src/base/tests/error_test.cc
+++ b/src/base/tests/error_test.cc
@@ -28,7 +28,7 @@
   cr_assert(DetailOf(second).step == "stream");
 }
 
-Test(an_error, that_carries_nothing_reads_as_internal) {
+Test(an_error, without_details_is_internal) {
   cr_assert(DetailOf(absl::InternalError("x")).id == ErrorId::kInternal);
 }
 
--- a/src/base/tests/json_slices_test.cc
+++ b/src/base/tests/json_slices_test.cc
@@ -1,4 +1,5 @@
-// Texts of JSON cut into their parts without reading these.
+// Tests that JSON text is split into its elements and members without parsing
+// them.
 #include "base/json_slices.h"
 
 #include <criterion/criterion.h>
@@ -10,7 +11,7 @@
 namespace meadowthread {
 namespace {
 
-Test(a_list, is_cut_into_its_elements_as_they_stand) {
+Test(a_list, is_split_into_its_unparsed_elements) {
   const auto elements = JsonElements(
       R"( [ 1 , "a,]\"b" ,{"x":[1,{"y":"}"}]}, [] ,null,-1e400,NaN ] )");
   cr_assert(elements.has_value() && elements->size() == 7);
@@ -21,7 +22,7 @@
   cr_assert(JsonElements("[]")->empty() && JsonElements(" [ ] ")->empty());
 }
 
-Test(a_list, whose_elements_cannot_be_told_apart_is_none) {
+Test(a_list, that_is_malformed_has_no_elements) {
   for (const char* const text :
        {"", "[", "]", "[1", "[1,", "[1,]", "[,1]", "[1 2]", "[1]]", "[1]x",
         "[\"a]", "[{]", "[{]}]", "{}", "7", "[\"a\\\"]"}) {
@@ -29,19 +30,20 @@
   }
 }
 
-Test(an_object, gives_its_members_as_they_stand) {
+Test(an_object, is_split_into_its_unparsed_members) {
   constexpr std::string_view kText =
       "{\"a\":{\"b\":1} , \"b\" : \"\xff\" ,\"a\":2,\"\\u0063\":[3]}";
   const auto members = JsonMembers(kText);
   cr_assert(members.has_value() && members->size() == 4);
-  cr_assert(JsonMemberText(kText, "a") == "2", "the last of its name counts");
+  cr_assert(JsonMemberText(kText, "a") == "2",
+            "the last of repeated keys counts");
   cr_assert(JsonMemberText(kText, "b") == "\"\xff\"");
-  cr_assert(JsonMemberText(kText, "c") == "[3]", "however its key is spelt");
+  cr_assert(JsonMemberText(kText, "c") == "[3]", "keys with escapes match too");
   cr_assert(JsonMemberText(kText, "d").empty());
   cr_assert(JsonMembers("{}")->empty());
 }
 
-Test(an_object, whose_members_cannot_be_told_apart_is_none) {
+Test(an_object, that_is_malformed_has_no_members) {
   for (const char* const text :
        {"", "{", "}", "{\"a\"}", "{\"a\":}", "{\"a\":1,}", "{a:1}", "{1:1}",
         "{\"a\":1]", "{\"a\":1}}", "[]", "null", "{\"a\":\"}", "{:1}"}) {
@@ -61,14 +63,14 @@
   cr_assert(JsonMemberText("{\"a\":" + deep + "}", "a") == deep);
 }
 
-Test(a_document, that_is_nested_too_deeply_is_refused) {
+Test(a_document, that_is_nested_too_deeply_is_rejected) {
   const std::string nested = std::string(kMostJsonDepth - 1, '[') +
                              std::string(kMostJsonDepth - 1, ']');
   cr_assert(ParseObject("{\"a\":" + nested + "}", "s", "p").ok());
   cr_assert(!ParseObject("{\"a\":[" + nested + "]}", "s", "p").ok());
 }
 
-Test(a_number, beyond_its_field_is_not_taken_for_another_one) {
+Test(a_number, beyond_int64_is_not_converted_to_another_value) {
   const auto value = ParseObject(
       R"({"most":9223372036854775807,"more":9223372036854775808})", "s", "p");
   cr_assert(IntOr(*value, "most", 3) == 9223372036854775807);
--- a/src/base/tests/lifetime_test.cc
+++ b/src/base/tests/lifetime_test.cc
@@ -30,11 +30,11 @@
   cr_assert(calls == 3);
 }
 
-Test(a_guarded_callback, does_nothing_after_its_owner) {
+Test(a_guarded_callback, does_nothing_after_its_owner_is_destroyed) {
   int calls = 0;
   auto owner = std::make_unique<Owner>(calls);
   const auto told = owner->Callback();
-  // when the owner goes
+  // The callback must not touch the owner once it is destroyed.
   owner.reset();
   told(1);
   cr_assert(calls == 0);
--- a/src/base/tests/log_line_test.cc
+++ b/src/base/tests/log_line_test.cc
@@ -5,14 +5,14 @@
 namespace meadowthread {
 namespace {
 
-Test(a_log_line, quotes_what_would_not_read_back) {
+Test(a_log_line, quotes_values_that_could_not_be_parsed_otherwise) {
   LogLine line("route");
   line.Add("request", "r-1").Add("why", "least \"full\"").Add("count", 3);
   cr_assert(line.Text() ==
             "event=route request=r-1 why=\"least \\\"full\\\"\" count=3");
 }
 
-Test(a_log_line, lets_no_control_character_of_another_writer_through) {
+Test(a_log_line, escapes_control_characters) {
   LogLine line("entry-refused");
   line.Add("name", std::string_view("a\x1b[2J\0b", 7)).Add("tab", "a\tb");
   cr_assert(line.Text() ==
--- a/src/base/tests/log_lines.h
+++ b/src/base/tests/log_lines.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread::testing {
 
-/// @brief Gathers the log's lines while it lives.
+/// @brief Captures the lines logged through glog during its lifetime.
 class LogLines final : public google::LogSink {
  public:
   LogLines() { google::AddLogSink(this); }
@@ -26,7 +26,7 @@
     this->lines.emplace_back(message, message_len);
   }
 
-  /// @brief Lines of an event.
+  /// @brief Number of lines with the given event.
   int Count(std::string_view event) const {
     const std::string head = "event=" + std::string(event);
     return static_cast<int>(std::count_if(
@@ -35,7 +35,7 @@
         }));
   }
 
-  /// @brief Whether some line holds a text.
+  /// @brief Whether any line contains the text.
   bool Has(std::string_view text) const {
     return std::any_of(this->lines.begin(), this->lines.end(),
                        [&](const std::string& line) {
@@ -43,7 +43,7 @@
                        });
   }
 
-  /// @brief Bytes of the longest line.
+  /// @brief Length in bytes of the longest line.
   std::size_t Longest() const {
     std::size_t longest = 0;
     for (const std::string& line : this->lines) {
--- a/src/base/tests/log_writer_test.cc
+++ b/src/base/tests/log_writer_test.cc
@@ -37,7 +37,7 @@
   return count;
 }
 
-Test(the_log, is_bounded_a_second_and_counts_what_it_dropped) {
+Test(the_log, is_limited_per_second_and_counts_dropped_lines) {
   const Pipe to;
   ManualClock clock(1'000);
   LogBounds bounds;
@@ -51,7 +51,7 @@
   const std::string text = to.Read();
   cr_assert(Lines(text, "event=route\n") == 10);
   cr_assert(Lines(text, "event=log-dropped lines=") == 1);
-  // and a second later as many again
+  // One second later the same number of lines is accepted again.
   clock.Advance(1'000);
   for (int i = 0; i < 100; ++i) {
     writer.Take("event=route", false);
@@ -60,7 +60,7 @@
   cr_assert(Lines(to.Read(), "event=route\n") == 10);
 }
 
-Test(the_log, keeps_failures_before_routine) {
+Test(the_log, drops_routine_lines_before_failures) {
   const Pipe to;
   ManualClock clock(1'000);
   LogBounds bounds;
@@ -76,21 +76,23 @@
   cr_assert(Lines(text, "event=route") == 5);
 }
 
-Test(a_reader_that_stops_reading, makes_no_line_wait) {
+Test(a_reader_that_stops_reading, never_blocks_the_writer) {
   const Pipe to;
   ManualClock clock(1'000);
   LogBounds bounds;
   bounds.routine_per_second = 1e9;
   bounds.held_bytes = std::size_t{64} * 1024;
   LogWriter writer(to.ends[1], bounds, clock);
-  // Many times what a pipe holds: were one write to wait, this never ended.
+  // Many times the capacity of a pipe: if any write blocked, the test would
+  // hang.
   const std::string line =
       absl::StrCat("event=route why=", std::string(500, 'x'));
   for (int i = 0; i < 10'000; ++i) {
     writer.Take(line, false);
   }
   cr_assert(writer.Dropped() > 9'000);
-  // Once it reads again, lines come whole, and the gap is told.
+  // Once the reader continues, lines arrive complete and the dropped ones are
+  // reported.
   std::string text;
   for (int i = 0; i < 10; ++i) {
     text += to.Read();
--- a/src/base/tests/scheduler_test.cc
+++ b/src/base/tests/scheduler_test.cc
@@ -7,7 +7,7 @@
 namespace meadowthread {
 namespace {
 
-Test(a_repeated_task, runs_once_a_period_and_first_after_one) {
+Test(a_repeated_task, runs_once_per_period_starting_after_the_first) {
   ManualClock clock{1'000};
   ManualScheduler scheduler{&clock};
   int runs = 0;
--- a/src/cli/await.h
+++ b/src/cli/await.h
@@ -11,20 +11,21 @@
 
 namespace meadowthread {
 
-/// @brief Starts a call and waits for its answer.
-/// @param[in] start called at once, with the callback for the answer
-/// @param[in] late the error where no answer comes within the limit
+/// @brief Starts an asynchronous call and waits for its result.
+/// @param[in] start starts the call; receives the completion callback
+/// @param[in] late the error to return if the wait times out
 template <typename Answer, typename Start>
 absl::StatusOr<Answer> Await(Platform& platform, const absl::Status& late,
                              const Start& start) {
-  // Shared with the callback, since a late answer may outlive this call.
+  // Shared with the callback, which may still run after this function has timed
+  // out.
   auto answer = std::make_shared<std::optional<absl::StatusOr<Answer>>>();
   start([answer](const absl::StatusOr<Answer>& came) { *answer = came; });
   platform.Wait([answer] { return answer->has_value(); });
   return answer->has_value() ? **answer : absl::StatusOr<Answer>(late);
 }
 
-/// @brief Reads one object.
+/// @brief Reads one object from the object API.
 inline absl::StatusOr<StoredObject> AwaitGet(Platform& platform,
                                              std::string_view kind,
                                              std::string_view name) {
@@ -35,7 +36,7 @@
       });
 }
 
-/// @brief Reads all objects of a kind.
+/// @brief Reads all objects of a kind from the object API.
 inline absl::StatusOr<ObjectList> AwaitList(Platform& platform,
                                             std::string_view kind) {
   return Await<ObjectList>(platform,
--- a/src/cli/change_command.cc
+++ b/src/cli/change_command.cc
@@ -9,7 +9,8 @@
 namespace meadowthread {
 namespace {
 
-/// A change ends by itself; this many limits of a wait only bound a fault.
+/// A change always completes on its own; this limit on the number of waits only
+/// guards against a bug that keeps it from completing.
 constexpr int kMostWaits = 20;
 
 std::string SentenceOf(const ChangeResult& end) {
@@ -34,17 +35,19 @@
 }  // namespace
 
 OperationOption::OperationOption(TCLAP::CmdLine& line)
-    : argument("", "operation",
-               "the id of a change whose result was unknown: settles it and "
-               "never applies it twice (a new id)",
-               false, "", "ID", line) {}
+    : argument(
+          "", "operation",
+          "the id of an earlier change whose result was unknown; repeating it "
+          "never applies the change twice (default: a new id)",
+          false, "", "ID", line) {}
 
 std::string OperationOption::Operation(NonceSource& operations) {
   return this->argument.isSet() ? this->argument.getValue() : operations.Next();
 }
 
 ChangeResult AwaitChange(Platform& platform, const StartChange& start) {
-  // Shared with the callback, since a late end may outlive this call.
+  // Shared with the callback, which may still run after this function has timed
+  // out.
   auto end = std::make_shared<std::optional<ChangeResult>>();
   OperatorChanges changes(platform.Store(), platform.Tasks());
   start(changes, [end](const ChangeResult& came) { *end = came; });
@@ -55,7 +58,7 @@
     return **end;
   }
   ChangeResult unknown;
-  unknown.message = "no end of the change came within the limit";
+  unknown.message = "the change did not complete within the time limit";
   return unknown;
 }
 
@@ -91,7 +94,7 @@
   result.text = absl::StrCat(std::string(what), ": ", SentenceOf(end), "\n",
                              end.difference);
   if (end.may_have_been_in_force) {
-    result.text += "yours may have been in force before it\n";
+    result.text += "your change may have been in force before it\n";
   }
   if (end.outcome == ChangeOutcome::kUnknown) {
     absl::StrAppend(&result.text, "--operation ", std::string(operation), "\n");
--- a/src/cli/change_command.h
+++ b/src/cli/change_command.h
@@ -14,32 +14,34 @@
 
 namespace meadowthread {
 
-/// @brief The argument `--operation` of commands that change something.
+/// @brief The option `--operation` of commands that change an object.
 class OperationOption {
  public:
   explicit OperationOption(TCLAP::CmdLine& line);
 
-  /// @brief The id that was given, else a new one.
+  /// @brief The operation id from the command line, or a new one.
   std::string Operation(NonceSource& operations);
 
  private:
   TCLAP::ValueArg<std::string> argument;
 };
 
-/// @brief Starts a change on `changes`, with the callback for its end.
+/// @brief Starts a change on `changes` and passes it the completion callback.
 using StartChange =
     std::function<void(OperatorChanges& changes, const ChangeDone& done)>;
 
-/// @brief Makes a change and waits for its end; kUnknown where none came.
+/// @brief Makes a change and waits for its result; the outcome is kUnknown if
+/// none arrives in time.
 ChangeResult AwaitChange(Platform& platform, const StartChange& start);
 
-/// @brief The exit code of a change's end.
+/// @brief The exit code for the outcome of a change.
 ExitCode ExitCodeOf(ChangeOutcome outcome);
 
-/// @brief A change's end for persons and programs; an accepted object is
-/// offered to the entry hosts.
-/// @param[in] what the object for a person, such as "template tags"
-/// @param[in] operation named where the change is not settled
+/// @brief Builds the text and JSON result of a change; pushes an accepted
+/// object to the entry hosts.
+/// @param[in] what the object in readable form, such as "template tags"
+/// @param[in] operation the operation id, printed for a retry if the outcome is
+/// unknown
 CommandResult TellChange(Platform& platform, const ChangeResult& end,
                          std::string_view what, std::string_view operation);
 
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -32,7 +32,7 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     TCLAP::UnlabeledValueArg<std::string> file(
-        "file", "settings or a template; - is the standard input", true, "",
+        "file", "a settings or template file; - reads standard input", true, "",
         "FILE", parser.Line());
     OutputOption output(parser.Line());
     const std::optional<ExitCode> ended = parser.Parse(arguments);
@@ -50,10 +50,10 @@
  private:
   CommandHelp help = {
       "check",
-      "checks settings or a template without using them",
-      "Tells by its top fields whether a document is a host's settings or a "
-      "template,\nand every problem at once, each with its line and field. "
-      "Speaks to nobody.",
+      "validates a settings or template file without applying it",
+      "Recognizes host settings and templates by their top-level fields and "
+      "reports every\nproblem with its line and field. Makes no network "
+      "calls.",
       {"meadowthread check entry-1.yaml",
        "meadowthread check daily-report.yaml --output json"}};
 };
--- a/src/cli/check_command.h
+++ b/src/cli/check_command.h
@@ -7,7 +7,7 @@
 
 namespace meadowthread {
 
-/// @brief `check FILE`: settings or a template.
+/// @brief `check FILE`: validates a settings or template file.
 std::unique_ptr<Command> MakeCheckCommand();
 
 }  // namespace meadowthread
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -10,12 +10,12 @@
 
 namespace meadowthread {
 
-/// @brief What a command's help says besides its arguments.
+/// @brief The parts of a command's help text other than its arguments.
 struct CommandHelp {
-  std::string name;     ///< its words, such as "template put"
+  std::string name;     ///< the command words, such as "template put"
   std::string summary;  ///< one line
   std::string description;
-  std::vector<std::string> examples;  ///< whole command lines
+  std::vector<std::string> examples;  ///< complete command lines
 };
 
 /// @brief One command of the program.
@@ -25,8 +25,8 @@
 
   virtual const CommandHelp& Help() const = 0;
 
-  /// @brief Parses its arguments and runs.
-  /// @param[in] arguments without the program and the command's own words
+  /// @brief Parses the arguments and runs the command.
+  /// @param[in] arguments without the program name and the command words
   virtual ExitCode Run(std::span<const std::string> arguments,
                        Console& console) = 0;
 };
--- a/src/cli/command_arguments.cc
+++ b/src/cli/command_arguments.cc
@@ -10,7 +10,7 @@
 
 namespace detail {
 
-// The names of these three are TCLAP's.
+// The names of the next three functions are prescribed by TCLAP's interface.
 
 void HelpOutput::usage(TCLAP::CmdLineInterface& line) {  // NOLINT
   std::ostream& out = this->console.out;
@@ -52,7 +52,7 @@
       line(help.description, ' ', "", false),
       help_visitor(&this->line, &this->output_address),
       output_address(&this->output),
-      help_switch("h", "help", "tells this", this->line, false,
+      help_switch("h", "help", "prints this help", this->line, false,
                   &this->help_visitor) {
   this->line.setOutput(&this->output);
   this->line.setExceptionHandling(false);
@@ -69,7 +69,7 @@
         error.argId() == "undefined" ? "" : " (" + error.argId() + ")";
     return this->Wrong(error.error() + where);
   } catch (const TCLAP::ExitException&) {
-    return ExitCode::kOk;  // help was told
+    return ExitCode::kOk;  // the help text was printed
   }
   return std::nullopt;
 }
@@ -77,7 +77,7 @@
 ExitCode CommandArguments::Wrong(std::string_view what) const {
   this->console.err << "meadowthread " << this->help.name << ": " << what
                     << "\n`meadowthread " << this->help.name
-                    << " --help` tells its arguments.\n";
+                    << " --help` lists its arguments.\n";
   return ExitCode::kUsage;
 }
 
--- a/src/cli/command_arguments.h
+++ b/src/cli/command_arguments.h
@@ -13,7 +13,8 @@
 
 namespace detail {
 
-/// @brief TCLAP's output as help that teaches.
+/// @brief Prints TCLAP's help with the command's description, examples and exit
+/// codes.
 class HelpOutput final : public TCLAP::CmdLineOutput {
  public:
   HelpOutput(const CommandHelp& help, Console& console)
@@ -31,7 +32,8 @@
 
 }  // namespace detail
 
-/// @brief One command's arguments: TCLAP's arguments are made over Line().
+/// @brief Parser for one command's arguments; TCLAP arguments are registered on
+/// Line().
 class CommandArguments {
  public:
   /// @param[in] help,console outlive this
@@ -39,15 +41,15 @@
 
   TCLAP::CmdLine& Line() { return this->line; }
 
-  /// @brief Parses; tells help or what is wrong.
-  /// @return nothing where the command is to go on, else how it ended
+  /// @brief Parses the arguments; prints help or a usage error.
+  /// @return empty if the command should run, otherwise its exit code
   std::optional<ExitCode> Parse(std::span<const std::string> arguments);
 
-  /// @brief Tells an error of the arguments that TCLAP cannot see.
+  /// @brief Prints a usage error that TCLAP itself cannot detect.
   ExitCode Wrong(std::string_view what) const;
 
-  /// @brief Tells an error in what the arguments name: a missing argument, or
-  /// a settings file that is not valid.
+  /// @brief Prints an error found after parsing: a missing argument or an
+  /// invalid settings file.
   ExitCode Refuse(const absl::Status& status) const;
 
  private:
--- a/src/cli/command_registry.cc
+++ b/src/cli/command_registry.cc
@@ -66,7 +66,7 @@
   }
   if (is_group) {
     console.err << "meadowthread " << words.front()
-                << ": say which of these is meant\n";
+                << ": a subcommand is required, one of these:\n";
   } else if (!words.empty()) {
     const std::vector<std::string_view> names(first_words.begin(),
                                               first_words.end());
@@ -88,7 +88,7 @@
       out << absl::StrFormat("  %-18s %s\n", help.name, help.summary);
     }
   }
-  out << "\n`meadowthread COMMAND --help` tells its arguments, examples and "
+  out << "\n`meadowthread COMMAND --help` lists its arguments, examples and "
          "exit codes.\n";
 }
 
--- a/src/cli/command_registry.h
+++ b/src/cli/command_registry.h
@@ -10,14 +10,15 @@
 
 namespace meadowthread {
 
-/// @brief The program's commands, found by their words.
+/// @brief The program's commands, looked up by their command words.
 class CommandRegistry {
  public:
   void Add(std::unique_ptr<Command> command);
 
-  /// @brief Runs the command that the words name.
-  /// @param[in] words the command line without the program
-  /// @return kUsage where they name none, with the commands told
+  /// @brief Runs the command that `words` starts with.
+  /// @param[in] words the command line without the program name
+  /// @return the command's exit code; kUsage, after listing the commands, if
+  /// none matches
   ExitCode Run(std::span<const std::string> words, Console& console) const;
 
  private:
--- a/src/cli/command_result.cc
+++ b/src/cli/command_result.cc
@@ -40,7 +40,7 @@
 }
 
 OutputOption::OutputOption(TCLAP::CmdLine& line)
-    : argument("", "output", "how the result is written (text)", false, "text",
+    : argument("", "output", "output format (default: text)", false, "text",
                Formats(), line) {}
 
 ExitCode OutputOption::Print(const CommandResult& result, Console& console) {
@@ -52,7 +52,8 @@
   whole["result"] = std::string(ExitCodeName(result.code));
   whole["exit_code"] = static_cast<int>(result.code);
   whole.update(result.json);
-  // Bytes that are no UTF-8 (a log, a file) must not end in an exception.
+  // Invalid UTF-8 from a log or a file is replaced; by default dump() throws on
+  // it.
   console.out << whole.dump(2, ' ', false,
                             nlohmann::json::error_handler_t::replace)
               << "\n";
--- a/src/cli/command_result.h
+++ b/src/cli/command_result.h
@@ -13,26 +13,27 @@
 
 namespace meadowthread {
 
-/// @brief What a command found or did, for persons and for programs.
+/// @brief The result of a command, as text for people and as JSON for programs.
 struct CommandResult {
   ExitCode code = ExitCode::kOk;
-  std::string text;  ///< whole lines
-  /// Members of the JSON object that follow "result" and "exit_code".
+  std::string text;  ///< complete lines
+  /// Members added to the JSON output after "result" and "exit_code".
   nlohmann::ordered_json json = nlohmann::ordered_json::object();
 };
 
-/// @brief The result of a step that failed: id, step, peer, field, message.
+/// @brief The result for an error: its id, step, peer, field and message.
 CommandResult FailedResult(const absl::Status& status);
 
-/// @brief The argument `--output text|json`.
+/// @brief The option `--output text|json`.
 class OutputOption {
  public:
   explicit OutputOption(TCLAP::CmdLine& line);
 
   bool IsJson() { return this->argument.getValue() == "json"; }
 
-  /// @brief Writes a result as asked for; errors as text go to `err`.
-  /// @return the result's code
+  /// @brief Writes a result in the selected format; errors in text format go to
+  /// `err`.
+  /// @return the result's exit code
   ExitCode Print(const CommandResult& result, Console& console);
 
  private:
--- a/src/cli/console.h
+++ b/src/cli/console.h
@@ -6,7 +6,7 @@
 
 namespace meadowthread {
 
-/// @brief What a command reads from and writes to.
+/// @brief The input and output streams of a command.
 struct Console {
   std::istream& in;
   std::ostream& out;
--- a/src/cli/document_check.cc
+++ b/src/cli/document_check.cc
@@ -17,7 +17,7 @@
 constexpr std::array<std::string_view, 11> kSettingsFields = {
     "host",     "platform", "half",      "callers",       "answers", "policy",
     "exchange", "claims",   "placement", "configuration", "tls"};
-// Fields that only a relay host's settings have.
+// Fields that occur only in the settings of a relay host.
 constexpr std::array<std::string_view, 4> kRelayFields = {"listen", "store",
                                                           "retries", "bounds"};
 constexpr std::array<std::string_view, 8> kTemplateFields = {
--- a/src/cli/document_check.h
+++ b/src/cli/document_check.h
@@ -9,15 +9,15 @@
 
 namespace meadowthread {
 
-/// @brief What an operator writes.
+/// @brief The kinds of documents that operators write.
 enum class DocumentKind { kSettings, kRelaySettings, kTemplate, kNeither };
 
-/// @brief The kind's name in output.
+/// @brief The name of the kind, as printed.
 std::string_view DocumentKindName(DocumentKind kind);
 
-/// @brief One fault of a document of any kind.
+/// @brief One problem found in a document of any kind.
 struct DocumentProblem {
-  int line = 0;  ///< from 1; 0: the document as a whole
+  int line = 0;  ///< counted from 1; 0: the whole document
   std::string field;
   std::string message;
 
@@ -25,23 +25,23 @@
                          const DocumentProblem&) = default;
 };
 
-/// @brief What a document is and what is wrong with it.
+/// @brief The kind of a document and the problems found in it.
 struct CheckedDocument {
   DocumentKind kind = DocumentKind::kNeither;
-  std::vector<DocumentProblem> problems;  ///< all of them, by line
+  std::vector<DocumentProblem> problems;  ///< all problems, ordered by line
 };
 
-/// @brief Tells a document's kind by its top fields and checks it whole.
+/// @brief Detects a document's kind from its top-level fields and validates it.
 CheckedDocument CheckDocument(std::string_view text);
 
-/// @brief Checks a document as a template, whatever its fields.
+/// @brief Validates a document as a template, whatever its fields are.
 CheckedDocument CheckTemplate(std::string_view text);
 
 /// @brief Problems as JSON.
 nlohmann::ordered_json ProblemsJson(
     const std::vector<DocumentProblem>& problems);
 
-/// @brief Problems as lines for a person, `FILE:LINE: FIELD MESSAGE`.
+/// @brief Problems as text lines of the form `FILE:LINE: FIELD MESSAGE`.
 std::string ProblemLines(std::string_view file,
                          const std::vector<DocumentProblem>& problems);
 
--- a/src/cli/entry_hosts.cc
+++ b/src/cli/entry_hosts.cc
@@ -29,11 +29,11 @@
 }
 
 std::string OfferReport::Text() const {
-  std::string text = absl::StrCat("told ", this->took, " of ", this->asked,
-                                  " entry hosts at once");
+  std::string text = absl::StrCat("pushed to ", this->took, " of ", this->asked,
+                                  " entry hosts");
   if (!this->trouble.empty()) {
     absl::StrAppend(&text, " (", this->trouble,
-                    "); the others learn it by their watches");
+                    "); the others receive it through their watches");
   }
   return text + "\n";
 }
@@ -56,7 +56,8 @@
   report.asked = static_cast<int>(hosts.size());
   for (const HostReply& reply :
        platform.CallAll(hosts, kOfferMethod, params.dump())) {
-    // 0 taken means that the host has this version or a newer one already.
+    // A reply with 0 taken items also counts: the host already has this version
+    // or a newer one.
     if (reply.body.ok()) {
       ++report.took;
     } else if (report.trouble.empty()) {
--- a/src/cli/entry_hosts.h
+++ b/src/cli/entry_hosts.h
@@ -9,21 +9,22 @@
 
 namespace meadowthread {
 
-/// @brief The list's entry hosts, by name.
+/// @brief The entry hosts of a host list, sorted by name.
 std::vector<HostEntry> EntryHostsOf(const HostList& list);
 
-/// @brief How entry hosts took an accepted object.
+/// @brief The result of pushing an accepted object to the entry hosts.
 struct OfferReport {
   int asked = 0;
-  int took = 0;         ///< took it, or had it already
-  std::string trouble;  ///< why none could be asked, or the first failure
+  int took = 0;  ///< hosts that stored the object or already had it
+  std::string
+      trouble;  ///< why the push was not possible, or the first host's error
 
   std::string Text() const;
   nlohmann::ordered_json Json() const;
 };
 
-/// @brief Pushes an accepted object to all entry hosts, so that it is in force
-/// sooner than their watches would bring it; best effort.
+/// @brief Pushes an accepted object to all entry hosts, so that it takes effect
+/// before their watches deliver it; best effort.
 OfferReport OfferToAll(Platform& platform, const StoredObject& object);
 
 }  // namespace meadowthread
--- a/src/cli/exit_code.cc
+++ b/src/cli/exit_code.cc
@@ -10,17 +10,19 @@
 constexpr std::array<ExitCodeHelp, 9> kExitCodes = {{
     {ExitCode::kOk, "ok", "done; a change was accepted"},
     {ExitCode::kFailed, "failed", "failed for another reason"},
-    {ExitCode::kUsage, "usage", "the command line is wrong; nothing was tried"},
+    {ExitCode::kUsage, "usage",
+     "the command line is wrong; nothing was attempted"},
     {ExitCode::kInvalid, "invalid",
-     "the document is not valid; nothing was tried"},
+     "the document is not valid; nothing was attempted"},
     {ExitCode::kConflict, "conflict",
      "another change came first; yours was not applied"},
     {ExitCode::kUnknown, "unknown",
-     "the change may have taken effect, or may yet"},
+     "the change may have taken effect or may still do so"},
     {ExitCode::kUnavailable, "unavailable",
      "the platform did not answer; nothing was applied"},
-    {ExitCode::kNotFound, "not_found", "there is no such thing"},
-    {ExitCode::kUnchanged, "unchanged", "what was asked for stands already"},
+    {ExitCode::kNotFound, "not_found", "the named object does not exist"},
+    {ExitCode::kUnchanged, "unchanged",
+     "the requested state is already in place"},
 }};
 
 }  // namespace
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -8,33 +8,34 @@
 
 namespace meadowthread {
 
-/// @brief How a command ended, as its process's exit code. Numbers are stable.
+/// @brief Exit codes of the program. The numbers are stable.
 enum class ExitCode : int {
-  kOk = 0,           ///< done; a change was accepted
-  kFailed = 1,       ///< anything without a number of its own
-  kUsage = 2,        ///< the command line is wrong; nothing was tried
-  kInvalid = 3,      ///< a document is not valid; nothing was tried
-  kConflict = 4,     ///< another change came first; certainly not applied
-  kUnknown = 5,      ///< the change may have taken effect, or may yet
-  kUnavailable = 6,  ///< the platform did not answer; certainly not applied
-  kNotFound = 7,     ///< there is no such thing
-  kUnchanged = 8,    ///< what was asked for stands already
+  kOk = 0,           ///< success; a change was accepted
+  kFailed = 1,       ///< any error without a code of its own
+  kUsage = 2,        ///< the command line is wrong; nothing was attempted
+  kInvalid = 3,      ///< a document is not valid; nothing was attempted
+  kConflict = 4,     ///< another change came first; this one was not applied
+  kUnknown = 5,      ///< the change may have taken effect or may still do so
+  kUnavailable = 6,  ///< the platform did not answer; nothing was applied
+  kNotFound = 7,     ///< the named object does not exist
+  kUnchanged = 8,    ///< the requested state is already in place
 };
 
-/// @brief One exit code and what it says, for help texts.
+/// @brief One exit code with its name and meaning, for help texts.
 struct ExitCodeHelp {
   ExitCode code;
   std::string_view name;
   std::string_view meaning;
 };
 
-/// @brief Every exit code, ascending.
+/// @brief All exit codes in ascending order.
 std::span<const ExitCodeHelp> AllExitCodes();
 
 /// @brief The code's name ("ok", "conflict", ...), as in JSON output.
 std::string_view ExitCodeName(ExitCode code);
 
-/// @brief The code for an error of the object API or of a document.
+/// @brief The exit code for an error from the object API or from document
+/// validation.
 ExitCode ExitCodeOf(const absl::Status& status);
 
 }  // namespace meadowthread
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -50,11 +50,12 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     TCLAP::UnlabeledValueArg<std::string> request(
-        "request", "the id in the answer's Meadowthread-Request header", true,
-        "", "REQUEST", parser.Line());
+        "request", "the id from the response's Meadowthread-Request header",
+        true, "", "REQUEST", parser.Line());
     TCLAP::MultiArg<std::string> logs(
         "", "log",
-        "a log to read, once for each host's; - is the standard input (-)",
+        "a log file to read, repeated for each host; - reads standard input "
+        "(default: -)",
         false, "FILE", parser.Line());
     OutputOption output(parser.Line());
     const std::optional<ExitCode> ended = parser.Parse(arguments);
@@ -88,11 +89,11 @@
 
   CommandHelp help = {
       "explain",
-      "tells what happened to a request, from log lines",
+      "shows what happened to a request, from log lines",
       "Every decision about a request is one log line of key=value pairs. "
-      "explain\nreads the logs of any number of hosts, picks the lines that "
-      "are about the\nrequest or one of its attempts, and tells them in order "
-      "of time: which engine\nwas chosen and why, what failed, how it ended.",
+      "explain\nreads the logs of any number of hosts, selects the lines "
+      "about the request or\none of its attempts, and prints them in time "
+      "order: which engine was chosen and\nwhy, what failed, and how it ended.",
       {"meadowthread explain entry-1-5f3a-17 --log entry-1.log --log "
        "entry-2.log",
        "cat *.log | meadowthread explain entry-1-5f3a-17 --output json"}};
--- a/src/cli/explain_command.h
+++ b/src/cli/explain_command.h
@@ -7,7 +7,7 @@
 
 namespace meadowthread {
 
-/// @brief `explain REQUEST`: a request's story from log lines.
+/// @brief `explain REQUEST`: shows the history of a request from log lines.
 std::unique_ptr<Command> MakeExplainCommand();
 
 }  // namespace meadowthread
--- a/src/cli/host_commands.h
+++ b/src/cli/host_commands.h
@@ -10,11 +10,11 @@
 
 namespace meadowthread {
 
-/// @brief `host list`: the host list with the operators' marks.
+/// @brief `host list`: prints the host list with the marks set by operators.
 /// @param[in] connector outlives the command
 std::unique_ptr<Command> MakeHostListCommand(PlatformConnector& connector);
 
-/// @brief `host mark`: marks a host to leave, to stop, or as live.
+/// @brief `host mark`: marks a host as leaving, stopping or live.
 /// @param[in] connector,clock,operations outlive the command
 std::unique_ptr<Command> MakeHostMarkCommand(PlatformConnector& connector,
                                              const Clock& clock,
--- a/src/cli/host_list_command.cc
+++ b/src/cli/host_list_command.cc
@@ -25,7 +25,8 @@
   return "backend";
 }
 
-/// A host's mark as text; marks that cannot be read say so.
+/// A host's mark as text; "-" if it has none, "unreadable" if it cannot be
+/// parsed.
 std::string MarkText(std::span<const StoredObject> marks,
                      const std::string& host) {
   const auto found = std::find_if(
@@ -66,7 +67,7 @@
                                     {"mark", mark}});
   }
   result.text = absl::StrCat(
-      table.Text(), "the host list is as of ", UtcTime(list.as_of_unix_ms),
+      table.Text(), "host list as of ", UtcTime(list.as_of_unix_ms),
       marks.ok() ? "\n" : "; the marks could not be read\n");
   return result;
 }
@@ -88,9 +89,9 @@
       : PlatformCommand(
             connector,
             {"host list",
-             "tells the hosts that the platform lists, and their marks",
-             "Tells the platform's host list, which lags, and beside it the "
-             "marks that operators\nset, which do not.",
+             "lists the platform's hosts and their marks",
+             "Prints the platform's host list, which may be out of date, "
+             "together with the current\nmarks set by operators.",
              {"meadowthread host list --settings entry-1.yaml"}}) {}
 
  protected:
--- a/src/cli/host_mark_command.cc
+++ b/src/cli/host_mark_command.cc
@@ -22,16 +22,17 @@
  public:
   MarkInvocation(TCLAP::CmdLine& line, const Clock& clock,
                  NonceSource& operations)
-      : host("host", "the host", true, "", "HOST", line),
+      : host("host", "the name of the host", true, "", "HOST", line),
         mark("mark",
-             "leaving: takes no new work; stopping: also ends once what runs "
-             "has ended; live: takes work",
+             "leaving: accepts no new work; stopping: also exits once running "
+             "work has finished; live: accepts work",
              true, "", "leaving|stopping|live", line),
         handover("", "handover",
-                 "its streams may go on at other hosts by their resume tokens",
+                 "lets its streams continue on other hosts by their resume "
+                 "tokens",
                  line),
         unlisted("", "unlisted",
-                 "mark it although the host list does not have it", line),
+                 "marks the host even if it is not in the host list", line),
         author(line),
         operation(line),
         clock(clock),
@@ -41,7 +42,7 @@
     const absl::StatusOr<HostMark> wanted =
         ParseHostMark(this->mark.getValue());
     if (!wanted.ok() || !IsName(this->host.getValue())) {
-      return UsageResult(wanted.ok() ? "HOST is no host's name"
+      return UsageResult(wanted.ok() ? "HOST is not a valid host name"
                                      : "the mark is one of live, leaving, "
                                        "stopping");
     }
@@ -49,7 +50,8 @@
     if (!who.ok()) {
       return UsageResult(who.status());
     }
-    // A misspelt host would be marked and the meant one go on taking work.
+    // With a misspelt name the mark would have no effect, and the intended host
+    // would keep receiving work.
     const absl::StatusOr<HostList> list = context.platform.ListHosts();
     if (list.ok() && !this->unlisted.getValue() &&
         !IsListed(*list, this->host.getValue())) {
@@ -78,9 +80,9 @@
     CommandResult result;
     result.code = ExitCode::kNotFound;
     result.text =
-        absl::StrCat("the host list does not have ", this->host.getValue(),
-                     "; nothing was marked (--unlisted marks it all "
-                     "the same)\n");
+        absl::StrCat("the host list does not contain ", this->host.getValue(),
+                     "; nothing was marked (--unlisted marks it "
+                     "anyway)\n");
     return result;
   }
 
@@ -101,12 +103,12 @@
       : PlatformCommand(
             connector,
             {"host mark",
-             "marks a host to leave, to stop, or as live",
-             "Marks an entry host or a host under an engine. A host that is "
-             "leaving or stopping\nreceives no new work within a few seconds, "
-             "and what it runs goes on to its end;\n`meadowthread status` "
-             "tells what a stop waits for. An accepted mark is pushed to\nthe "
-             "entry hosts at once.",
+             "marks a host as leaving, stopping or live",
+             "Marks an entry host or a host that runs an engine. Within a few "
+             "seconds a leaving or\nstopping host receives no new work; its "
+             "running work finishes. `meadowthread status`\nshows what a stop "
+             "waits for. An accepted mark is pushed to the entry hosts "
+             "immediately.",
              {"meadowthread host mark entry-2 stopping --author ana",
               "meadowthread host mark engine-7 leaving --author ana",
               "meadowthread host mark entry-2 live --author ana"}}),
--- a/src/cli/input_file.h
+++ b/src/cli/input_file.h
@@ -9,7 +9,7 @@
 
 namespace meadowthread {
 
-/// @brief Reads a whole file, or the standard input where the path is "-".
+/// @brief Reads a whole file, or standard input if the path is "-".
 absl::StatusOr<std::string> ReadInput(std::string_view path, Console& console);
 
 }  // namespace meadowthread
--- a/src/cli/log_reader.cc
+++ b/src/cli/log_reader.cc
@@ -18,7 +18,8 @@
 
 std::size_t FindEvent(std::string_view line) {
   std::size_t at = line.find(kEventKey);
-  // A value may end in "event=": only a word of its own counts.
+  // A value may end in "event="; only a match at the start of a word is the
+  // key.
   while (at != std::string_view::npos && at > 0 && line[at - 1] != ' ') {
     at = line.find(kEventKey, at + 1);
   }
@@ -36,8 +37,8 @@
          std::all_of(word.begin() + 1, word.end(), is_digit);
 }
 
-/// The time of glog's prefix ("I1202 14:30:25.123456 77 file.cc:3] "), which
-/// may stand behind something else, such as a process's name.
+/// The time from glog's prefix ("I1202 14:30:25.123456 77 file.cc:3] "), which
+/// may itself follow other text, such as a process name.
 std::string ReadTime(std::string_view prefix) {
   const std::vector<std::string> words =
       absl::StrSplit(AbslView(prefix), ' ', absl::SkipEmpty());
@@ -50,7 +51,7 @@
   return "";
 }
 
-/// Takes a quoted value off the front of `rest`.
+/// Parses a quoted value and removes it from the front of `rest`.
 std::optional<std::string> TakeQuoted(std::string_view* rest) {
   std::size_t end = 1;
   while (end < rest->size() && (*rest)[end] != '"') {
@@ -74,8 +75,8 @@
   return value;
 }
 
-/// Takes one pair off the front of `rest`; nothing at the line's end or where
-/// the line was cut off.
+/// Parses one key=value pair and removes it from the front of `rest`; empty at
+/// the end of the line or if the line is truncated.
 std::optional<LogField> TakeField(std::string_view* rest) {
   rest->remove_prefix(std::min(rest->find_first_not_of(' '), rest->size()));
   const std::size_t equals = rest->find('=');
--- a/src/cli/log_reader.h
+++ b/src/cli/log_reader.h
@@ -8,7 +8,7 @@
 
 namespace meadowthread {
 
-/// @brief One pair of a log line.
+/// @brief One key=value pair of a log line.
 struct LogField {
   std::string key;
   std::string value;
@@ -16,21 +16,22 @@
   friend bool operator==(const LogField&, const LogField&) = default;
 };
 
-/// @brief One structured log line, read back.
+/// @brief One parsed structured log line.
 struct LogRecord {
-  std::string source;  ///< the file it stood in
+  std::string source;  ///< the file that contains the line
   std::string time;    ///< "MMDD HH:MM:SS.ffffff"; empty without a prefix
   std::string event;
-  std::vector<LogField> fields;  ///< in order, without the event
+  std::vector<LogField>
+      fields;  ///< in the order of the line, without the event
 
-  /// @brief A field's value, empty where it is missing.
+  /// @brief The value of a field; empty if it is missing.
   std::string_view Field(std::string_view key) const;
 
   friend bool operator==(const LogRecord&, const LogRecord&) = default;
 };
 
-/// @brief Reads what LogLine wrote, with or without glog's prefix.
-/// @return nothing where the line is of another kind
+/// @brief Parses a line written by LogLine, with or without glog's prefix.
+/// @return empty if the line is not a structured log line
 std::optional<LogRecord> ReadLogLine(std::string_view line);
 
 }  // namespace meadowthread
--- a/src/cli/operator_options.cc
+++ b/src/cli/operator_options.cc
@@ -33,17 +33,18 @@
 
 PlatformOptions::PlatformOptions(TCLAP::CmdLine& line)
     : object_api("", "object-api",
-                 "the object API; else from --settings, else from the "
-                 "environment's MEADOWTHREAD_OBJECT_API",
+                 "the object API (default: from --settings, then from the "
+                 "environment variable MEADOWTHREAD_OBJECT_API)",
                  false, "", "URL", line),
       host_list("", "host-list",
-                "the host list; else from --settings, else from the "
-                "environment's MEADOWTHREAD_HOST_LIST",
+                "the host list (default: from --settings, then from the "
+                "environment variable MEADOWTHREAD_HOST_LIST)",
                 false, "", "URL", line),
-      settings("", "settings", "a host's settings, for both of these", false,
-               "", "FILE", line),
-      timeout_ms("", "timeout-ms", "the longest wait for an answer (5000)",
-                 false, kDefaultTimeoutMs, "MS", line) {}
+      settings("", "settings", "a host's settings file, which names both",
+               false, "", "FILE", line),
+      timeout_ms("", "timeout-ms",
+                 "how long to wait for an answer (default: 5000)", false,
+                 kDefaultTimeoutMs, "MS", line) {}
 
 absl::StatusOr<PlatformAddress> PlatformOptions::Address() {
   PlatformAddress address;
@@ -70,15 +71,16 @@
   }
   if (address.object_api.empty()) {
     return Missing("--object-api",
-                   "say where the object API is: --object-api URL, --settings "
-                   "FILE or MEADOWTHREAD_OBJECT_API");
+                   "the object API is not given: use --object-api URL, "
+                   "--settings FILE or MEADOWTHREAD_OBJECT_API");
   }
   address.object_api = WithoutLastSlash(address.object_api);
   return address;
 }
 
 AuthorOption::AuthorOption(TCLAP::CmdLine& line)
-    : argument("", "author", "who makes the change (the environment's USER)",
+    : argument("", "author",
+               "who makes the change (default: the environment variable USER)",
                false, "", "NAME", line) {}
 
 absl::StatusOr<std::string> AuthorOption::Author() {
@@ -87,7 +89,8 @@
     author = Environment("USER");
   }
   if (author.empty()) {
-    return Missing("--author", "say who makes the change: --author NAME");
+    return Missing("--author",
+                   "the author of the change is not given: use --author NAME");
   }
   return author;
 }
--- a/src/cli/operator_options.h
+++ b/src/cli/operator_options.h
@@ -12,19 +12,19 @@
 
 namespace meadowthread {
 
-/// @brief The arguments of commands that speak to the platform:
+/// @brief The options of commands that contact the platform:
 /// `--object-api`, `--host-list`, `--settings` and `--timeout-ms`.
 class PlatformOptions {
  public:
   explicit PlatformOptions(TCLAP::CmdLine& line);
 
-  /// @brief Where the platform is, from the arguments, else from the settings
-  /// file, else from the environment.
-  /// @return kFieldMissing where none of them says, kSettingsInvalid
+  /// @brief The platform's address, from the arguments, then the settings file,
+  /// then the environment.
+  /// @return kFieldMissing if none of them gives it, or kSettingsInvalid
   absl::StatusOr<PlatformAddress> Address();
 
-  /// @brief The halves that the settings file tells of, once Address was
-  /// called; nothing without such a file.
+  /// @brief The deployments named in the settings file; valid after Address was
+  /// called, empty without a settings file.
   const std::optional<HalfSettings>& Half() const { return this->half; }
 
  private:
@@ -35,13 +35,14 @@
   std::optional<HalfSettings> half;
 };
 
-/// @brief The argument `--author` of commands that change something.
+/// @brief The option `--author` of commands that change an object.
 class AuthorOption {
  public:
   explicit AuthorOption(TCLAP::CmdLine& line);
 
-  /// @brief Who changes: the argument, else the environment's USER.
-  /// @return kFieldMissing where neither says
+  /// @brief The author of the change: the argument, or the environment variable
+  /// USER.
+  /// @return kFieldMissing if neither is set
   absl::StatusOr<std::string> Author();
 
  private:
--- a/src/cli/ownership_commands.h
+++ b/src/cli/ownership_commands.h
@@ -10,11 +10,12 @@
 
 namespace meadowthread {
 
-/// @brief `ownership show`: which half owns what.
+/// @brief `ownership show`: prints which deployment owns each workspace and
+/// engine.
 /// @param[in] connector outlives the command
 std::unique_ptr<Command> MakeOwnershipShowCommand(PlatformConnector& connector);
 
-/// @brief `ownership move`: hands a workspace or engine to a half.
+/// @brief `ownership move`: moves a workspace or engine to another deployment.
 /// @param[in] connector,clock,operations outlive the command
 std::unique_ptr<Command> MakeOwnershipMoveCommand(PlatformConnector& connector,
                                                   const Clock& clock,
--- a/src/cli/ownership_move_command.cc
+++ b/src/cli/ownership_move_command.cc
@@ -30,16 +30,17 @@
     result.code = ExitCode::kConflict;
     return result;
   }
-  // The draining mark may stand, and whoever asks again carries the move on.
+  // The draining state may already be stored; running the command again
+  // continues the move.
   const bool draining = progress.phase == OwnershipMovePhase::kDraining;
   result.code = ExitCode::kUnknown;
   result.json["phase"] = draining ? "draining" : "starting";
   result.text = absl::StrCat(
-      object, draining ? " is draining" : " was perhaps marked as draining",
+      object, draining ? " is draining" : " may have been marked as draining",
       progress.waiting_for.empty()
           ? ""
           : "; it waits for " + absl::StrJoin(progress.waiting_for, ", "),
-      "\nthe same command goes on with the move\n");
+      "\nrun the same command again to continue the move\n");
   if (!progress.last_error.ok()) {
     const CommandResult failed = FailedResult(progress.last_error);
     result.text += failed.text;
@@ -48,24 +49,28 @@
   return result;
 }
 
-/// The arguments that are the move's own.
+/// The arguments specific to `ownership move`.
 struct MoveArguments {
   explicit MoveArguments(TCLAP::CmdLine& line)
       : object("object", "workspace.NAME or engine.NAME", true, "", "OBJECT",
                line),
-        next_owner("", "to", "the half that is to own it", true, "", "HALF",
-                   line),
-        next_address("", "address",
-                     "where callers of that half go (from --settings)", false,
-                     "", "URL", line),
+        next_owner("", "to", "the deployment that becomes the owner", true, "",
+                   "HALF", line),
+        next_address(
+            "", "address",
+            "the URL for callers of that deployment (default: from --settings)",
+            false, "", "URL", line),
         default_owner("", "default-owner",
-                      "owner of what has no object (from --settings)", false,
-                      "", "HALF", line),
+                      "the owner of everything without an ownership object "
+                      "(default: from "
+                      "--settings)",
+                      false, "", "HALF", line),
         gone("", "gone",
-             "a host that you know to be dead for good, so that the move need "
-             "not wait for it",
+             "a host that is known to be permanently gone, so that the move "
+             "does not wait for it",
              false, "HOST", line),
-        wait_s("", "wait-s", "how long to wait for hosts to drain (60)", false,
+        wait_s("", "wait-s",
+               "how long to wait for hosts to drain (default: 60)", false,
                kDefaultWaitS, "SECONDS", line) {}
 
   TCLAP::UnlabeledValueArg<std::string> object;
@@ -102,7 +107,9 @@
     }
     const OwnershipMoverSettings settings = this->SettingsOf(context.half);
     if (settings.default_owner.empty()) {
-      return UsageResult("say --default-owner or --settings");
+      return UsageResult(
+          "the default owner is not given: use --default-owner or "
+          "--settings");
     }
     OwnershipMoveRequest request = {*id, this->arguments.next_owner.getValue(),
                                     this->arguments.next_address.getValue(),
@@ -153,10 +160,11 @@
       : PlatformCommand(
             connector,
             {"ownership move",
-             "hands a workspace or an engine to a half of the migration",
-             "Moves ownership in steps: the owner takes nothing new, its hosts "
-             "finish what runs,\nand only then the next half owns it. Cut off "
-             "at any step, the same command goes\non; two at once do no harm.",
+             "moves a workspace or an engine to another deployment",
+             "Moves ownership in steps: the owner accepts no new work, its "
+             "hosts finish running\nwork, and only then does the next "
+             "deployment become the owner. If the command is\ninterrupted at "
+             "any step, run it again to continue; running two at once is safe.",
              {"meadowthread ownership move workspace.makati --to west "
               "--settings entry-1.yaml",
               "meadowthread ownership move engine.engine-3 --to west "
--- a/src/cli/ownership_show_command.cc
+++ b/src/cli/ownership_show_command.cc
@@ -44,8 +44,8 @@
   result.text = table.Text();
   if (!any) {
     result.text =
-        "no ownership object; the half that the settings name as "
-        "default_owner owns\n";
+        "no ownership object; the owner is the deployment that the settings "
+        "name as default_owner\n";
     result.code = only.empty() ? ExitCode::kOk : ExitCode::kNotFound;
   }
   return result;
@@ -53,11 +53,12 @@
 
 class OwnershipShowInvocation final : public Invocation {
  public:
-  // Not a positional argument: TCLAP counts optional ones in a static, and
-  // then refuses all that follow in the same process.
+  // An option rather than a positional argument: TCLAP records an optional
+  // positional argument in a static variable and then rejects all later ones in
+  // the same process.
   explicit OwnershipShowInvocation(TCLAP::CmdLine& line)
-      : only("", "object", "show only workspace.NAME or engine.NAME", false, "",
-             "OBJECT", line) {}
+      : only("", "object", "shows only workspace.NAME or engine.NAME", false,
+             "", "OBJECT", line) {}
 
   CommandResult Run(const RunContext& context) override {
     const absl::StatusOr<ObjectList> list =
@@ -76,10 +77,10 @@
       : PlatformCommand(
             connector,
             {"ownership show",
-             "tells which half owns what",
+             "shows which deployment owns each workspace and engine",
              "During the migration each workspace and engine is owned by one "
-             "half. Shows the\nowners that are written down, their epochs and "
-             "moves in progress.",
+             "deployment. Shows the\nstored owners, their epochs and moves in "
+             "progress.",
              {"meadowthread ownership show --settings entry-1.yaml",
               "meadowthread ownership show --object workspace.makati "
               "--object-api http://127.0.0.1:9000 --output json"}}) {}
--- a/src/cli/platform.h
+++ b/src/cli/platform.h
@@ -15,54 +15,55 @@
 
 namespace meadowthread {
 
-/// @brief What one host answered.
+/// @brief The reply of one host.
 struct HostReply {
   std::string host;
   absl::StatusOr<std::string> body;  ///< JSON text
 };
 
-/// @brief What commands need of the world outside: the object API, the host
-/// list and the entry hosts.
+/// @brief Access to the external services that commands use: the object API,
+/// the host list and the entry hosts.
 class Platform {
  public:
   virtual ~Platform() = default;
 
   virtual ObjectStore& Store() = 0;
 
-  /// @brief Runs tasks later, while a command waits.
+  /// @brief The scheduler of delayed tasks; they run while a command waits.
   virtual Scheduler& Tasks() = 0;
 
-  /// @brief Lets answers come until `is_done`.
-  /// @return false where the time limit passed first
+  /// @brief Processes replies until `is_done` returns true.
+  /// @return false if the timeout passed first
   virtual bool Wait(const std::function<bool()>& is_done) = 0;
 
-  /// @brief Lets answers come for a while.
+  /// @brief Processes replies for the given time.
   virtual void Pause(std::int64_t pause_ms) = 0;
 
   /// @brief Reads the host list.
   virtual absl::StatusOr<HostList> ListHosts() = 0;
 
-  /// @brief Asks each host's GET /statusz, all at once.
-  /// @return one reply a host, in their order
+  /// @brief Requests GET /statusz from all hosts in parallel.
+  /// @return one reply per host, in the order of `hosts`
   virtual std::vector<HostReply> AskStatuses(
       std::span<const HostEntry> hosts) = 0;
 
-  /// @brief Calls a JSON-RPC method of each host, all at once.
-  /// @param[in] params JSON text of an object
-  /// @return one reply a host, in their order
+  /// @brief Calls a JSON-RPC method on all hosts in parallel.
+  /// @param[in] params a JSON object as text
+  /// @return one reply per host, in the order of `hosts`
   virtual std::vector<HostReply> CallAll(std::span<const HostEntry> hosts,
                                          std::string_view method,
                                          std::string_view params) = 0;
 };
 
-/// @brief Where the platform is.
+/// @brief The URLs of the platform's services and the timeout for calls to
+/// them.
 struct PlatformAddress {
   std::string object_api;
-  std::string host_list;  ///< empty: not known
+  std::string host_list;  ///< URL; empty if not known
   std::int64_t timeout_ms = 5000;
 };
 
-/// @brief Makes platforms; tests give their own.
+/// @brief Creates Platform objects; tests substitute a fake.
 class PlatformConnector {
  public:
   virtual ~PlatformConnector() = default;
--- a/src/cli/platform_command.h
+++ b/src/cli/platform_command.h
@@ -14,25 +14,25 @@
 
 namespace meadowthread {
 
-/// @brief What one run of a platform command is given.
+/// @brief The context of one run of a platform command.
 struct RunContext {
   Platform& platform;
   Console& console;
-  /// The halves that `--settings` tells of; nothing without such a file.
+  /// The deployments named in the `--settings` file; empty without one.
   const std::optional<HalfSettings>& half;
 };
 
-/// @brief The arguments of one run, and the run itself.
+/// @brief One run of a platform command: its arguments and its action.
 class Invocation {
  public:
   virtual ~Invocation() = default;
 
-  /// @brief Runs with the arguments that were parsed.
+  /// @brief Runs the command with the parsed arguments.
   virtual CommandResult Run(const RunContext& context) = 0;
 };
 
-/// @brief A command that speaks to the platform: it finds it, connects, and
-/// writes the result as asked for.
+/// @brief Base of commands that contact the platform: determines its address,
+/// connects, and prints the result in the selected format.
 class PlatformCommand : public Command {
  public:
   /// @param[in] connector outlives the command
@@ -44,7 +44,7 @@
   ExitCode Run(std::span<const std::string> arguments, Console& console) final;
 
  protected:
-  /// @brief Makes an invocation whose arguments are added to `line`.
+  /// @brief Creates an invocation and registers its arguments on `line`.
   virtual std::unique_ptr<Invocation> Prepare(TCLAP::CmdLine& line) = 0;
 
  private:
@@ -52,7 +52,7 @@
   CommandHelp help;
 };
 
-/// @brief The result of arguments that contradict each other.
+/// @brief The result for invalid arguments, with exit code kUsage.
 CommandResult UsageResult(std::string_view what);
 CommandResult UsageResult(const absl::Status& status);
 
--- a/src/cli/qt_platform.cc
+++ b/src/cli/qt_platform.cc
@@ -23,10 +23,12 @@
 constexpr std::size_t kStatusLimitBytes = std::size_t{1024} * 1024;
 constexpr std::int64_t kConnectTimeoutMs = 1000;
 constexpr int kRpcThreads = 16;
-/// How much longer to wait than the calls' own limits, so that they answer.
+/// Added to the calls' own timeouts, so that a call reports its timeout before
+/// the wait ends.
 constexpr std::int64_t kWaitMarginMs = 500;
 
-/// Qt's event loop needs an application, which lives as long as the process.
+/// Qt's event loop needs an application object that lives as long as the
+/// process.
 void EnsureApplication() {
   if (QCoreApplication::instance() != nullptr) {
     return;
@@ -46,7 +48,7 @@
   return MakeError(absl::StatusCode::kUnavailable, detail, message);
 }
 
-/// The body of a whole answer with status 200.
+/// The body of a complete response with status 200, otherwise an error.
 absl::StatusOr<std::string> BodyOf(const HttpFetched& fetched,
                                    std::string_view step,
                                    std::string_view peer) {
@@ -54,9 +56,9 @@
     return fetched.end.status;
   }
   if (fetched.response.http_status != http_code::kOk) {
-    return PeerError(
-        ErrorId::kRejectedByPeer, step, peer,
-        absl::StrCat("answered HTTP status ", fetched.response.http_status));
+    return PeerError(ErrorId::kRejectedByPeer, step, peer,
+                     absl::StrCat("responded with HTTP status ",
+                                  fetched.response.http_status));
   }
   return fetched.response.body;
 }
@@ -82,13 +84,14 @@
   absl::StatusOr<HostList> ListHosts() override {
     if (this->address.host_list.empty()) {
       return PeerError(ErrorId::kFieldMissing, "host-list", "",
-                       "say where the host list is: --host-list URL, "
+                       "the host list is not given: use --host-list URL, "
                        "--settings FILE or MEADOWTHREAD_HOST_LIST");
     }
     const std::string url = this->address.host_list;
     const absl::StatusOr<std::string> body = Await<std::string>(
         *this,
-        PeerError(ErrorId::kPeerSilent, "host-list", url, "no answer came"),
+        PeerError(ErrorId::kPeerSilent, "host-list", url,
+                  "no answer within the timeout"),
         [this, &url](const auto& done) {
           Fetch(this->http, this->Get(url), kHostListLimitBytes,
                 [done, url](const HttpFetched& fetched) {
@@ -142,7 +145,8 @@
     return request;
   }
 
-  /// The control port first: it answers while a host no longer takes callers.
+  /// The control port is asked first, as it still answers when a host no longer
+  /// accepts callers.
   void AskStatus(const std::string& url, const std::string& other_url,
                  const RpcDone& done) {
     const std::string whole = url + "/statusz";
@@ -172,11 +176,11 @@
     std::vector<HostReply> all;
     for (std::size_t i = 0; i < hosts.size(); ++i) {
       const auto& reply = (*replies)[i];
-      all.push_back(
-          {hosts[i].name, reply.has_value()
-                              ? *reply
-                              : PeerError(ErrorId::kPeerSilent, step,
-                                          hosts[i].name, "no answer came")});
+      all.push_back({hosts[i].name,
+                     reply.has_value()
+                         ? *reply
+                         : PeerError(ErrorId::kPeerSilent, step, hosts[i].name,
+                                     "no answer within the timeout")});
     }
     return all;
   }
--- a/src/cli/qt_platform.h
+++ b/src/cli/qt_platform.h
@@ -7,7 +7,7 @@
 
 namespace meadowthread {
 
-/// @brief Connects over HTTP, on Qt's event loop.
+/// @brief Connects to the platform over HTTP, using Qt's event loop.
 class QtPlatformConnector final : public PlatformConnector {
  public:
   std::unique_ptr<Platform> Connect(const PlatformAddress& address) override;
--- a/src/cli/quarantine_change_command.cc
+++ b/src/cli/quarantine_change_command.cc
@@ -11,13 +11,14 @@
 namespace meadowthread {
 namespace {
 
-// Hosts write to the same object while servers end.
+// Hosts update the same object while servers crash, so that a conditional write
+// may conflict.
 constexpr int kAttempts = 6;
 
 enum class Ruling { kKeep, kLift };
 
-/// @brief One ruling of an operator, on its way to the store. To make it twice
-/// changes nothing, so that an unknown end is simply tried again.
+/// @brief Writes an operator's quarantine decision to the store. The write is
+/// idempotent, so an unknown result is simply retried.
 class RulingChange {
  public:
   RulingChange(Platform& platform, std::string content, Ruling ruling,
@@ -99,14 +100,14 @@
 class ChangeInvocation final : public Invocation {
  public:
   ChangeInvocation(TCLAP::CmdLine& line, Ruling ruling, const Clock& clock)
-      : content("content", "the content, as `quarantine list` tells it", true,
-                "", "CONTENT", line),
+      : content("content", "the content key, as shown by `quarantine list`",
+                true, "", "CONTENT", line),
         ruling(ruling),
         clock(clock) {}
 
   CommandResult Run(const RunContext& context) override {
     if (!IsContentKey(this->content.getValue())) {
-      return UsageResult("CONTENT is 32 hexadecimal digits");
+      return UsageResult("CONTENT must be 32 hexadecimal digits");
     }
     return RulingChange(context.platform, this->content.getValue(),
                         this->ruling, this->clock.WallMs())
@@ -143,10 +144,10 @@
                                                    const Clock& clock) {
   const CommandHelp help = {
       "quarantine keep",
-      "keeps a content from all servers until it is lifted",
-      "A quarantine ends by itself after a while, and one more server's end "
-      "begins the next.\nKept, no host sends such a request to any server "
-      "until an operator lifts it.",
+      "quarantines a content until an operator lifts it",
+      "A quarantine normally expires, and one more server crash starts the "
+      "next one. With\nthis command no host sends such a request to any "
+      "server until an operator lifts it.",
       {absl::StrCat("meadowthread quarantine keep ", kExample)}};
   return std::make_unique<ChangeCommand>(connector, help, Ruling::kKeep, clock);
 }
@@ -155,9 +156,9 @@
                                                    const Clock& clock) {
   const CommandHelp help = {
       "quarantine lift",
-      "takes back what speaks against a content",
-      "The ends of servers up to now speak against the content no more: its "
-      "next try is sent\nto a server. Three more ends put it in quarantine "
+      "lifts the quarantine of a content",
+      "Server crashes up to now no longer count against the content: the next "
+      "such request\nis sent to a server. Three more crashes quarantine it "
       "again.",
       {absl::StrCat("meadowthread quarantine lift ", kExample)}};
   return std::make_unique<ChangeCommand>(connector, help, Ruling::kLift, clock);
--- a/src/cli/quarantine_commands.h
+++ b/src/cli/quarantine_commands.h
@@ -9,19 +9,19 @@
 
 namespace meadowthread {
 
-/// @brief `quarantine list`: contents under which servers ended, with the
-/// evidence.
+/// @brief `quarantine list`: prints the request contents that crashed servers,
+/// with the recorded crashes.
 /// @param[in] connector,clock outlive the command
 std::unique_ptr<Command> MakeQuarantineListCommand(PlatformConnector& connector,
                                                    const Clock& clock);
 
-/// @brief `quarantine keep`: keeps a content from all servers until it is
-/// lifted.
+/// @brief `quarantine keep`: quarantines a content until an operator lifts it.
 /// @param[in] connector,clock outlive the command
 std::unique_ptr<Command> MakeQuarantineKeepCommand(PlatformConnector& connector,
                                                    const Clock& clock);
 
-/// @brief `quarantine lift`: takes back what speaks against a content.
+/// @brief `quarantine lift`: lifts a quarantine and discounts the crashes so
+/// far.
 /// @param[in] connector,clock outlive the command
 std::unique_ptr<Command> MakeQuarantineLiftCommand(PlatformConnector& connector,
                                                    const Clock& clock);
--- a/src/cli/quarantine_list_command.cc
+++ b/src/cli/quarantine_list_command.cc
@@ -72,10 +72,10 @@
       : PlatformCommand(
             connector,
             {"quarantine list",
-             "tells the requests that end the servers which run them",
-             "Tells the contents (workspace, path, body) under which servers "
-             "ended without a word,\nwhich servers those were, and until when "
-             "no host sends such a request to any server.",
+             "lists the request contents that crash servers",
+             "Lists the contents (workspace, path, body) whose requests were "
+             "running when servers\ncrashed, those servers, and until when no "
+             "host sends such a request to any server.",
              {"meadowthread quarantine list --settings entry-1.yaml"}}),
         clock(clock) {}
 
--- a/src/cli/request_story.cc
+++ b/src/cli/request_story.cc
@@ -8,7 +8,7 @@
 namespace meadowthread {
 namespace {
 
-/// How the sentence of a known event begins; its fields follow.
+/// The phrase that starts the sentence for a known event; its fields follow.
 struct EventWords {
   std::string_view event;
   std::string_view words;
@@ -57,7 +57,8 @@
 
 std::vector<StoryStep> RequestStory::Steps() const {
   std::vector<LogRecord> sorted = this->records;
-  // Hosts' clocks differ by little; without times only the order read is left.
+  // Sorting by time is possible because hosts' clocks differ only slightly. If
+  // any line has no time, the lines stay in the order in which they were read.
   if (std::all_of(sorted.begin(), sorted.end(), HasTime)) {
     std::stable_sort(sorted.begin(), sorted.end(), IsEarlier);
   }
@@ -88,7 +89,8 @@
                                   });
   std::string sentence =
       known == kEventWords.end() ? record.event : std::string(known->words);
-  // Engine and reason carry most: they stand in the sentence itself.
+  // Engine and reason matter most, so they are part of the sentence instead of
+  // the field list.
   const std::string engine(record.Field("engine"));
   const std::string why(record.Field("why"));
   if (!engine.empty()) {
--- a/src/cli/request_story.h
+++ b/src/cli/request_story.h
@@ -10,23 +10,24 @@
 
 namespace meadowthread {
 
-/// @brief One step of a request.
+/// @brief One log record about a request, with its description.
 struct StoryStep {
   LogRecord record;
   std::string sentence;
 };
 
-/// @brief Everything that the logs say of one request, in order.
+/// @brief All log records about one request, in time order.
 class RequestStory {
  public:
   explicit RequestStory(std::string_view request) : request(request) {}
 
-  /// @brief Reads a log, and keeps the lines that are about the request or an
-  /// attempt of it.
-  /// @param[in] source the log's name
+  /// @brief Reads a log and keeps the lines about the request or one of its
+  /// attempts.
+  /// @param[in] source the name of the log
   void Read(std::istream& log, std::string_view source);
 
-  /// @brief The steps by time; lines without one keep their order.
+  /// @brief The steps sorted by time; in the order read if any line has no
+  /// time.
   std::vector<StoryStep> Steps() const;
 
   const std::string& Request() const { return this->request; }
@@ -38,7 +39,7 @@
   std::vector<LogRecord> records;
 };
 
-/// @brief A log line as a sentence for a person.
+/// @brief Describes a log record in a readable sentence.
 std::string SentenceOf(const LogRecord& record);
 
 }  // namespace meadowthread
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -13,7 +13,8 @@
          std::string(status.message().data(), status.message().size());
 }
 
-/// Reads what can be read: the command is wanted most while something is down.
+/// Reports whatever can be read, since the command is needed most while some
+/// service is down.
 CommandResult ReadStatus(Platform& platform, const Clock& clock) {
   const absl::StatusOr<HostList> list = platform.ListHosts();
   const absl::StatusOr<ObjectList> objects =
@@ -59,12 +60,12 @@
       : PlatformCommand(
             connector,
             {"status",
-             "tells the state of every entry host",
-             "Asks every entry host of the host list for its state and tells "
-             "in one table: the\nmark and readiness, the configuration's "
-             "revision and how long ago it was\nconfirmed, load, and what a "
-             "stop waits for. A host that does not answer is told\nas "
-             "unreachable, with what its status object last said.",
+             "shows the state of every entry host",
+             "Asks every entry host of the host list for its state and shows "
+             "in one table: the\nmark and readiness, the configuration "
+             "revision and how long ago it was confirmed,\nload, and what a "
+             "stop waits for. A host that does not answer is shown "
+             "as\nunreachable, with the contents of its last status object.",
              {"meadowthread status --settings entry-1.yaml",
               "meadowthread status --object-api http://127.0.0.1:9000 "
               "--host-list http://127.0.0.1:9001/hosts --output json"}}),
--- a/src/cli/status_command.h
+++ b/src/cli/status_command.h
@@ -9,7 +9,7 @@
 
 namespace meadowthread {
 
-/// @brief `status`: every entry host in one table.
+/// @brief `status`: shows the state of all entry hosts in one table.
 /// @param[in] connector,clock outlive the command
 std::unique_ptr<Command> MakeStatusCommand(PlatformConnector& connector,
                                            const Clock& clock);
--- a/src/cli/status_report.cc
+++ b/src/cli/status_report.cc
@@ -37,7 +37,7 @@
   return strings;
 }
 
-/// An incarnation may be written as a number or as text.
+/// A field as text; the incarnation may be a number or a string.
 std::string TextOf(const nlohmann::json& object, const char* field) {
   const auto found = object.find(field);
   if (found == object.end()) {
@@ -54,8 +54,8 @@
   return found == objects.end() ? nullptr : &*found;
 }
 
-/// Fills a row from the host's status object, which is all that is left of a
-/// host that does not answer.
+/// Fills a row from the host's status object, the only source for a host that
+/// does not answer.
 void FillFromObject(const StoredObject* object, StatusRow* row) {
   if (object == nullptr) {
     return;
@@ -183,7 +183,7 @@
       StatusRow row;
       row.status.host = object.name;
       row.listed = "not_listed";
-      row.trouble = "not asked: the host list does not have it";
+      row.trouble = "not asked: not in the host list";
       FillFromObject(&object, &row);
       report.rows.push_back(row);
     }
--- a/src/cli/status_report.h
+++ b/src/cli/status_report.h
@@ -16,13 +16,14 @@
 /// @brief The kind of the hosts' status objects.
 inline constexpr std::string_view kStatusObjects = "status";
 
-/// @brief What a host says of itself.
+/// @brief The state that a host reports about itself.
 struct HostStatus {
   std::string host;
   std::string incarnation;
   bool ready = false;
   std::int64_t configuration_revision = 0;
-  std::int64_t confirmed_unix_ms = 0;  ///< its configuration's freshness
+  std::int64_t confirmed_unix_ms =
+      0;  ///< when its configuration was last confirmed
   std::string confirmed_by;
   std::int64_t streams = 0;
   std::int64_t queued = 0;
@@ -33,40 +34,41 @@
   friend bool operator==(const HostStatus&, const HostStatus&) = default;
 };
 
-/// @brief Reads a host's answer, or its status object; missing fields are 0.
-/// @return kPeerMalformed where it is no JSON object
+/// @brief Parses a host's /statusz response or its status object; missing
+/// fields are 0 or empty.
+/// @return kMalformedRequest if the text is not a JSON object
 absl::StatusOr<HostStatus> ParseHostStatus(std::string_view host,
                                            std::string_view text);
 
-/// @brief Where a host's row comes from.
+/// @brief The source of a host's row.
 enum class StatusSource {
-  kHost,    ///< its own answer
-  kObject,  ///< its status object, since it did not answer
-  kNone,    ///< neither could be read
+  kHost,    ///< the host's own response
+  kObject,  ///< its status object, as the host did not answer
+  kNone,    ///< neither was available
 };
 
-/// @brief One host's row.
+/// @brief The table row of one host.
 struct StatusRow {
   HostStatus status;
   std::string zone;
-  std::string listed;  ///< live, leaving, or not_listed
+  std::string listed;  ///< "live", "leaving" or "not_listed"
   StatusSource source = StatusSource::kNone;
-  std::string trouble;  ///< why the host's own answer is missing
+  std::string trouble;  ///< why the host's own response is missing
 };
 
-/// @brief Everything that `meadowthread status` tells.
+/// @brief The contents of the output of `meadowthread status`.
 struct StatusReport {
-  std::vector<StatusRow> rows;     ///< by host
-  std::vector<std::string> notes;  ///< what could not be read
+  std::vector<StatusRow> rows;     ///< sorted by host
+  std::vector<std::string> notes;  ///< sources that could not be read
   std::int64_t now_unix_ms = 0;
 
   std::string Text() const;
   nlohmann::ordered_json Json() const;
 };
 
-/// @brief Joins the host list, the hosts' answers and the status objects.
+/// @brief Combines the host list, the hosts' replies and the status objects.
 /// @param[in] hosts entry hosts
-/// @param[in] replies one a host, in their order
+/// @param[in] replies one per host, in the order of `hosts`
 /// @param[in] objects of kind `status`
 StatusReport JoinStatuses(std::span<const HostEntry> hosts,
                           std::span<const HostReply> replies,
--- a/src/cli/template_commands.h
+++ b/src/cli/template_commands.h
@@ -10,7 +10,7 @@
 
 namespace meadowthread {
 
-/// @name reading commands; `connector` outlives them
+/// @name Read-only template commands; `connector` outlives them
 ///@{
 std::unique_ptr<Command> MakeTemplateGetCommand(PlatformConnector& connector);
 std::unique_ptr<Command> MakeTemplateListCommand(PlatformConnector& connector);
@@ -18,7 +18,7 @@
     PlatformConnector& connector);
 ///@}
 
-/// @brief `template put`: checks a template and makes it stand.
+/// @brief `template put`: validates and stores a template.
 /// @param[in] connector,clock,operations outlive the command
 std::unique_ptr<Command> MakeTemplatePutCommand(PlatformConnector& connector,
                                                 const Clock& clock,
--- a/src/cli/template_put_command.cc
+++ b/src/cli/template_put_command.cc
@@ -17,11 +17,11 @@
  public:
   PutInvocation(TCLAP::CmdLine& line, const Clock& clock,
                 NonceSource& operations)
-      : file("file", "the template; - is the standard input", true, "", "FILE",
-             line),
+      : file("file", "the template file; - reads standard input", true, "",
+             "FILE", line),
         if_version("", "if-version",
-                   "put only over this version, as `template get --output "
-                   "json` tells it; 0: only where there is none",
+                   "put only over this version, as printed by `template get "
+                   "--output json`; 0: only if there is none yet",
                    false, 0, "N", line),
         author(line),
         operation(line),
@@ -80,8 +80,9 @@
   static CommandResult TooLarge() {
     CommandResult result;
     result.code = ExitCode::kInvalid;
-    result.text = absl::StrCat("the template is larger than the object API's ",
-                               kMaxObjectBytes, " bytes\n");
+    result.text =
+        absl::StrCat("the template exceeds the object API's limit of ",
+                     kMaxObjectBytes, " bytes\n");
     return result;
   }
 
@@ -100,13 +101,13 @@
       : PlatformCommand(
             connector,
             {"template put",
-             "checks a template and makes it stand",
-             "Checks the template whole, then puts it by a conditional write. "
-             "A lost answer is\nsettled by the operation's id: the result is "
-             "accepted, unchanged, conflict (with\nwhat stands instead) or "
-             "unknown, never a guess. An accepted template is pushed to\nthe "
-             "entry hosts of the host list, and is in force on all of them "
-             "within seconds.",
+             "validates and stores a template",
+             "Validates the template, then stores it by a conditional write. "
+             "If the response is\nlost, the operation's id shows whether the "
+             "write was applied: the result is accepted,\nunchanged, conflict "
+             "(with the stored version) or unknown, never a guess. An "
+             "accepted\ntemplate is pushed to the entry hosts of the host "
+             "list and is in force on all of them\nwithin seconds.",
              {"meadowthread template put daily-report.yaml --author ana",
               "meadowthread template put daily-report.yaml --author ana "
               "--if-version 12 --output json"}}),
--- a/src/cli/template_read_commands.cc
+++ b/src/cli/template_read_commands.cc
@@ -21,7 +21,7 @@
           {"operation", entry.operation}};
 }
 
-/// All kept versions of a template, newest first.
+/// All stored versions of a template, newest first.
 absl::StatusOr<std::vector<TemplateEntry>> ReadVersions(
     Platform& platform, const std::string& name) {
   const absl::StatusOr<StoredObject> object =
@@ -46,9 +46,9 @@
 class GetInvocation final : public Invocation {
  public:
   explicit GetInvocation(TCLAP::CmdLine& line)
-      : name("name", "the template", true, "", "NAME", line),
-        version("", "version", "an earlier version, as history tells it", false,
-                0, "N", line) {}
+      : name("name", "the name of the template", true, "", "NAME", line),
+        version("", "version", "an earlier version, as listed by history",
+                false, 0, "N", line) {}
 
   CommandResult Run(const RunContext& context) override {
     const auto versions = ReadVersions(context.platform, this->name.getValue());
@@ -63,7 +63,8 @@
     CommandResult result;
     result.code = ExitCode::kNotFound;
     result.text = absl::StrCat("version ", this->version.getValue(),
-                               " is not kept; history tells which are\n");
+                               " is not stored; history lists those that "
+                               "are\n");
     return result;
   }
 
@@ -87,10 +88,10 @@
       : PlatformCommand(
             connector,
             {"template get",
-             "writes a template's YAML",
-             "Writes the template as its author wrote it, for amending and "
-             "putting again. The\nJSON output has its version, for "
-             "`template put --if-version`.",
+             "prints a template's YAML",
+             "Prints the template as its author wrote it, to edit and put "
+             "again. The JSON output\nincludes its version, for `template put "
+             "--if-version`.",
              {"meadowthread template get daily-report > daily-report.yaml",
               "meadowthread template get daily-report --version 12"}}) {}
 
@@ -143,9 +144,9 @@
   explicit ListCommand(PlatformConnector& connector)
       : PlatformCommand(connector,
                         {"template list",
-                         "tells all templates and their versions",
-                         "Tells every accepted template with its version, who "
-                         "put it and when.",
+                         "lists all templates and their versions",
+                         "Lists every accepted template with its version, "
+                         "author and time.",
                          {"meadowthread template list",
                           "meadowthread template list --output json"}}) {}
 
@@ -162,8 +163,8 @@
 class HistoryInvocation final : public Invocation {
  public:
   explicit HistoryInvocation(TCLAP::CmdLine& line)
-      : name("name", "the template", true, "", "NAME", line),
-        changes("", "changes", "tells what each version changed", line) {}
+      : name("name", "the name of the template", true, "", "NAME", line),
+        changes("", "changes", "shows what each version changed", line) {}
 
   CommandResult Run(const RunContext& context) override {
     const auto versions = ReadVersions(context.platform, this->name.getValue());
@@ -208,10 +209,10 @@
       : PlatformCommand(
             connector,
             {"template history",
-             "tells a template's latest versions",
-             "Tells the versions that are kept with the template, newest "
-             "first: who put each and\nwhen. The object keeps the latest ones "
-             "that fit.",
+             "lists a template's latest versions",
+             "Lists the stored versions of the template, newest first, with "
+             "author and time. The\ntemplate's object keeps as many of the "
+             "latest versions as fit.",
              {"meadowthread template history daily-report --changes"}}) {}
 
  protected:
--- a/src/cli/tests/change_test.cc
+++ b/src/cli/tests/change_test.cc
@@ -34,7 +34,7 @@
   return RunCommand(*command, all);
 }
 
-/// Another operator's put, over what stands.
+/// Simulates another operator overwriting the stored template.
 void PutByBen(FakeWorld& world, const std::string& yaml) {
   const auto ignore = [](const auto&) {};
   world.store.Get("templates", "tags",
@@ -59,7 +59,7 @@
   return value;
 }
 
-Test(a_put_template, is_accepted_and_offered_to_the_entry_hosts) {
+Test(a_put_template, is_accepted_and_pushed_to_the_entry_hosts) {
   FakeWorld world;
   world.hosts->hosts = {EntryHost("entry-1"), EntryHost("entry-2")};
   world.replies = {{"entry-1", std::string(R"({"taken":1})")},
@@ -68,7 +68,7 @@
   cr_assert(run.code == ExitCode::kOk, "%s", run.err.c_str());
   cr_assert(Contains(run.out,
                      "template tags: accepted as version 1\n"
-                     "told 1 of 2 entry hosts at once"));
+                     "pushed to 1 of 2 entry hosts"));
   const auto offered = nlohmann::json::parse(world.calls.front());
   cr_assert(offered["items"][0]["kind"] == "templates");
   cr_assert(offered["items"][0]["version"] == 1);
@@ -81,7 +81,8 @@
   const RunRecord run = Put(world, Tags("urgent"), {"--output", "json"});
   cr_assert(run.code == ExitCode::kUnchanged);
   cr_assert(nlohmann::json::parse(run.out)["result"] == "unchanged");
-  // The platform's answer is confirmed by an update that changes no content.
+  // The second put confirms the stored version by a write that leaves the
+  // content unchanged.
   cr_assert(ValueOfTags(world) == first);
 }
 
@@ -93,7 +94,7 @@
   cr_assert(world.store.WriteCalls() == 0);
 }
 
-Test(a_put_template, over_another_version_than_meant_is_a_conflict) {
+Test(a_put_template, over_another_version_than_expected_is_a_conflict) {
   FakeWorld world;
   Put(world, Tags("urgent"));
   PutByBen(world, Tags("batch"));
@@ -104,7 +105,7 @@
   cr_assert(Contains(run.err, "-3: urgency: urgent\n+3: urgency: batch\n"));
 }
 
-Test(a_put_template, whose_answer_was_lost_is_settled) {
+Test(a_put_template, whose_write_answer_was_lost_is_still_accepted) {
   for (const WriteFault fault :
        {WriteFault::kAnswerLost, WriteFault::kRequestLost}) {
     FakeWorld world;
@@ -116,7 +117,7 @@
   }
 }
 
-Test(a_put_template, that_another_came_before_is_a_conflict_by_its_history) {
+Test(a_put_template, is_a_conflict_if_the_history_shows_another_put_first) {
   FakeWorld world;
   Put(world, Tags("urgent"));
   world.store.FailWrites({WriteFault::kRequestLost});
@@ -124,7 +125,7 @@
   cr_assert(Put(world, Tags("normal")).code == ExitCode::kConflict);
 }
 
-Test(a_put_template, that_stays_unsettled_is_unknown) {
+Test(a_put_template, whose_outcome_cannot_be_confirmed_is_unknown) {
   FakeWorld world;
   world.store.FailWrites(std::vector<WriteFault>(20, WriteFault::kRequestLost));
   const RunRecord run = Put(world, Tags("urgent"));
@@ -132,13 +133,13 @@
   cr_assert(Contains(run.err, "--operation "));
 }
 
-Test(a_put_template, while_the_platform_is_down_is_certainly_not_applied) {
+Test(a_put_template, is_not_applied_while_the_platform_is_down) {
   FakeWorld world;
   world.store.SetDown(true);
   cr_assert(Put(world, Tags("urgent")).code == ExitCode::kUnavailable);
 }
 
-Test(a_host, is_marked_once) {
+Test(a_host, marked_twice_alike_is_unchanged) {
   FakeWorld world;
   world.hosts->hosts = {EntryHost("entry-1")};
   cr_assert(Mark(world, {"entry-1", "stopping", "--handover"}).code ==
@@ -148,7 +149,7 @@
   cr_assert(Mark(world, {"entry-1", "live"}).code == ExitCode::kOk);
 }
 
-Test(a_host, that_the_list_does_not_have_is_marked_only_if_meant) {
+Test(a_host, missing_from_the_host_list_is_marked_only_with_unlisted) {
   FakeWorld world;
   world.hosts->hosts = {EntryHost("entry-1")};
   cr_assert(Mark(world, {"entri-1", "leaving"}).code == ExitCode::kNotFound);
@@ -162,7 +163,7 @@
   world.hosts = NoAnswer();
   const RunRecord run = Mark(world, {"entry-1", "leaving"});
   cr_assert(run.code == ExitCode::kOk);
-  cr_assert(Contains(run.out, "told 0 of 0 entry hosts"));
+  cr_assert(Contains(run.out, "pushed to 0 of 0 entry hosts"));
   cr_assert(Mark(world, {"entry-1", "gone"}).code == ExitCode::kUsage);
 }
 
--- a/src/cli/tests/check_test.cc
+++ b/src/cli/tests/check_test.cc
@@ -12,7 +12,7 @@
                     text);
 }
 
-Test(a_checked_document, is_told_as_a_template_with_all_its_problems) {
+Test(a_checked_document, recognized_as_a_template_lists_all_its_problems) {
   const RunRecord run = Check(
       "name: tags\n"
       "models:\n"
@@ -25,7 +25,7 @@
   cr_assert(Contains(run.err, "-:6: workspaces[0].weight"));
 }
 
-Test(a_checked_document, is_told_as_settings_with_all_its_problems) {
+Test(a_checked_document, recognized_as_settings_lists_all_its_problems) {
   const RunRecord run = Check("host: {name: e}\nplatfrom: {}\n", true);
   const auto json = nlohmann::json::parse(run.out);
   cr_assert(json["result"] == "invalid");
@@ -36,14 +36,14 @@
   cr_assert(json["problems"].back()["field"] == "platfrom");
 }
 
-Test(a_checked_document, is_told_as_a_relay_hosts_settings) {
+Test(a_checked_document, is_recognized_as_relay_settings) {
   const RunRecord run = Check("host: {name: e}\nlisten: {}\nstore: x\n", true);
   const auto json = nlohmann::json::parse(run.out);
   cr_assert(json["kind"] == "relay settings" && json["exit_code"] == 3);
   cr_assert(json["problems"].size() == 7);
 }
 
-Test(a_checked_document, that_is_valid_says_what_it_is) {
+Test(a_checked_document, that_is_valid_prints_its_kind) {
   const RunRecord run = Check(
       "name: tags\n"
       "models: [{model: tag, version: \"7\"}]\n"
@@ -52,7 +52,7 @@
   cr_assert(run.out == "-: a valid template document\n");
 }
 
-Test(a_checked_document, that_is_neither_or_no_yaml_says_so) {
+Test(a_checked_document, of_another_kind_or_not_yaml_is_an_error) {
   cr_assert(Contains(Check("colour: red\n").err, "neither settings"));
   cr_assert(Contains(Check("- 1\n").err, "neither settings"));
   cr_assert(Contains(Check("a: 1\nname: [\n").err, "is not YAML"));
--- a/src/cli/tests/command_line_test.cc
+++ b/src/cli/tests/command_line_test.cc
@@ -10,7 +10,7 @@
 namespace meadowthread {
 namespace {
 
-/// The registry as one command, so that RunCommand can run it.
+/// Wraps the registry in a command, so that RunCommand can run it.
 class Program final : public Command {
  public:
   Program() {
@@ -36,7 +36,7 @@
   return RunCommand(program, words);
 }
 
-Test(a_command_line, without_a_command_tells_them_all) {
+Test(a_command_line, without_a_command_lists_all_commands) {
   const RunRecord run = RunProgram({});
   cr_assert(run.code == ExitCode::kUsage);
   cr_assert(Contains(run.err, "ownership show"));
@@ -51,7 +51,7 @@
       Contains(run.err, "no command 'explian'; the nearest is 'explain'"));
 }
 
-Test(a_command_line, with_half_a_command_tells_its_group) {
+Test(a_command_line, with_only_the_first_word_of_a_command_lists_its_group) {
   const RunRecord run = RunProgram({"ownership"});
   cr_assert(run.code == ExitCode::kUsage);
   cr_assert(Contains(run.err, "ownership show"));
@@ -72,7 +72,7 @@
   }
 }
 
-Test(a_command_line, that_does_not_say_where_the_platform_is_says_so) {
+Test(a_command_line, without_the_object_api_is_a_usage_error) {
   unsetenv("MEADOWTHREAD_OBJECT_API");
   const RunRecord run = RunProgram({"status"});
   cr_assert(run.code == ExitCode::kUsage);
@@ -81,7 +81,7 @@
   cr_assert(RunProgram({"status"}).code == ExitCode::kOk);
 }
 
-Test(the_help_of_a_command, teaches_arguments_examples_and_exit_codes) {
+Test(the_help_of_a_command, lists_arguments_examples_and_exit_codes) {
   const RunRecord run = RunProgram({"explain", "--help"});
   cr_assert(run.code == ExitCode::kOk);
   cr_assert(Contains(run.out, "--log <FILE>"));
@@ -89,7 +89,7 @@
   cr_assert(Contains(run.out, "4  conflict "));
 }
 
-Test(the_version, is_told_to_programs) {
+Test(the_version, is_printed_as_json) {
   const RunRecord run = RunProgram({"version", "--output", "json"});
   const auto json = nlohmann::json::parse(run.out);
   cr_assert(json["result"] == "ok");
--- a/src/cli/tests/explain_test.cc
+++ b/src/cli/tests/explain_test.cc
@@ -10,7 +10,7 @@
 
 constexpr char kPrefix[] = "I20261202 14:30:25.000002  77 session.cc:83] ";
 
-Test(a_log_line, reads_back_as_it_was_written) {
+Test(a_log_line, is_parsed_back_as_it_was_written) {
   LogLine line("route");
   line.Add("request", "r-1")
       .Add("why", "it is \"least\"\tfull = 3\\4 \xc3\xb1");
@@ -26,20 +26,20 @@
                              {"empty", ""}}));
 }
 
-Test(a_log_line, reads_without_a_prefix_and_behind_another) {
+Test(a_log_line, is_parsed_without_a_prefix_and_after_other_text) {
   cr_assert(ReadLogLine("event=end tokens=3")->time.empty());
   cr_assert(
       ReadLogLine("entry-1 | I1202 09:00:00.5 7 a.cc:1] event=end")->time ==
       "1202 09:00:00.5");
 }
 
-Test(a_log_line, that_is_cut_off_keeps_its_whole_fields) {
+Test(a_log_line, that_is_truncated_keeps_its_complete_fields) {
   const auto record = ReadLogLine("event=end request=r-1 why=\"cut o");
   cr_assert(record->fields.size() == 1);
   cr_assert(!ReadLogLine("a plain line, no_event=x").has_value());
 }
 
-Test(the_story_of_a_request, is_told_in_order_of_time) {
+Test(a_request_timeline, is_printed_in_time_order) {
   const std::string log =
       "I1202 14:30:25.3 7 a.cc:1] event=end request=r-1 outcome=none\n"
       "I1202 14:30:25.1 7 a.cc:1] event=queue request=r-1 why=\"no room\"\n"
@@ -55,7 +55,7 @@
             "  1202 14:30:25.3  [-]  ended; outcome none\n");
 }
 
-Test(the_story_of_a_request, is_told_to_programs) {
+Test(a_request_timeline, is_printed_as_json) {
   const auto command = MakeExplainCommand();
   const RunRecord run =
       RunCommand(*command, {"r-1", "--output", "json"},
@@ -65,7 +65,7 @@
   cr_assert(json["steps"][0]["fields"]["engine"] == "e-2");
 }
 
-Test(the_story_of_a_request, that_no_log_knows_is_not_found) {
+Test(a_request_timeline, without_log_lines_is_not_found) {
   const auto command = MakeExplainCommand();
   cr_assert(RunCommand(*command, {"r-2"}, "event=end request=r-1\n").code ==
             ExitCode::kNotFound);
--- a/src/cli/tests/fake_platform.h
+++ b/src/cli/tests/fake_platform.h
@@ -17,13 +17,14 @@
 
 namespace meadowthread {
 
-/// @brief Runs tasks one at a time, when a command waits for nothing else.
+/// @brief Queues tasks and runs them one at a time, ignoring their delays.
 class QueueScheduler final : public Scheduler {
  public:
   void After(std::int64_t /*delay_ms*/, std::function<void()> task) override {
     this->tasks.push_back(std::move(task));
   }
 
+  /// @brief Runs the oldest task.
   /// @return whether there was a task
   bool RunOne() {
     if (this->tasks.empty()) {
@@ -39,15 +40,16 @@
   std::deque<std::function<void()>> tasks;
 };
 
-/// @brief What the fake platform is made of; outlives the platforms.
+/// @brief The state and scripted replies of a fake platform; outlives the
+/// platforms.
 struct FakeWorld {
   MemoryStore store;
   QueueScheduler tasks;
   ManualClock clock{1'000'000};
   absl::StatusOr<HostList> hosts = HostList{};
-  std::vector<HostReply> replies;  ///< to AskStatuses and CallAll
+  std::vector<HostReply> replies;  ///< returned by AskStatuses and CallAll
   std::vector<std::string> calls;  ///< parameters of CallAll
-  /// Happens once, before the first task: between a write and the next.
+  /// Runs once, before the first queued task: between a write and its retry.
   std::function<void()> at_pause = [] {};
 
   void Put(std::string_view kind, std::string_view name,
@@ -57,7 +59,7 @@
   }
 };
 
-/// @brief A platform in memory, whose answers come while a command waits.
+/// @brief An in-memory platform that delivers replies while a command waits.
 class FakePlatform final : public Platform {
  public:
   explicit FakePlatform(FakeWorld& world) : world(world) {}
@@ -114,7 +116,7 @@
   FakeWorld& world;
 };
 
-/// @brief What a command wrote and how it ended.
+/// @brief The output and exit code of a command.
 struct RunRecord {
   ExitCode code = ExitCode::kFailed;
   std::string out;
--- a/src/cli/tests/ownership_test.cc
+++ b/src/cli/tests/ownership_test.cc
@@ -24,7 +24,7 @@
   return RunCommand(*command, {"--object", object, "--object-api", "http://h"});
 }
 
-Test(a_move_of_ownership, is_carried_to_its_end) {
+Test(a_move_of_ownership, runs_to_completion) {
   FakeWorld world;
   const RunRecord run = Move(world);
   cr_assert(run.code == ExitCode::kOk);
@@ -33,7 +33,7 @@
   cr_assert(Show(world, "engine.e-1").code == ExitCode::kNotFound);
 }
 
-Test(a_move_of_ownership, that_waits_for_a_host_is_told_as_not_settled) {
+Test(a_move_of_ownership, that_waits_for_a_host_has_an_unknown_result) {
   FakeWorld world;
   world.Put("status", "entry-1", R"({"ownership":{"half":"east"}})");
   const RunRecord run = Move(world);
@@ -41,7 +41,8 @@
   cr_assert(Contains(run.err, "draining; it waits for entry-1"));
 }
 
-Test(a_move_of_ownership, to_a_third_half_meanwhile_is_a_conflict) {
+Test(a_move_of_ownership,
+     is_a_conflict_if_another_move_to_a_third_deployment_is_running) {
   FakeWorld world;
   OwnershipDocument document;
   document.owner = "east";
--- a/src/cli/tests/quarantine_test.cc
+++ b/src/cli/tests/quarantine_test.cc
@@ -1,4 +1,5 @@
-// How operators see, keep and lift what ends servers.
+// Tests the commands with which operators list, keep and lift quarantines of
+// requests that crash servers.
 #include <criterion/criterion.h>
 
 #include "cli/quarantine_commands.h"
@@ -72,8 +73,8 @@
   cr_assert(Judge(story.Stored(), kNow + 90'000'000).in_quarantine);
 }
 
-// A host that saw one more end writes at the same time.
-Test(a_quarantine, is_lifted_though_a_host_writes_in_between) {
+// A host that saw one more crash updates the same object concurrently.
+Test(a_quarantine, is_lifted_despite_a_concurrent_write_by_a_host) {
   Story story;
   bool wrote = false;
   story.world.at_pause = [&story, &wrote] {
@@ -88,7 +89,7 @@
   cr_assert_not(Judge(story.Stored(), kNow).in_quarantine);
 }
 
-Test(what_is_in_no_quarantine, is_told_so) {
+Test(a_quarantine, command_fails_for_an_unknown_content_or_a_store_outage) {
   Story story;
   cr_assert(story.Run(MakeQuarantineLiftCommand, {"short"}).code ==
             ExitCode::kUsage);
--- a/src/cli/tests/status_test.cc
+++ b/src/cli/tests/status_test.cc
@@ -28,7 +28,7 @@
   return world;
 }
 
-Test(the_status, tells_each_host_and_what_its_stop_waits_for) {
+Test(the_status, shows_each_host_and_what_its_stop_waits_for) {
   FakeWorld world;
   const RunRecord run = Status(TwoHosts(world), kArgumentsOfStatus);
   cr_assert(run.code == ExitCode::kOk);
@@ -37,7 +37,7 @@
   cr_assert(Contains(run.out, "r-1,r-2"));
 }
 
-Test(the_status, tells_an_unreachable_host_by_its_status_object) {
+Test(the_status, shows_an_unreachable_host_from_its_status_object) {
   FakeWorld world;
   TwoHosts(world).Put("status", "entry-2", R"({"ready":true,"streams":7})");
   const RunRecord run = Status(world, kArgumentsAsJson);
@@ -48,7 +48,7 @@
   cr_assert(hosts[1]["streams"] == 7);
 }
 
-Test(the_status, tells_a_host_that_the_list_lost) {
+Test(the_status, shows_a_host_missing_from_the_host_list) {
   FakeWorld world;
   world.Put("status", "entry-9", "{}");
   world.Put("status", "entry-8", "not json");
@@ -58,7 +58,7 @@
   cr_assert(hosts[1]["listed"] == "not_listed");
 }
 
-Test(the_status, is_told_as_far_as_it_can_be_read) {
+Test(the_status, shows_partial_results_when_a_source_is_down) {
   FakeWorld world;
   TwoHosts(world).store.SetDown(true);
   const RunRecord half = Status(world, kArgumentsOfStatus);
--- a/src/cli/tests/template_read_test.cc
+++ b/src/cli/tests/template_read_test.cc
@@ -17,7 +17,8 @@
   return RunCommand(*make(connector), arguments);
 }
 
-/// A template of two versions: 7 by ana, then the object's own by ben.
+/// Stores a template with two versions: 7 by ana in the history, then the
+/// current one by ben.
 void PutTags(FakeWorld& world) {
   TemplateObject object;
   object.current = {"op-2", "ben", 1'764'000'000'000, "a\nB\nc\n", 0};
@@ -25,7 +26,7 @@
   world.Put("templates", "tags", TemplateToJson(object));
 }
 
-Test(a_template, is_written_as_its_author_wrote_it) {
+Test(a_template, is_printed_as_its_author_wrote_it) {
   FakeWorld world;
   PutTags(world);
   cr_assert(Read(world, MakeTemplateGetCommand, {"tags"}).out == "a\nB\nc\n");
@@ -51,7 +52,7 @@
   cr_assert(templates[1]["unreadable"] == true);
 }
 
-Test(a_template, tells_its_history_and_changes) {
+Test(a_template, shows_its_history_and_changes) {
   FakeWorld world;
   PutTags(world);
   const RunRecord run =
@@ -60,7 +61,7 @@
   cr_assert(Contains(run.out, "version 1 changed:\n-2: b\n+2: B\n"));
 }
 
-Test(a_platform_that_is_down, is_told_as_unavailable) {
+Test(a_platform_that_is_down, is_reported_as_unavailable) {
   FakeWorld world;
   world.store.SetDown(true);
   const RunRecord run = Read(world, MakeTemplateListCommand, {});
@@ -68,7 +69,7 @@
   cr_assert(Contains(run.err, "step: object-api.list"));
 }
 
-Test(the_list_of_hosts, tells_marks_beside_it) {
+Test(the_host_list, shows_the_marks_of_hosts) {
   FakeWorld world;
   world.hosts->hosts = {EntryHost("entry-1"), EntryHost("entry-2")};
   world.Put("marks", "entry-1",
--- a/src/cli/tests/zone_test.cc
+++ b/src/cli/tests/zone_test.cc
@@ -1,4 +1,5 @@
-// How operators empty availability zones and take them back.
+// Tests the commands with which operators empty availability zones and take
+// them back.
 #include <criterion/criterion.h>
 
 #include "cli/tests/fake_platform.h"
@@ -61,7 +62,7 @@
   cr_assert(story.List().find("taken back") != std::string::npos);
 }
 
-Test(a_zone, that_no_host_is_in_is_emptied_only_if_meant) {
+Test(a_zone, without_hosts_is_emptied_only_with_unlisted) {
   Story story;
   cr_assert(story.Run(MakeZoneEmptyCommand, {"makatti"}).code ==
             ExitCode::kNotFound);
--- a/src/cli/text_table.h
+++ b/src/cli/text_table.h
@@ -6,15 +6,15 @@
 
 namespace meadowthread {
 
-/// @brief Columns of text as wide as their widest cell.
+/// @brief A plain-text table whose columns are as wide as their widest cell.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> head);
 
-  /// @brief Adds a row with as many cells as the head.
+  /// @brief Adds a row, padded or cut to the number of header cells.
   void Add(std::vector<std::string> cells);
 
-  /// @brief The whole table, each row a line.
+  /// @brief The whole table with one line per row.
   std::string Text() const;
 
  private:
--- a/src/cli/utc_time.h
+++ b/src/cli/utc_time.h
@@ -6,7 +6,7 @@
 
 namespace meadowthread {
 
-/// @brief A time for a person, such as "2026-12-02 14:30:25Z"; "-" for 0.
+/// @brief Formats a time in UTC, such as "2026-12-02 14:30:25Z"; "-" for 0.
 std::string UtcTime(std::int64_t unix_ms);
 
 }  // namespace meadowthread
--- a/src/cli/version_command.cc
+++ b/src/cli/version_command.cc
@@ -28,8 +28,8 @@
 
  private:
   CommandHelp help = {"version",
-                      "tells the program's version",
-                      "Tells the version that this program was built as.",
+                      "prints the program's version",
+                      "Prints the version of this build.",
                       {"meadowthread version --output json"}};
 };
 
--- a/src/cli/version_command.h
+++ b/src/cli/version_command.h
@@ -7,7 +7,7 @@
 
 namespace meadowthread {
 
-/// @brief `version`.
+/// @brief `version`: prints the version of the program.
 std::unique_ptr<Command> MakeVersionCommand();
 
 }  // namespace meadowthread
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -30,9 +30,10 @@
  public:
   ChangeInvocation(TCLAP::CmdLine& line, HostMark mark, const Clock& clock,
                    NonceSource& operations)
-      : zone("zone", "the availability zone", true, "", "ZONE", line),
+      : zone("zone", "the name of the availability zone", true, "", "ZONE",
+             line),
         unlisted("", "unlisted",
-                 "do it although no host of the host list is in the zone",
+                 "changes the zone even if no host of the host list is in it",
                  line),
         author(line),
         operation(line),
@@ -42,13 +43,14 @@
 
   CommandResult Run(const RunContext& context) override {
     if (!IsName(this->zone.getValue())) {
-      return UsageResult("ZONE is no availability zone's name");
+      return UsageResult("ZONE is not a valid availability zone name");
     }
     const absl::StatusOr<std::string> who = this->author.Author();
     if (!who.ok()) {
       return UsageResult(who.status());
     }
-    // A misspelt zone would be emptied and the meant one go on taking work.
+    // With a misspelt name the change would have no effect, and the intended
+    // zone would keep receiving work.
     const absl::StatusOr<HostList> list = context.platform.ListHosts();
     if (list.ok() && !this->unlisted.getValue() &&
         !IsListed(*list, this->zone.getValue())) {
@@ -78,7 +80,7 @@
     result.text = absl::StrCat("no host is in the availability zone ",
                                this->zone.getValue(),
                                "; nothing was changed (--unlisted changes it "
-                               "all the same)\n");
+                               "anyway)\n");
     return result;
   }
 
@@ -146,9 +148,9 @@
       : PlatformCommand(
             connector,
             {"zone list",
-             "tells which availability zones are emptied",
-             "Tells the availability zones that operators emptied or took "
-             "back, by whom and since\nwhen.",
+             "lists which availability zones are emptied",
+             "Lists the availability zones that operators emptied or took "
+             "back, with the operator\nand the time.",
              {"meadowthread zone list --settings entry-1.yaml"}}) {}
 
  protected:
@@ -168,10 +170,10 @@
                                               NonceSource& operations) {
   const CommandHelp help{
       "zone empty",
-      "sends nothing further to an availability zone",
-      "Within five seconds no entry host sends anything new to engines and "
-      "backend servers of\nthe zone. What runs there goes on to its end. Lasts "
-      "until `zone take-back`, also\nthrough restarts.",
+      "stops sending new work to an availability zone",
+      "Within five seconds no entry host sends new work to engines and backend "
+      "servers of\nthe zone. Running work finishes. Stays in effect until "
+      "`zone take-back`, also across\nrestarts.",
       {"meadowthread zone empty makati-hall --author ana"}};
   return std::make_unique<ChangeCommand>(connector, help, HostMark::kLeaving,
                                          clock, operations);
@@ -182,7 +184,7 @@
                                                  NonceSource& operations) {
   const CommandHelp help{"zone take-back",
                          "uses an availability zone again",
-                         "Takes back what `zone empty` did.",
+                         "Reverses `zone empty`.",
                          {"meadowthread zone take-back makati-hall --author "
                           "ana"}};
   return std::make_unique<ChangeCommand>(connector, help, HostMark::kLive,
--- a/src/cli/zone_commands.h
+++ b/src/cli/zone_commands.h
@@ -10,17 +10,18 @@
 
 namespace meadowthread {
 
-/// @brief `zone list`: availability zones that were emptied or taken back.
+/// @brief `zone list`: lists availability zones that were emptied or taken
+/// back.
 /// @param[in] connector outlives the command
 std::unique_ptr<Command> MakeZoneListCommand(PlatformConnector& connector);
 
-/// @brief `zone empty`: nothing new goes to the servers of a zone.
+/// @brief `zone empty`: stops sending new work to the servers of a zone.
 /// @param[in] connector,clock,operations outlive the command
 std::unique_ptr<Command> MakeZoneEmptyCommand(PlatformConnector& connector,
                                               const Clock& clock,
                                               NonceSource& operations);
 
-/// @brief `zone take-back`: the zone's servers are used again.
+/// @brief `zone take-back`: uses the zone's servers again.
 /// @param[in] connector,clock,operations outlive the command
 std::unique_ptr<Command> MakeZoneTakeBackCommand(PlatformConnector& connector,
                                                  const Clock& clock,
--- a/src/main/main.cc
+++ b/src/main/main.cc
@@ -27,8 +27,9 @@
 namespace meadowthread {
 namespace {
 
-// Hosts have no disks, so that nothing is ever logged to files. Commands'
-// results are their output; only hosts log their decisions there.
+// Hosts have no disks, so nothing is logged to files. The standard output of a
+// command is its result; only the host processes (`serve` and `relay`) write
+// their log there.
 void SetUpLogging(const char* program, bool serves) {
   FLAGS_logtostderr = true;
   FLAGS_minloglevel = serves ? google::GLOG_INFO : google::GLOG_WARNING;
@@ -74,7 +75,7 @@
 
 int main(int argc, char** argv) {
   const std::vector<std::string> words(argv + 1, argv + argc);
-  // A peer that closes first must not end the process.
+  // Writing to a connection that the peer has closed must not kill the process.
   std::signal(SIGPIPE, SIG_IGN);
   meadowthread::SetUpLogging(
       argv[0],
--- a/src/main/relay_command.cc
+++ b/src/main/relay_command.cc
@@ -24,9 +24,9 @@
   ExitCode Run(std::span<const std::string> arguments,
                Console& console) override {
     CommandArguments parser(this->help, console);
-    TCLAP::ValueArg<std::string> file("", "settings", "this host's settings",
-                                      false, DefaultFile(), "FILE",
-                                      parser.Line());
+    TCLAP::ValueArg<std::string> file("", "settings",
+                                      "the settings file of this host", false,
+                                      DefaultFile(), "FILE", parser.Line());
     const std::optional<ExitCode> ended = parser.Parse(arguments);
     if (ended.has_value()) {
       return *ended;
@@ -44,10 +44,11 @@
   CommandHelp help = {
       "relay",
       "runs an entry host on the users' platform",
-      "Serves routes of the platform's configuration: plain services and model "
-      "engines.\nThe settings' path is taken from MEADOWTHREAD_SETTINGS where "
-      "none is given. SIGTERM\nis a planned stop, SIGHUP reads the settings "
-      "again. Logs go to the standard output,\none key=value line a decision.",
+      "Serves the routes of the platform's configuration: plain services and "
+      "model engines.\nWithout --settings the path is taken from the "
+      "environment variable\nMEADOWTHREAD_SETTINGS. SIGTERM starts a planned "
+      "stop, SIGHUP reloads the settings.\nLogs go to standard output, one "
+      "key=value line per decision.",
       {"meadowthread relay --settings relay.yaml"}};
 };
 
--- a/src/main/relay_command.h
+++ b/src/main/relay_command.h
@@ -7,7 +7,8 @@
 
 namespace meadowthread {
 
-/// @brief `meadowthread relay`.
+/// @brief `relay`: runs this process as an entry host on the users' platform
+/// until it is stopped.
 std::unique_ptr<Command> MakeRelayCommand();
 
 }  // namespace meadowthread
--- a/src/main/serve_command.cc
+++ b/src/main/serve_command.cc
@@ -14,8 +14,9 @@
   ExitCode Run(std::span<const std::string> arguments,
                Console& console) override {
     CommandArguments parser(this->help, console);
-    TCLAP::ValueArg<std::string> file("", "settings", "this host's settings",
-                                      true, "", "FILE", parser.Line());
+    TCLAP::ValueArg<std::string> file("", "settings",
+                                      "the settings file of this host", true,
+                                      "", "FILE", parser.Line());
     const std::optional<ExitCode> ended = parser.Parse(arguments);
     if (ended.has_value()) {
       return *ended;
@@ -31,10 +32,10 @@
   CommandHelp help = {
       "serve",
       "runs an entry host between callers and model engines",
-      "Checks the settings whole, then serves until SIGTERM or SIGINT, which "
-      "is a planned\nstop: the host becomes unready, takes nothing new and "
-      "ends once what runs has\nended. Logs go to the standard output, one "
-      "key=value line a decision.",
+      "Validates the settings, then serves until SIGTERM or SIGINT starts a "
+      "planned stop:\nthe host becomes unready, accepts no new work and exits "
+      "once running work has\nfinished. Logs go to standard output, one "
+      "key=value line per decision.",
       {"meadowthread check entry-1.yaml && meadowthread serve --settings "
        "entry-1.yaml"}};
 };
--- a/src/main/serve_command.h
+++ b/src/main/serve_command.h
@@ -7,7 +7,7 @@
 
 namespace meadowthread {
 
-/// @brief `serve`: this process is an entry host until it is stopped.
+/// @brief `serve`: runs this process as an entry host until it is stopped.
 std::unique_ptr<Command> MakeServeCommand();
 
 }  // namespace meadowthread
--- a/src/metrics/counter.h
+++ b/src/metrics/counter.h
@@ -5,7 +5,7 @@
 
 namespace meadowthread {
 
-/// @brief A count that only grows.
+/// @brief A monotonically increasing counter.
 class Counter {
  public:
   void Add(std::uint64_t by = 1) { this->total += by; }
@@ -15,7 +15,7 @@
   std::uint64_t total = 0;
 };
 
-/// @brief A value that goes up and down.
+/// @brief A value that can go up and down.
 class Gauge {
  public:
   void Set(double to) { this->value = to; }
--- a/src/metrics/exposition.cc
+++ b/src/metrics/exposition.cc
@@ -15,7 +15,7 @@
                              {{"\\", "\\\\"}, {"\"", "\\\""}, {"\n", "\\n"}});
 }
 
-/// The shortest text that reads back as the same number.
+/// The shortest decimal text that parses back to the same number.
 std::string NumberText(double value) {
   std::array<char, 32> text{};
   const std::to_chars_result end =
--- a/src/metrics/exposition.h
+++ b/src/metrics/exposition.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread {
 
-/// @brief One label of a series.
+/// @brief One label of a time series.
 struct MetricLabel {
   std::string name;
   std::string value;
@@ -19,11 +19,11 @@
 
 namespace detail {
 
-/// @brief The head of a family: its help and type.
+/// @brief Appends the `# HELP` and `# TYPE` lines of a metric family.
 void AppendHead(std::string_view name, std::string_view help,
                 std::string_view type, std::string* out);
 
-/// @name one metric's lines
+/// @name Append the sample lines of one metric
 ///@{
 void AppendMetric(std::string_view name, std::span<const MetricLabel> labels,
                   const Counter& counter, std::string* out);
@@ -33,7 +33,7 @@
                   const Summary& summary, std::string* out);
 ///@}
 
-/// @name the type's name in the text
+/// @name Names of the metric types in the text format
 ///@{
 constexpr std::string_view TypeOf(const Counter*) { return "counter"; }
 constexpr std::string_view TypeOf(const Gauge*) { return "gauge"; }
--- a/src/metrics/metric_family.h
+++ b/src/metrics/metric_family.h
@@ -12,16 +12,17 @@
 
 namespace meadowthread {
 
-/// @brief What a family is called and how large it may grow.
+/// @brief Name, help text, labels and maximum size of a metric family.
 struct MetricSpec {
   std::string name;  ///< letters, digits and `_`
   std::string help;  ///< one line
   std::vector<std::string> label_names;
-  /// Label sets beyond these share one whose values are all `other`.
+  /// Further label sets share one metric whose label values are all `other`.
   std::size_t max_label_sets = 100;
 };
 
-/// @brief All series of one name.
+/// @brief Type-erased interface of a metric family: all time series of one
+/// name.
 class MetricFamilyBase {
  public:
   virtual ~MetricFamilyBase() = default;
@@ -30,19 +31,20 @@
   virtual void AppendText(std::string* out) const = 0;
   virtual void Rotate() = 0;
 
-  /// @brief Calls of With that were given the shared set.
+  /// @brief Number of With calls that returned the shared `other` metric.
   virtual std::uint64_t Overflows() const = 0;
 };
 
-/// @brief The series of one name, a metric a label set.
+/// @brief A metric family with one metric per label set.
 template <typename Metric>
 class MetricFamily final : public MetricFamilyBase {
  public:
   explicit MetricFamily(MetricSpec spec) : spec(std::move(spec)) {}
 
-  /// @brief The metric of a label set; the reference stays valid.
-  /// @param[in] values one for each label name, in their order; missing ones
-  /// are empty
+  /// @brief The metric of a label set, created on first use; the reference
+  /// stays valid.
+  /// @param[in] values one per label name, in the same order; missing ones are
+  /// empty
   /// @complexity O(log label sets)
   Metric& With(std::span<const std::string> values = {}) {
     std::vector<std::string> key(values.begin(), values.end());
--- a/src/metrics/metric_registry.cc
+++ b/src/metrics/metric_registry.cc
@@ -21,7 +21,7 @@
                        });
   const bool taken =
       place != this->families.end() && (*place)->Name() == spec.name;
-  // Two families of one name would make the whole page unreadable.
+  // Parsers reject the whole page if two families have the same name.
   CHECK(!taken) << "metric added twice: " << spec.name;
   auto family = std::make_unique<MetricFamily<Metric>>(spec);
   MetricFamily<Metric>& added = *family;
--- a/src/metrics/metric_registry.h
+++ b/src/metrics/metric_registry.h
@@ -10,20 +10,21 @@
 
 namespace meadowthread {
 
-/// @brief Every metric of a process, for `/metrics`.
+/// @brief All metrics of a process, served at `/metrics`.
 ///
-/// For one thread. Families live as long as the registry; each name is added
-/// once.
+/// Not thread-safe. Families live as long as the registry; each name may be
+/// added only once.
 class MetricRegistry {
  public:
   MetricFamily<Counter>& AddCounter(const MetricSpec& spec);
   MetricFamily<Gauge>& AddGauge(const MetricSpec& spec);
   MetricFamily<Summary>& AddSummary(const MetricSpec& spec);
 
-  /// @brief All families in the usual text format, by name.
+  /// @brief All families in the Prometheus text format, sorted by name.
   std::string Text() const;
 
-  /// @brief Starts a new window of all quantiles; call it once a minute.
+  /// @brief Starts a new quantile window in all summaries; to be called once a
+  /// minute.
   void Rotate();
 
  private:
--- a/src/metrics/summary.cc
+++ b/src/metrics/summary.cc
@@ -22,7 +22,8 @@
 }
 
 double QuantileEstimator::At(std::size_t index) const {
-  // Until all markers are placed the library's heights are not quantiles.
+  // The library's marker heights are not quantiles until all markers are
+  // placed.
   if (this->count <= kMarkers) {
     return this->ExactAt(index);
   }
@@ -45,7 +46,7 @@
 }  // namespace detail
 
 void Summary::Record(double sample) {
-  // A sample that is no number would stay in the sum for ever.
+  // A NaN or infinite sample would make the sum unusable permanently.
   if (!std::isfinite(sample)) {
     return;
   }
--- a/src/metrics/summary.h
+++ b/src/metrics/summary.h
@@ -17,7 +17,7 @@
 
 namespace detail {
 
-/// @brief Quantiles of a stream of samples in constant memory.
+/// @brief Estimates quantiles of a stream of samples in constant memory.
 class QuantileEstimator {
  public:
   QuantileEstimator();
@@ -30,7 +30,8 @@
   std::uint64_t Count() const { return this->count; }
 
  private:
-  // The P-square algorithm places this many markers before it estimates.
+  // Number of markers of the P-square algorithm; it estimates only after as
+  // many samples.
   static constexpr std::size_t kMarkers = 2 * kSummaryQuantiles.size() + 3;
 
   double ExactAt(std::size_t index) const;
@@ -45,10 +46,11 @@
 
 }  // namespace detail
 
-/// @brief Count, mean and tail quantiles of what was recorded.
+/// @brief Count, sum, mean and quantiles of recorded samples.
 ///
-/// Count and mean cover everything; quantiles cover the time since the last
-/// rotation but one, so that an hour of calm does not hide a bad minute.
+/// Count, sum and mean cover all samples; quantiles cover only the time since
+/// the second-to-last rotation, so that an hour of normal values does not hide
+/// a bad minute.
 class Summary {
  public:
   /// @complexity O(quantiles)
@@ -58,11 +60,11 @@
   double Sum() const;
   double Mean() const;  ///< 0 without samples
 
-  /// @brief The quantile at an index of kSummaryQuantiles; 0 where nothing was
-  /// recorded lately.
+  /// @brief The quantile at an index of kSummaryQuantiles; 0 if the window has
+  /// no samples.
   double Quantile(std::size_t index) const { return this->older.At(index); }
 
-  /// @brief Forgets the samples before the last rotation, for quantiles.
+  /// @brief Drops the samples before the previous rotation from the quantiles.
   void Rotate();
 
  private:
--- a/src/metrics/tests/metric_registry_test.cc
+++ b/src/metrics/tests/metric_registry_test.cc
@@ -14,7 +14,7 @@
   return text.find(part) != std::string::npos;
 }
 
-Test(the_metrics_page, writes_each_kind_in_the_usual_format) {
+Test(the_metrics_page, writes_each_type_in_the_prometheus_format) {
   MetricRegistry registry;
   registry.AddSummary({"wait_ms", "Time in queue.", {}}).With().Record(2.5);
   registry.AddCounter({"requests_total", "Requests.", {"outcome"}})
--- a/src/metrics/tests/summary_test.cc
+++ b/src/metrics/tests/summary_test.cc
@@ -12,7 +12,8 @@
 constexpr std::size_t kTail = 2;  // 0.99
 
 void RecordUpTo(int last, Summary* summary) {
-  // 7919 is prime: each value once, in a scattered order.
+  // 7919 is prime, so each value from 1 to `last` is recorded once, in
+  // scattered order.
   for (int i = 0; i < last; ++i) {
     summary->Record(1 + (i * 7919) % last);
   }
@@ -54,7 +55,7 @@
   cr_assert(summary.Count() == 1001);
 }
 
-Test(a_summary, passes_over_what_is_no_number) {
+Test(a_summary, ignores_nan) {
   Summary summary;
   summary.Record(std::numeric_limits<double>::quiet_NaN());
   summary.Record(2);
