--- a/src/base/json_fields.cc
+++ b/src/base/json_fields.cc
@@ -45,7 +45,7 @@
 
 absl::StatusOr<json> ParseObject(std::string_view text, std::string_view step,
                                  std::string_view peer) {
-  const bool is_deep = NestsDeeper(text, kMostJsonDepth);
+  const bool is_deep = ExceedsDepth(text, kMaxJsonDepth);
   json value = is_deep ? json() : json::parse(text, nullptr, false);
   if (value.is_object()) {
     return absl::StatusOr<json>(std::move(value));
--- a/src/base/json_slices.cc
+++ b/src/base/json_slices.cc
@@ -20,7 +20,7 @@
 
   /// @brief Skips white space and then `wanted`, if it comes next.
   /// @return whether `wanted` was skipped
-  bool Take(char wanted) {
+  bool SkipChar(char wanted) {
     this->SkipSpaces();
     if (this->AtEnd() || this->text[this->at] != wanted) {
       return false;
@@ -31,7 +31,7 @@
 
   /// @brief Skips white space and one value.
   /// @return the text of the value, empty if there is none
-  std::string_view TakeValue() {
+  std::string_view ReadValue() {
     this->SkipSpaces();
     const std::size_t begin = this->at;
     const char first = this->AtEnd() ? '\0' : this->text[begin];
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-bool NestsDeeper(std::string_view json_text, std::size_t limit) {
+bool ExceedsDepth(std::string_view json_text, std::size_t limit) {
   std::size_t depth = 0;
   for (std::size_t at = 0; at < json_text.size(); ++at) {
     const char here = json_text[at];
@@ -133,19 +133,19 @@
 std::optional<std::vector<std::string_view>> JsonElements(
     std::string_view array_text) {
   Cursor cursor(array_text);
-  if (!cursor.Take('[')) {
+  if (!cursor.SkipChar('[')) {
     return std::nullopt;
   }
   std::vector<std::string_view> elements;
-  bool more = !cursor.Take(']');
+  bool more = !cursor.SkipChar(']');
   while (more) {
-    const std::string_view value = cursor.TakeValue();
+    const std::string_view value = cursor.ReadValue();
     if (value.empty()) {
       return std::nullopt;
     }
     elements.push_back(value);
-    more = cursor.Take(',');
-    if (!more && !cursor.Take(']')) {
+    more = cursor.SkipChar(',');
+    if (!more && !cursor.SkipChar(']')) {
       return std::nullopt;
     }
   }
@@ -156,23 +156,23 @@
 std::optional<std::vector<JsonMember>> JsonMembers(
     std::string_view object_text) {
   Cursor cursor(object_text);
-  if (!cursor.Take('{')) {
+  if (!cursor.SkipChar('{')) {
     return std::nullopt;
   }
   std::vector<JsonMember> members;
-  bool more = !cursor.Take('}');
+  bool more = !cursor.SkipChar('}');
   while (more) {
-    const std::string_view key = cursor.TakeValue();
-    if (!key.starts_with('"') || !cursor.Take(':')) {
+    const std::string_view key = cursor.ReadValue();
+    if (!key.starts_with('"') || !cursor.SkipChar(':')) {
       return std::nullopt;
     }
-    const std::string_view value = cursor.TakeValue();
+    const std::string_view value = cursor.ReadValue();
     if (value.empty()) {
       return std::nullopt;
     }
     members.emplace_back(key, value);
-    more = cursor.Take(',');
-    if (!more && !cursor.Take('}')) {
+    more = cursor.SkipChar(',');
+    if (!more && !cursor.SkipChar('}')) {
       return std::nullopt;
     }
   }
--- a/src/base/json_slices.h
+++ b/src/base/json_slices.h
@@ -14,11 +14,11 @@
 /// The limit protects the stack: libraries copy and write values by recursion,
 /// with a stack frame of some hundred bytes per level. Documents of this system
 /// nest less than ten levels deep.
-inline constexpr std::size_t kMostJsonDepth = 200;
+inline constexpr std::size_t kMaxJsonDepth = 200;
 
 /// @brief Whether arrays and objects are nested deeper than `limit`.
 /// @complexity linear, without recursion
-bool NestsDeeper(std::string_view json_text, std::size_t limit);
+bool ExceedsDepth(std::string_view json_text, std::size_t limit);
 
 /// @brief The unparsed text of an object member: the key, with its quotes, and
 /// the value.
--- a/src/base/lifetime.h
+++ b/src/base/lifetime.h
@@ -15,9 +15,9 @@
   template <typename Task>
   auto Guarded(Task task) const {
     return [task = std::move(task),
-            guard = std::weak_ptr<bool>(this->alive)](auto&&... told) {
+            guard = std::weak_ptr<bool>(this->alive)](auto&&... args) {
       if (!guard.expired()) {
-        task(std::forward<decltype(told)>(told)...);
+        task(std::forward<decltype(args)>(args)...);
       }
     };
   }
--- a/src/base/log_writer.cc
+++ b/src/base/log_writer.cc
@@ -14,117 +14,117 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000.0;
-constexpr std::int64_t kTellEveryMs = 1'000;
+constexpr std::int64_t kDropReportIntervalMs = 1'000;
 // Lines are buffered up to this size before a write is attempted, to use one
 // system call for many lines. The process flushes the rest a few times per
 // second.
-constexpr std::size_t kWriteFromBytes = 3'072;
+constexpr std::size_t kWriteThresholdBytes = 3'072;
 // A pipe that is ready for writing accepts at least this much without blocking.
 constexpr std::size_t kPipeBytes = PIPE_BUF;
 
 }  // namespace
 
-bool LogWriter::Allowance::Spend(std::int64_t now_ms) {
-  if (this->filled_ms < 0) {
-    this->level = this->per_second;
+bool LogWriter::LineRateLimiter::TryTake(std::int64_t now_ms) {
+  if (this->last_refill_ms < 0) {
+    this->tokens = this->per_second;
   } else {
-    const auto since = static_cast<double>(now_ms - this->filled_ms);
-    this->level =
+    const auto since = static_cast<double>(now_ms - this->last_refill_ms);
+    this->tokens =
         std::min(this->per_second,
-                 this->level + since * this->per_second / kMsPerSecond);
+                 this->tokens + since * this->per_second / kMsPerSecond);
   }
-  this->filled_ms = now_ms;
-  if (this->level < 1.0) {
+  this->last_refill_ms = now_ms;
+  if (this->tokens < 1.0) {
     return false;
   }
-  this->level -= 1.0;
+  this->tokens -= 1.0;
   return true;
 }
 
-LogWriter::LogWriter(int descriptor, const LogBounds& bounds,
+LogWriter::LogWriter(int descriptor, const LogLimits& limits,
                      const Clock& clock)
-    : descriptor(descriptor), bounds(bounds), clock(clock) {
-  this->routine.per_second = bounds.routine_per_second;
-  this->important.per_second = bounds.important_per_second;
+    : descriptor(descriptor), limits(limits), clock(clock) {
+  this->routine.per_second = limits.routine_per_second;
+  this->important.per_second = limits.important_per_second;
 }
 
 void LogWriter::send(google::LogSeverity severity,
                      const char* /*full_filename*/, const char* base_filename,
                      int line, const google::LogMessageTime& time,
                      const char* message, std::size_t message_len) {
-  this->Take(google::LogSink::ToString(severity, base_filename, line, time,
-                                       message, message_len),
-             severity > google::GLOG_INFO);
+  this->Add(google::LogSink::ToString(severity, base_filename, line, time,
+                                      message, message_len),
+            severity > google::GLOG_INFO);
 }
 
-void LogWriter::Take(std::string_view line, bool is_important) {
+void LogWriter::Add(std::string_view line, bool is_important) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   const std::int64_t now_ms = this->clock.MonotonicMs();
-  Allowance& allowance = is_important ? this->important : this->routine;
+  LineRateLimiter& limiter = is_important ? this->important : this->routine;
   // Routine lines may fill only half of the buffer, to leave room for important
   // ones.
-  const std::size_t room =
-      is_important ? this->bounds.held_bytes : this->bounds.held_bytes / 2;
-  if (!allowance.Spend(now_ms) || this->held.size() + line.size() > room) {
+  const std::size_t room = is_important ? this->limits.max_buffered_bytes
+                                        : this->limits.max_buffered_bytes / 2;
+  if (!limiter.TryTake(now_ms) || this->buffer.size() + line.size() > room) {
     ++this->dropped;
   } else {
-    this->Hold(line);
+    this->Append(line);
   }
-  this->TellDropped(now_ms);
-  if (this->held.size() >= kWriteFromBytes) {
-    this->WriteSome();
+  this->ReportDropped(now_ms);
+  if (this->buffer.size() >= kWriteThresholdBytes) {
+    this->WriteAvailable();
   }
 }
 
-void LogWriter::Hold(std::string_view line) {
-  this->held.append(line);
+void LogWriter::Append(std::string_view line) {
+  this->buffer.append(line);
   if (!line.ends_with('\n')) {
-    this->held.push_back('\n');
+    this->buffer.push_back('\n');
   }
 }
 
-void LogWriter::TellDropped(std::int64_t now_ms) {
-  const bool due = this->dropped > this->dropped_told &&
-                   now_ms - this->told_ms >= kTellEveryMs;
-  if (!due || this->held.size() > this->bounds.held_bytes) {
+void LogWriter::ReportDropped(std::int64_t now_ms) {
+  const bool due = this->dropped > this->dropped_reported &&
+                   now_ms - this->last_report_ms >= kDropReportIntervalMs;
+  if (!due || this->buffer.size() > this->limits.max_buffered_bytes) {
     return;
   }
-  this->Hold(absl::StrCat(
-      "event=log-dropped lines=", this->dropped - this->dropped_told,
+  this->Append(absl::StrCat(
+      "event=log-dropped lines=", this->dropped - this->dropped_reported,
       " since_start=", this->dropped));
-  this->dropped_told = this->dropped;
-  this->told_ms = now_ms;
+  this->dropped_reported = this->dropped;
+  this->last_report_ms = now_ms;
 }
 
 void LogWriter::Flush() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  this->TellDropped(this->clock.MonotonicMs());
-  this->WriteSome();
+  this->ReportDropped(this->clock.MonotonicMs());
+  this->WriteAvailable();
 }
 
 // Writes in pieces of at most PIPE_BUF bytes, which a pipe that is ready
 // accepts whole, so that no write blocks on the reader.
-void LogWriter::WriteSome() {
+void LogWriter::WriteAvailable() {
   std::size_t begin = 0;
-  while (begin < this->held.size()) {
+  while (begin < this->buffer.size()) {
     pollfd ready = {this->descriptor, POLLOUT, 0};
     if (poll(&ready, 1, 0) <= 0 || (ready.revents & POLLOUT) == 0) {
       break;
     }
-    const std::size_t size = std::min(kPipeBytes, this->held.size() - begin);
+    const std::size_t size = std::min(kPipeBytes, this->buffer.size() - begin);
     const ssize_t count =
-        write(this->descriptor, this->held.data() + begin, size);
+        write(this->descriptor, this->buffer.data() + begin, size);
     if (count <= 0) {
       // The reader is gone: drop the lines, as there is nowhere to report the
       // error.
       if (count < 0 && errno != EINTR && errno != EAGAIN) {
-        begin = this->held.size();
+        begin = this->buffer.size();
       }
       break;
     }
     begin += static_cast<std::size_t>(count);
   }
-  this->held.erase(0, begin);
+  this->buffer.erase(0, begin);
 }
 
 std::int64_t LogWriter::Dropped() const {
@@ -141,7 +141,7 @@
 
 void LogToStandardOutput() {
   static const SystemClock kClock;
-  standard_output_log = new LogWriter(STDOUT_FILENO, LogBounds{}, kClock);
+  standard_output_log = new LogWriter(STDOUT_FILENO, LogLimits{}, kClock);
   FLAGS_logtostderr = false;
   FLAGS_alsologtostderr = false;
   FLAGS_stderrthreshold = google::NUM_SEVERITIES;
--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -14,14 +14,14 @@
 namespace meadowthread {
 
 /// @brief Limits on the log output of a process.
-struct LogBounds {
+struct LogLimits {
   /// Routine lines per second; a host under normal load writes a tenth of this.
   double routine_per_second = 400.0;
   /// Lines per second about failures and changes of state; separate from the
   /// routine limit, so that routine lines do not displace them.
   double important_per_second = 200.0;
   /// Buffer size for a reader that falls behind; further lines are dropped.
-  std::size_t held_bytes = std::size_t{256} * 1024;
+  std::size_t max_buffered_bytes = std::size_t{256} * 1024;
 };
 
 /// @brief A glog sink that writes to a file descriptor without ever blocking on
@@ -33,7 +33,7 @@
  public:
   /// @param[in] descriptor a pipe, a file or a terminal; owned by the caller
   /// @param[in] clock outlives the writer
-  LogWriter(int descriptor, const LogBounds& bounds, const Clock& clock);
+  LogWriter(int descriptor, const LogLimits& limits, const Clock& clock);
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
@@ -44,7 +44,7 @@
 
   /// @brief Buffers a line, given without its line break, or drops it if a
   /// limit is exceeded.
-  void Take(std::string_view line, bool is_important);
+  void Add(std::string_view line, bool is_important);
 
   /// @brief Writes as much of the buffer as the descriptor accepts without
   /// blocking.
@@ -55,27 +55,27 @@
 
  private:
   /// @brief A token bucket that limits lines per second.
-  struct Allowance {
+  struct LineRateLimiter {
     double per_second = 0.0;
-    double level = 0.0;
-    std::int64_t filled_ms = -1;
-    bool Spend(std::int64_t now_ms);
+    double tokens = 0.0;
+    std::int64_t last_refill_ms = -1;
+    bool TryTake(std::int64_t now_ms);
   };
 
-  void Hold(std::string_view line);
-  void TellDropped(std::int64_t now_ms);
-  void WriteSome();
+  void Append(std::string_view line);
+  void ReportDropped(std::int64_t now_ms);
+  void WriteAvailable();
 
   int descriptor;
-  LogBounds bounds;
+  LogLimits limits;
   const Clock& clock;
   mutable std::mutex mutex;  ///< calls may come from worker threads
-  Allowance routine;
-  Allowance important;
-  std::string held;
+  LineRateLimiter routine;
+  LineRateLimiter important;
+  std::string buffer;
   std::int64_t dropped = 0;
-  std::int64_t dropped_told = 0;
-  std::int64_t told_ms = 0;
+  std::int64_t dropped_reported = 0;
+  std::int64_t last_report_ms = 0;
 };
 
 /// @brief Redirects all glog output of this process, instead of to files, to
--- a/src/base/tests/json_slices_test.cc
+++ b/src/base/tests/json_slices_test.cc
@@ -53,10 +53,10 @@
 }
 
 Test(nesting, is_measured_without_recursion) {
-  cr_assert(!NestsDeeper("[[1]]", 2) && NestsDeeper("[[1]]", 1));
-  cr_assert(!NestsDeeper(R"(["[[[[", "\"[[["])", 1), "brackets in strings");
-  cr_assert(!NestsDeeper("[][][]{}", 1));
-  cr_assert(NestsDeeper(std::string(5'000'000, '['), 1'000'000));
+  cr_assert(!ExceedsDepth("[[1]]", 2) && ExceedsDepth("[[1]]", 1));
+  cr_assert(!ExceedsDepth(R"(["[[[[", "\"[[["])", 1), "brackets in strings");
+  cr_assert(!ExceedsDepth("[][][]{}", 1));
+  cr_assert(ExceedsDepth(std::string(5'000'000, '['), 1'000'000));
   const std::string deep =
       std::string(1'000'000, '[') + std::string(1'000'000, ']');
   cr_assert(JsonElements("[" + deep + ",1]")->size() == 2);
@@ -64,8 +64,8 @@
 }
 
 Test(a_document, that_is_nested_too_deeply_is_rejected) {
-  const std::string nested = std::string(kMostJsonDepth - 1, '[') +
-                             std::string(kMostJsonDepth - 1, ']');
+  const std::string nested =
+      std::string(kMaxJsonDepth - 1, '[') + std::string(kMaxJsonDepth - 1, ']');
   cr_assert(ParseObject("{\"a\":" + nested + "}", "s", "p").ok());
   cr_assert(!ParseObject("{\"a\":[" + nested + "]}", "s", "p").ok());
 }
--- a/src/base/tests/lifetime_test.cc
+++ b/src/base/tests/lifetime_test.cc
@@ -24,19 +24,19 @@
 Test(a_guarded_callback, runs_while_its_owner_lives) {
   int calls = 0;
   Owner owner(calls);
-  const auto told = owner.Callback();
-  told(1);
-  told(2);
+  const auto callback = owner.Callback();
+  callback(1);
+  callback(2);
   cr_assert(calls == 3);
 }
 
 Test(a_guarded_callback, does_nothing_after_its_owner_is_destroyed) {
   int calls = 0;
   auto owner = std::make_unique<Owner>(calls);
-  const auto told = owner->Callback();
+  const auto callback = owner->Callback();
   // The callback must not touch the owner once it is destroyed.
   owner.reset();
-  told(1);
+  callback(1);
   cr_assert(calls == 0);
 }
 
--- a/src/base/tests/log_writer_test.cc
+++ b/src/base/tests/log_writer_test.cc
@@ -28,7 +28,7 @@
   std::array<int, 2> ends = {};
 };
 
-int Lines(const std::string& text, const std::string& what) {
+int CountOf(const std::string& text, const std::string& what) {
   int count = 0;
   for (std::size_t at = text.find(what); at != std::string::npos;
        at = text.find(what, at + 1)) {
@@ -40,55 +40,55 @@
 Test(the_log, is_limited_per_second_and_counts_dropped_lines) {
   const Pipe to;
   ManualClock clock(1'000);
-  LogBounds bounds;
-  bounds.routine_per_second = 10.0;
-  LogWriter writer(to.ends[1], bounds, clock);
+  LogLimits limits;
+  limits.routine_per_second = 10.0;
+  LogWriter writer(to.ends[1], limits, clock);
   for (int i = 0; i < 100; ++i) {
-    writer.Take("event=route", false);
+    writer.Add("event=route", false);
   }
   writer.Flush();
   cr_assert(writer.Dropped() == 90);
   const std::string text = to.Read();
-  cr_assert(Lines(text, "event=route\n") == 10);
-  cr_assert(Lines(text, "event=log-dropped lines=") == 1);
+  cr_assert(CountOf(text, "event=route\n") == 10);
+  cr_assert(CountOf(text, "event=log-dropped lines=") == 1);
   // One second later the same number of lines is accepted again.
   clock.Advance(1'000);
   for (int i = 0; i < 100; ++i) {
-    writer.Take("event=route", false);
+    writer.Add("event=route", false);
   }
   writer.Flush();
-  cr_assert(Lines(to.Read(), "event=route\n") == 10);
+  cr_assert(CountOf(to.Read(), "event=route\n") == 10);
 }
 
 Test(the_log, drops_routine_lines_before_failures) {
   const Pipe to;
   ManualClock clock(1'000);
-  LogBounds bounds;
-  bounds.routine_per_second = 5.0;
-  LogWriter writer(to.ends[1], bounds, clock);
+  LogLimits limits;
+  limits.routine_per_second = 5.0;
+  LogWriter writer(to.ends[1], limits, clock);
   for (int i = 0; i < 50; ++i) {
-    writer.Take("event=route", false);
-    writer.Take("event=attempt-failed", true);
+    writer.Add("event=route", false);
+    writer.Add("event=attempt-failed", true);
   }
   writer.Flush();
   const std::string text = to.Read();
-  cr_assert(Lines(text, "event=attempt-failed") == 50);
-  cr_assert(Lines(text, "event=route") == 5);
+  cr_assert(CountOf(text, "event=attempt-failed") == 50);
+  cr_assert(CountOf(text, "event=route") == 5);
 }
 
 Test(a_reader_that_stops_reading, never_blocks_the_writer) {
   const Pipe to;
   ManualClock clock(1'000);
-  LogBounds bounds;
-  bounds.routine_per_second = 1e9;
-  bounds.held_bytes = std::size_t{64} * 1024;
-  LogWriter writer(to.ends[1], bounds, clock);
+  LogLimits limits;
+  limits.routine_per_second = 1e9;
+  limits.max_buffered_bytes = std::size_t{64} * 1024;
+  LogWriter writer(to.ends[1], limits, clock);
   // Many times the capacity of a pipe: if any write blocked, the test would
   // hang.
   const std::string line =
       absl::StrCat("event=route why=", std::string(500, 'x'));
   for (int i = 0; i < 10'000; ++i) {
-    writer.Take(line, false);
+    writer.Add(line, false);
   }
   cr_assert(writer.Dropped() > 9'000);
   // Once the reader continues, lines arrive complete and the dropped ones are
@@ -100,8 +100,8 @@
     writer.Flush();
   }
   text += to.Read();
-  cr_assert(Lines(text, "event=log-dropped") >= 1);
-  cr_assert(Lines(text, line + "\n") == Lines(text, "event=route"));
+  cr_assert(CountOf(text, "event=log-dropped") >= 1);
+  cr_assert(CountOf(text, line + "\n") == CountOf(text, "event=route"));
 }
 
 }  // namespace
--- a/src/cli/await.h
+++ b/src/cli/await.h
@@ -20,7 +20,7 @@
   // Shared with the callback, which may still run after this function has timed
   // out.
   auto answer = std::make_shared<std::optional<absl::StatusOr<Answer>>>();
-  start([answer](const absl::StatusOr<Answer>& came) { *answer = came; });
+  start([answer](const absl::StatusOr<Answer>& result) { *answer = result; });
   platform.Wait([answer] { return answer->has_value(); });
   return answer->has_value() ? **answer : absl::StatusOr<Answer>(late);
 }
--- a/src/cli/change_command.cc
+++ b/src/cli/change_command.cc
@@ -11,9 +11,9 @@
 
 /// A change always completes on its own; this limit on the number of waits only
 /// guards against a bug that keeps it from completing.
-constexpr int kMostWaits = 20;
+constexpr int kMaxWaits = 20;
 
-std::string SentenceOf(const ChangeResult& end) {
+std::string DescribeOutcome(const ChangeResult& end) {
   switch (end.outcome) {
     case ChangeOutcome::kAccepted:
       return absl::StrCat(end.message, " as version ", end.version);
@@ -50,8 +50,8 @@
   // out.
   auto end = std::make_shared<std::optional<ChangeResult>>();
   OperatorChanges changes(platform.Store(), platform.Tasks());
-  start(changes, [end](const ChangeResult& came) { *end = came; });
-  for (int waits = 0; waits < kMostWaits && !end->has_value(); ++waits) {
+  start(changes, [end](const ChangeResult& result) { *end = result; });
+  for (int waits = 0; waits < kMaxWaits && !end->has_value(); ++waits) {
     platform.Wait([end] { return end->has_value(); });
   }
   if (end->has_value()) {
@@ -80,8 +80,8 @@
   return ExitCode::kUnknown;
 }
 
-CommandResult TellChange(Platform& platform, const ChangeResult& end,
-                         std::string_view what, std::string_view operation) {
+CommandResult ReportChange(Platform& platform, const ChangeResult& end,
+                           std::string_view what, std::string_view operation) {
   CommandResult result;
   result.code = ExitCodeOf(end.outcome);
   result.json["result"] = std::string(ChangeOutcomeName(end.outcome));
@@ -91,8 +91,8 @@
   result.json["superseded"] = end.superseded;
   result.json["may_have_been_in_force"] = end.may_have_been_in_force;
   result.json["difference"] = end.difference;
-  result.text = absl::StrCat(std::string(what), ": ", SentenceOf(end), "\n",
-                             end.difference);
+  result.text = absl::StrCat(std::string(what), ": ", DescribeOutcome(end),
+                             "\n", end.difference);
   if (end.may_have_been_in_force) {
     result.text += "your change may have been in force before it\n";
   }
@@ -100,9 +100,9 @@
     absl::StrAppend(&result.text, "--operation ", std::string(operation), "\n");
   }
   if (end.outcome == ChangeOutcome::kAccepted) {
-    const OfferReport offered = OfferToAll(platform, end.object);
-    result.json["offered"] = offered.Json();
-    result.text += offered.Text();
+    const PushReport pushed = PushToEntryHosts(platform, end.object);
+    result.json["offered"] = pushed.Json();
+    result.text += pushed.Text();
   }
   return result;
 }
--- a/src/cli/change_command.h
+++ b/src/cli/change_command.h
@@ -42,8 +42,8 @@
 /// @param[in] what the object in readable form, such as "template tags"
 /// @param[in] operation the operation id, printed for a retry if the outcome is
 /// unknown
-CommandResult TellChange(Platform& platform, const ChangeResult& end,
-                         std::string_view what, std::string_view operation);
+CommandResult ReportChange(Platform& platform, const ChangeResult& end,
+                           std::string_view what, std::string_view operation);
 
 }  // namespace meadowthread
 
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -9,7 +9,8 @@
 namespace meadowthread {
 namespace {
 
-CommandResult Tell(const std::string& file, const CheckedDocument& checked) {
+CommandResult ToCommandResult(const std::string& file,
+                              const CheckedDocument& checked) {
   CommandResult result;
   const std::string kind(DocumentKindName(checked.kind));
   result.json["file"] = file;
@@ -44,7 +45,8 @@
     if (!text.ok()) {
       return output.Print(FailedResult(text.status()), console);
     }
-    return output.Print(Tell(file.getValue(), CheckDocument(*text)), console);
+    return output.Print(ToCommandResult(file.getValue(), CheckDocument(*text)),
+                        console);
   }
 
  private:
--- a/src/cli/command_arguments.cc
+++ b/src/cli/command_arguments.cc
@@ -67,27 +67,27 @@
   } catch (const TCLAP::ArgException& error) {
     const std::string where =
         error.argId() == "undefined" ? "" : " (" + error.argId() + ")";
-    return this->Wrong(error.error() + where);
+    return this->ReportUsageError(error.error() + where);
   } catch (const TCLAP::ExitException&) {
     return ExitCode::kOk;  // the help text was printed
   }
   return std::nullopt;
 }
 
-ExitCode CommandArguments::Wrong(std::string_view what) const {
+ExitCode CommandArguments::ReportUsageError(std::string_view what) const {
   this->console.err << "meadowthread " << this->help.name << ": " << what
                     << "\n`meadowthread " << this->help.name
                     << " --help` lists its arguments.\n";
   return ExitCode::kUsage;
 }
 
-ExitCode CommandArguments::Refuse(const absl::Status& status) const {
+ExitCode CommandArguments::ReportError(const absl::Status& status) const {
   const std::string message(status.message().data(), status.message().size());
   if (DetailOf(status).id == ErrorId::kSettingsInvalid) {
     this->console.err << message << "\n";
     return ExitCode::kInvalid;
   }
-  return this->Wrong(message);
+  return this->ReportUsageError(message);
 }
 
 }  // namespace meadowthread
--- a/src/cli/command_arguments.h
+++ b/src/cli/command_arguments.h
@@ -46,11 +46,11 @@
   std::optional<ExitCode> Parse(std::span<const std::string> arguments);
 
   /// @brief Prints a usage error that TCLAP itself cannot detect.
-  ExitCode Wrong(std::string_view what) const;
+  ExitCode ReportUsageError(std::string_view what) const;
 
   /// @brief Prints an error found after parsing: a missing argument or an
   /// invalid settings file.
-  ExitCode Refuse(const absl::Status& status) const;
+  ExitCode ReportError(const absl::Status& status) const;
 
  private:
   const CommandHelp& help;
--- a/src/cli/command_registry.cc
+++ b/src/cli/command_registry.cc
@@ -30,29 +30,29 @@
     return this->Run(version, console);
   }
   if (!words.empty() && IsHelp(words.front())) {
-    this->TellAll(console.out, "");
+    this->PrintCommands(console.out, "");
     return ExitCode::kOk;
   }
   Command* command = this->Find(words);
   if (command == nullptr) {
-    return this->TellUnknown(words, console);
+    return this->ReportUnknownCommand(words, console);
   }
   return command->Run(words.subspan(WordsOf(*command).size()), console);
 }
 
 Command* CommandRegistry::Find(std::span<const std::string> words) const {
   for (const auto& command : this->commands) {
-    const std::vector<std::string> own = WordsOf(*command);
-    if (own.size() <= words.size() &&
-        std::equal(own.begin(), own.end(), words.begin())) {
+    const std::vector<std::string> command_words = WordsOf(*command);
+    if (command_words.size() <= words.size() &&
+        std::equal(command_words.begin(), command_words.end(), words.begin())) {
       return command.get();
     }
   }
   return nullptr;
 }
 
-ExitCode CommandRegistry::TellUnknown(std::span<const std::string> words,
-                                      Console& console) const {
+ExitCode CommandRegistry::ReportUnknownCommand(
+    std::span<const std::string> words, Console& console) const {
   std::vector<std::string> first_words;
   for (const auto& command : this->commands) {
     first_words.push_back(WordsOf(*command).front());
@@ -61,7 +61,7 @@
       !words.empty() && std::find(first_words.begin(), first_words.end(),
                                   words.front()) != first_words.end();
   if (is_group && words.size() > 1 && IsHelp(words[1])) {
-    this->TellAll(console.out, words.front());
+    this->PrintCommands(console.out, words.front());
     return ExitCode::kOk;
   }
   if (is_group) {
@@ -75,12 +75,12 @@
                 << (nearest.empty() ? "'" : "'; the nearest is '" + nearest)
                 << (nearest.empty() ? "\n" : "'\n");
   }
-  this->TellAll(console.err, is_group ? words.front() : "");
+  this->PrintCommands(console.err, is_group ? words.front() : "");
   return ExitCode::kUsage;
 }
 
-void CommandRegistry::TellAll(std::ostream& out,
-                              const std::string& group) const {
+void CommandRegistry::PrintCommands(std::ostream& out,
+                                    const std::string& group) const {
   out << "usage: meadowthread COMMAND [arguments]\n\ncommands:\n";
   for (const auto& command : this->commands) {
     const CommandHelp& help = command->Help();
--- a/src/cli/command_registry.h
+++ b/src/cli/command_registry.h
@@ -23,9 +23,9 @@
 
  private:
   Command* Find(std::span<const std::string> words) const;
-  ExitCode TellUnknown(std::span<const std::string> words,
-                       Console& console) const;
-  void TellAll(std::ostream& out, const std::string& group) const;
+  ExitCode ReportUnknownCommand(std::span<const std::string> words,
+                                Console& console) const;
+  void PrintCommands(std::ostream& out, const std::string& group) const;
 
   std::vector<std::unique_ptr<Command>> commands;
 };
--- a/src/cli/entry_hosts.cc
+++ b/src/cli/entry_hosts.cc
@@ -28,26 +28,27 @@
   return entries;
 }
 
-std::string OfferReport::Text() const {
-  std::string text = absl::StrCat("pushed to ", this->took, " of ", this->asked,
-                                  " entry hosts");
-  if (!this->trouble.empty()) {
-    absl::StrAppend(&text, " (", this->trouble,
+std::string PushReport::Text() const {
+  std::string text = absl::StrCat("pushed to ", this->accepted, " of ",
+                                  this->asked, " entry hosts");
+  if (!this->failure.empty()) {
+    absl::StrAppend(&text, " (", this->failure,
                     "); the others receive it through their watches");
   }
   return text + "\n";
 }
 
-nlohmann::ordered_json OfferReport::Json() const {
-  return {
-      {"asked", this->asked}, {"took", this->took}, {"trouble", this->trouble}};
+nlohmann::ordered_json PushReport::Json() const {
+  return {{"asked", this->asked},
+          {"took", this->accepted},
+          {"trouble", this->failure}};
 }
 
-OfferReport OfferToAll(Platform& platform, const StoredObject& object) {
-  OfferReport report;
+PushReport PushToEntryHosts(Platform& platform, const StoredObject& object) {
+  PushReport report;
   const absl::StatusOr<HostList> list = platform.ListHosts();
   if (!list.ok()) {
-    report.trouble = "the host list: " + MessageOf(list.status());
+    report.failure = "the host list: " + MessageOf(list.status());
     return report;
   }
   const std::vector<HostEntry> hosts = EntryHostsOf(*list);
@@ -59,9 +60,9 @@
     // A reply with 0 taken items also counts: the host already has this version
     // or a newer one.
     if (reply.body.ok()) {
-      ++report.took;
-    } else if (report.trouble.empty()) {
-      report.trouble = reply.host + ": " + MessageOf(reply.body.status());
+      ++report.accepted;
+    } else if (report.failure.empty()) {
+      report.failure = reply.host + ": " + MessageOf(reply.body.status());
     }
   }
   return report;
--- a/src/cli/entry_hosts.h
+++ b/src/cli/entry_hosts.h
@@ -13,11 +13,11 @@
 std::vector<HostEntry> EntryHostsOf(const HostList& list);
 
 /// @brief The result of pushing an accepted object to the entry hosts.
-struct OfferReport {
+struct PushReport {
   int asked = 0;
-  int took = 0;  ///< hosts that stored the object or already had it
+  int accepted = 0;  ///< hosts that stored the object or already had it
   std::string
-      trouble;  ///< why the push was not possible, or the first host's error
+      failure;  ///< why the push was not possible, or the first host's error
 
   std::string Text() const;
   nlohmann::ordered_json Json() const;
@@ -25,7 +25,7 @@
 
 /// @brief Pushes an accepted object to all entry hosts, so that it takes effect
 /// before their watches deliver it; best effort.
-OfferReport OfferToAll(Platform& platform, const StoredObject& object);
+PushReport PushToEntryHosts(Platform& platform, const StoredObject& object);
 
 }  // namespace meadowthread
 
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -6,26 +6,26 @@
 #include "cli/command_arguments.h"
 #include "cli/command_result.h"
 #include "cli/input_file.h"
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 
 namespace meadowthread {
 namespace {
 
 constexpr std::string_view kStandardInput = "-";
 
-CommandResult Tell(const RequestStory& story) {
+CommandResult ToCommandResult(const RequestTimeline& timeline) {
   CommandResult result;
-  result.json["request"] = story.Request();
+  result.json["request"] = timeline.Request();
   result.json["steps"] = nlohmann::ordered_json::array();
-  const std::vector<StoryStep> steps = story.Steps();
+  const std::vector<TimelineStep> steps = timeline.Steps();
   if (steps.empty()) {
     result.code = ExitCode::kNotFound;
     result.text =
-        absl::StrCat("no log line is about request ", story.Request(), "\n");
+        absl::StrCat("no log line is about request ", timeline.Request(), "\n");
     return result;
   }
-  result.text = absl::StrCat("request ", story.Request(), ":\n");
-  for (const StoryStep& step : steps) {
+  result.text = absl::StrCat("request ", timeline.Request(), ":\n");
+  for (const TimelineStep& step : steps) {
     const LogRecord& record = step.record;
     absl::StrAppend(&result.text, "  ", record.time, "  [", record.source,
                     "]  ", step.sentence, "\n");
@@ -62,27 +62,27 @@
     if (ended.has_value()) {
       return *ended;
     }
-    RequestStory story(request.getValue());
+    RequestTimeline timeline(request.getValue());
     std::vector<std::string> paths = logs.getValue();
     if (paths.empty()) {
       paths.emplace_back(kStandardInput);
     }
     for (const std::string& path : paths) {
-      const absl::Status status = ReadLog(path, console, &story);
+      const absl::Status status = ReadLog(path, console, &timeline);
       if (!status.ok()) {
         return output.Print(FailedResult(status), console);
       }
     }
-    return output.Print(Tell(story), console);
+    return output.Print(ToCommandResult(timeline), console);
   }
 
  private:
   static absl::Status ReadLog(const std::string& path, Console& console,
-                              RequestStory* story) {
+                              RequestTimeline* timeline) {
     const absl::StatusOr<std::string> text = ReadInput(path, console);
     if (text.ok()) {
       std::istringstream log(*text);
-      story->Read(log, path);
+      timeline->Read(log, path);
     }
     return text.status();
   }
--- a/src/cli/host_list_command.cc
+++ b/src/cli/host_list_command.cc
@@ -43,8 +43,8 @@
                       document->handover ? " (handover)" : "");
 }
 
-CommandResult Tell(const HostList& list,
-                   const absl::StatusOr<ObjectList>& marks) {
+CommandResult ToCommandResult(const HostList& list,
+                              const absl::StatusOr<ObjectList>& marks) {
   CommandResult result;
   result.json["as_of_unix_ms"] = list.as_of_unix_ms;
   result.json["hosts"] = nlohmann::ordered_json::array();
@@ -79,7 +79,7 @@
     if (!list.ok()) {
       return FailedResult(list.status());
     }
-    return Tell(*list, AwaitList(context.platform, kMarksKind));
+    return ToCommandResult(*list, AwaitList(context.platform, kMarksKind));
   }
 };
 
--- a/src/cli/host_mark_command.cc
+++ b/src/cli/host_mark_command.cc
@@ -69,7 +69,7 @@
         [&document](OperatorChanges& changes, const ChangeDone& done) {
           changes.PutMark(document, done);
         });
-    return TellChange(
+    return ReportChange(
         context.platform, end,
         absl::StrCat("mark ", this->mark.getValue(), " of ", document.host),
         document.operation);
--- a/src/cli/operator_options.cc
+++ b/src/cli/operator_options.cc
@@ -56,7 +56,7 @@
     if (!parsed.IsValid()) {
       return parsed.Status();
     }
-    this->half = parsed.settings.half;
+    this->deployment = parsed.settings.half;
     const PlatformSettings& platform = parsed.settings.platform;
     address.object_api =
         address.object_api.empty() ? platform.object_api : address.object_api;
--- a/src/cli/operator_options.h
+++ b/src/cli/operator_options.h
@@ -25,14 +25,16 @@
 
   /// @brief The deployments named in the settings file; valid after Address was
   /// called, empty without a settings file.
-  const std::optional<HalfSettings>& Half() const { return this->half; }
+  const std::optional<HalfSettings>& Deployment() const {
+    return this->deployment;
+  }
 
  private:
   TCLAP::ValueArg<std::string> object_api;
   TCLAP::ValueArg<std::string> host_list;
   TCLAP::ValueArg<std::string> settings;
   TCLAP::ValueArg<int> timeout_ms;
-  std::optional<HalfSettings> half;
+  std::optional<HalfSettings> deployment;
 };
 
 /// @brief The option `--author` of commands that change an object.
--- a/src/cli/ownership_move_command.cc
+++ b/src/cli/ownership_move_command.cc
@@ -11,8 +11,8 @@
 constexpr std::int64_t kSecondMs = 1000;
 constexpr int kDefaultWaitS = 60;
 
-CommandResult Tell(const OwnershipMoveRequest& request,
-                   const OwnershipMoveProgress& progress) {
+CommandResult ToCommandResult(const OwnershipMoveRequest& request,
+                              const OwnershipMoveProgress& progress) {
   const std::string object = OwnershipObjectName(request.id);
   CommandResult result;
   result.json["object"] = object;
@@ -62,8 +62,7 @@
             false, "", "URL", line),
         default_owner("", "default-owner",
                       "the owner of everything without an ownership object "
-                      "(default: from "
-                      "--settings)",
+                      "(default: from --settings)",
                       false, "", "HALF", line),
         gone("", "gone",
              "a host that is known to be permanently gone, so that the move "
@@ -81,10 +80,10 @@
   TCLAP::ValueArg<int> wait_s;
 };
 
-std::string AddressOf(const std::optional<HalfSettings>& half,
+std::string AddressOf(const std::optional<HalfSettings>& deployment,
                       const std::string& name) {
-  if (half.has_value()) {
-    for (const HalfAddress& address : half->addresses) {
+  if (deployment.has_value()) {
+    for (const HalfAddress& address : deployment->addresses) {
       if (address.half == name) {
         return address.url;
       }
@@ -105,30 +104,32 @@
     if (!id.has_value()) {
       return UsageResult("OBJECT is neither workspace.NAME nor engine.NAME");
     }
-    const OwnershipMoverSettings settings = this->SettingsOf(context.half);
+    const OwnershipMoverSettings settings =
+        this->SettingsOf(context.deployment);
     if (settings.default_owner.empty()) {
       return UsageResult(
-          "the default owner is not given: use --default-owner or "
-          "--settings");
+          "the default owner is not given: use --default-owner or --settings");
     }
     OwnershipMoveRequest request = {*id, this->arguments.next_owner.getValue(),
                                     this->arguments.next_address.getValue(),
                                     this->operations.Next(),
                                     this->arguments.gone.getValue()};
     if (request.next_address.empty()) {
-      request.next_address = AddressOf(context.half, request.next_owner);
+      request.next_address = AddressOf(context.deployment, request.next_owner);
     }
-    return Tell(request, this->Move(request, settings, context.platform));
+    return ToCommandResult(request,
+                           this->Move(request, settings, context.platform));
   }
 
  private:
-  OwnershipMoverSettings SettingsOf(const std::optional<HalfSettings>& half) {
+  OwnershipMoverSettings SettingsOf(
+      const std::optional<HalfSettings>& deployment) {
     OwnershipMoverSettings settings;
     settings.default_owner = this->arguments.default_owner.getValue();
-    if (settings.default_owner.empty() && half.has_value()) {
-      settings.default_owner = half->default_owner;
+    if (settings.default_owner.empty() && deployment.has_value()) {
+      settings.default_owner = deployment->default_owner;
     }
-    settings.default_address = AddressOf(half, settings.default_owner);
+    settings.default_address = AddressOf(deployment, settings.default_owner);
     return settings;
   }
 
--- a/src/cli/ownership_show_command.cc
+++ b/src/cli/ownership_show_command.cc
@@ -12,7 +12,7 @@
   return state == OwnershipState::kDraining ? "draining" : "owned";
 }
 
-CommandResult Tell(const ObjectList& list, const std::string& only) {
+CommandResult ToCommandResult(const ObjectList& list, const std::string& only) {
   CommandResult result;
   result.json["objects"] = nlohmann::ordered_json::array();
   TextTable table({"OBJECT", "OWNER", "EPOCH", "STATE", "NEXT OWNER"});
@@ -63,7 +63,7 @@
   CommandResult Run(const RunContext& context) override {
     const absl::StatusOr<ObjectList> list =
         AwaitList(context.platform, kOwnershipKind);
-    return list.ok() ? Tell(*list, this->only.getValue())
+    return list.ok() ? ToCommandResult(*list, this->only.getValue())
                      : FailedResult(list.status());
   }
 
--- a/src/cli/platform_command.cc
+++ b/src/cli/platform_command.cc
@@ -17,10 +17,10 @@
   }
   const absl::StatusOr<PlatformAddress> address = options.Address();
   if (!address.ok()) {
-    return parser.Refuse(address.status());
+    return parser.ReportError(address.status());
   }
   const std::unique_ptr<Platform> platform = this->connector.Connect(*address);
-  const RunContext context = {*platform, console, options.Half()};
+  const RunContext context = {*platform, console, options.Deployment()};
   return output.Print(invocation->Run(context), console);
 }
 
--- a/src/cli/platform_command.h
+++ b/src/cli/platform_command.h
@@ -19,7 +19,7 @@
   Platform& platform;
   Console& console;
   /// The deployments named in the `--settings` file; empty without one.
-  const std::optional<HalfSettings>& half;
+  const std::optional<HalfSettings>& deployment;
 };
 
 /// @brief One run of a platform command: its arguments and its action.
--- a/src/cli/qt_platform.cc
+++ b/src/cli/qt_platform.cc
@@ -165,8 +165,8 @@
                                 std::string_view step, const Ask& ask) {
     auto replies = std::make_shared<Replies>(hosts.size());
     for (std::size_t i = 0; i < hosts.size(); ++i) {
-      ask(hosts[i], [replies, i](const absl::StatusOr<std::string>& came) {
-        (*replies)[i] = came;
+      ask(hosts[i], [replies, i](const absl::StatusOr<std::string>& result) {
+        (*replies)[i] = result;
       });
     }
     this->Wait([replies] {
--- a/src/cli/quarantine_change_command.cc
+++ b/src/cli/quarantine_change_command.cc
@@ -15,39 +15,40 @@
 // may conflict.
 constexpr int kAttempts = 6;
 
-enum class Ruling { kKeep, kLift };
+enum class QuarantineAction { kKeep, kLift };
 
 /// @brief Writes an operator's quarantine decision to the store. The write is
 /// idempotent, so an unknown result is simply retried.
-class RulingChange {
+class QuarantineUpdate {
  public:
-  RulingChange(Platform& platform, std::string content, Ruling ruling,
-               std::int64_t now_unix_ms)
+  QuarantineUpdate(Platform& platform, std::string content,
+                   QuarantineAction action, std::int64_t now_unix_ms)
       : platform(platform),
         content(std::move(content)),
-        ruling(ruling),
+        action(action),
         now_unix_ms(now_unix_ms) {}
 
   CommandResult Run() {
     absl::Status last = absl::OkStatus();
     for (int n = 0; n < kAttempts; ++n) {
-      const absl::StatusOr<StoredObject> lies =
+      const absl::StatusOr<StoredObject> current =
           AwaitGet(this->platform, kQuarantineKind, this->content);
-      if (!lies.ok()) {
-        last = lies.status();
+      if (!current.ok()) {
+        last = current.status();
         if (DetailOf(last).id == ErrorId::kNotFound) {
           return FailedResult(last);
         }
         continue;
       }
       const absl::StatusOr<CrashRecord> record =
-          DecodeCrashRecord(lies->name, lies->value);
+          DecodeCrashRecord(current->name, current->value);
       if (!record.ok()) {
         return FailedResult(record.status());
       }
-      const absl::StatusOr<StoredObject> written = this->Write(*lies, *record);
+      const absl::StatusOr<StoredObject> written =
+          this->Write(*current, *record);
       if (written.ok()) {
-        return this->Tell(*written);
+        return this->ToCommandResult(*written);
       }
       last = written.status();
     }
@@ -55,21 +56,21 @@
   }
 
  private:
-  absl::StatusOr<StoredObject> Write(const StoredObject& lies,
+  absl::StatusOr<StoredObject> Write(const StoredObject& current,
                                      CrashRecord record) {
-    if (this->ruling == Ruling::kKeep) {
+    if (this->action == QuarantineAction::kKeep) {
       record.kept_ms = this->now_unix_ms;
     } else {
       record.cleared_ms = this->now_unix_ms;
     }
-    StoredObject next = lies;
+    StoredObject next = current;
     next.value = EncodeCrashRecord(record);
     const absl::StatusOr<std::int64_t> version = Await<std::int64_t>(
         this->platform,
         StoreError(ErrorId::kStoreUnknown, "put", kQuarantineKind),
         [&](const ObjectStore::PutDone& done) {
           this->platform.Store().Put(kQuarantineKind, next.name, next.value,
-                                     lies.version, done);
+                                     current.version, done);
         });
     if (!version.ok()) {
       return version.status();
@@ -78,61 +79,62 @@
     return next;
   }
 
-  CommandResult Tell(const StoredObject& written) {
+  CommandResult ToCommandResult(const StoredObject& written) {
     CommandResult result;
     result.json["content"] = written.name;
     result.json["version"] = written.version;
-    result.text =
-        absl::StrCat(this->ruling == Ruling::kKeep ? "kept" : "lifted", ": ",
-                     written.name, " as version ", written.version, "\n");
-    const OfferReport offered = OfferToAll(this->platform, written);
-    result.json["offered"] = offered.Json();
-    result.text += offered.Text();
+    result.text = absl::StrCat(
+        this->action == QuarantineAction::kKeep ? "kept" : "lifted", ": ",
+        written.name, " as version ", written.version, "\n");
+    const PushReport pushed = PushToEntryHosts(this->platform, written);
+    result.json["offered"] = pushed.Json();
+    result.text += pushed.Text();
     return result;
   }
 
   Platform& platform;
   std::string content;
-  Ruling ruling;
+  QuarantineAction action;
   std::int64_t now_unix_ms;
 };
 
 class ChangeInvocation final : public Invocation {
  public:
-  ChangeInvocation(TCLAP::CmdLine& line, Ruling ruling, const Clock& clock)
+  ChangeInvocation(TCLAP::CmdLine& line, QuarantineAction action,
+                   const Clock& clock)
       : content("content", "the content key, as shown by `quarantine list`",
                 true, "", "CONTENT", line),
-        ruling(ruling),
+        action(action),
         clock(clock) {}
 
   CommandResult Run(const RunContext& context) override {
     if (!IsContentKey(this->content.getValue())) {
       return UsageResult("CONTENT must be 32 hexadecimal digits");
     }
-    return RulingChange(context.platform, this->content.getValue(),
-                        this->ruling, this->clock.WallMs())
+    return QuarantineUpdate(context.platform, this->content.getValue(),
+                            this->action, this->clock.WallMs())
         .Run();
   }
 
  private:
   TCLAP::UnlabeledValueArg<std::string> content;
-  Ruling ruling;
+  QuarantineAction action;
   const Clock& clock;
 };
 
 class ChangeCommand final : public PlatformCommand {
  public:
   ChangeCommand(PlatformConnector& connector, const CommandHelp& help,
-                Ruling ruling, const Clock& clock)
-      : PlatformCommand(connector, help), ruling(ruling), clock(clock) {}
+                QuarantineAction action, const Clock& clock)
+      : PlatformCommand(connector, help), action(action), clock(clock) {}
 
  protected:
   std::unique_ptr<Invocation> Prepare(TCLAP::CmdLine& line) override {
-    return std::make_unique<ChangeInvocation>(line, this->ruling, this->clock);
+    return std::make_unique<ChangeInvocation>(line, this->action, this->clock);
   }
 
  private:
-  Ruling ruling;
+  QuarantineAction action;
   const Clock& clock;
 };
 
@@ -149,7 +151,8 @@
       "next one. With\nthis command no host sends such a request to any "
       "server until an operator lifts it.",
       {absl::StrCat("meadowthread quarantine keep ", kExample)}};
-  return std::make_unique<ChangeCommand>(connector, help, Ruling::kKeep, clock);
+  return std::make_unique<ChangeCommand>(connector, help,
+                                         QuarantineAction::kKeep, clock);
 }
 
 std::unique_ptr<Command> MakeQuarantineLiftCommand(PlatformConnector& connector,
@@ -161,7 +164,8 @@
       "such request\nis sent to a server. Three more crashes quarantine it "
       "again.",
       {absl::StrCat("meadowthread quarantine lift ", kExample)}};
-  return std::make_unique<ChangeCommand>(connector, help, Ruling::kLift, clock);
+  return std::make_unique<ChangeCommand>(connector, help,
+                                         QuarantineAction::kLift, clock);
 }
 
 }  // namespace meadowthread
--- a/src/cli/quarantine_list_command.cc
+++ b/src/cli/quarantine_list_command.cc
@@ -18,7 +18,8 @@
   return record.crashes.empty() ? "cleared" : "suspected";
 }
 
-CommandResult Tell(const ObjectList& list, std::int64_t now_unix_ms) {
+CommandResult ToCommandResult(const ObjectList& list,
+                              std::int64_t now_unix_ms) {
   CommandResult result;
   result.json["contents"] = nlohmann::ordered_json::array();
   TextTable table({"CONTENT", "WORKSPACE", "ROUTE", "STATE", "UNTIL", "ENDS",
@@ -39,11 +40,11 @@
                UtcTime(has_end ? verdict.until_ms : 0),
                std::to_string(record->crashes.size()), record->request,
                ServersText(*record)});
-    nlohmann::ordered_json told = CrashRecordJson(*record);
-    told["state"] = state;
-    told["until_unix_ms"] = has_end ? verdict.until_ms : 0;
-    told["strikes"] = verdict.strikes;
-    result.json["contents"].push_back(told);
+    nlohmann::ordered_json content = CrashRecordJson(*record);
+    content["state"] = state;
+    content["until_unix_ms"] = has_end ? verdict.until_ms : 0;
+    content["strikes"] = verdict.strikes;
+    result.json["contents"].push_back(content);
   }
   result.text = table.Text();
   return result;
@@ -59,7 +60,7 @@
     if (!list.ok()) {
       return FailedResult(list.status());
     }
-    return Tell(*list, this->clock.WallMs());
+    return ToCommandResult(*list, this->clock.WallMs());
   }
 
  private:
--- a/src/cli/request_story.cc
+++ b/src/cli/request_timeline.cc
@@ -1,4 +1,4 @@
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 
 #include <algorithm>
 #include <array>
@@ -9,12 +9,12 @@
 namespace {
 
 /// The phrase that starts the sentence for a known event; its fields follow.
-struct EventWords {
+struct EventPhrase {
   std::string_view event;
-  std::string_view words;
+  std::string_view phrase;
 };
 
-constexpr std::array<EventWords, 14> kEventWords = {{
+constexpr std::array<EventPhrase, 14> kEventPhrases = {{
     {"accept", "accepted"},
     {"queue", "waits in the queue"},
     {"route", "sent to engine"},
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-void RequestStory::Read(std::istream& log, std::string_view source) {
+void RequestTimeline::Read(std::istream& log, std::string_view source) {
   std::string line;
   while (std::getline(log, line)) {
     std::optional<LogRecord> record = ReadLogLine(line);
@@ -55,40 +55,40 @@
   }
 }
 
-std::vector<StoryStep> RequestStory::Steps() const {
+std::vector<TimelineStep> RequestTimeline::Steps() const {
   std::vector<LogRecord> sorted = this->records;
   // Sorting by time is possible because hosts' clocks differ only slightly. If
   // any line has no time, the lines stay in the order in which they were read.
   if (std::all_of(sorted.begin(), sorted.end(), HasTime)) {
     std::stable_sort(sorted.begin(), sorted.end(), IsEarlier);
   }
-  std::vector<StoryStep> steps;
+  std::vector<TimelineStep> steps;
   steps.reserve(sorted.size());
   for (const LogRecord& record : sorted) {
-    steps.push_back({record, SentenceOf(record)});
+    steps.push_back({record, DescribeRecord(record)});
   }
   return steps;
 }
 
-bool RequestStory::IsAbout(const LogRecord& record) const {
+bool RequestTimeline::IsAbout(const LogRecord& record) const {
   return std::any_of(record.fields.begin(), record.fields.end(),
                      [this](const LogField& field) {
-                       const bool names_one = field.key == "request" ||
-                                              field.key == "attempt" ||
-                                              field.key == "original";
-                       return names_one &&
+                       const bool is_id_field = field.key == "request" ||
+                                                field.key == "attempt" ||
+                                                field.key == "original";
+                       return is_id_field &&
                               (field.value == this->request ||
                                IsAttemptOf(field.value, this->request));
                      });
 }
 
-std::string SentenceOf(const LogRecord& record) {
-  const auto known = std::find_if(kEventWords.begin(), kEventWords.end(),
-                                  [&record](const EventWords& words) {
-                                    return words.event == record.event;
+std::string DescribeRecord(const LogRecord& record) {
+  const auto known = std::find_if(kEventPhrases.begin(), kEventPhrases.end(),
+                                  [&record](const EventPhrase& phrase) {
+                                    return phrase.event == record.event;
                                   });
   std::string sentence =
-      known == kEventWords.end() ? record.event : std::string(known->words);
+      known == kEventPhrases.end() ? record.event : std::string(known->phrase);
   // Engine and reason matter most, so they are part of the sentence instead of
   // the field list.
   const std::string engine(record.Field("engine"));
@@ -102,9 +102,9 @@
   }
   std::string_view separator = "; ";
   for (const LogField& field : record.fields) {
-    const bool told = field.key == "request" || field.key == "engine" ||
-                      field.key == "why" || field.value.empty();
-    if (!told) {
+    const bool is_skipped = field.key == "request" || field.key == "engine" ||
+                            field.key == "why" || field.value.empty();
+    if (!is_skipped) {
       absl::StrAppend(&sentence, std::string(separator), field.key, " ",
                       field.value);
       separator = ", ";
--- a/src/cli/request_story.h
+++ b/src/cli/request_timeline.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_CLI_REQUEST_STORY_H_
-#define MEADOWTHREAD_CLI_REQUEST_STORY_H_
+#ifndef MEADOWTHREAD_CLI_REQUEST_TIMELINE_H_
+#define MEADOWTHREAD_CLI_REQUEST_TIMELINE_H_
 
 #include <istream>
 #include <string>
@@ -11,15 +11,15 @@
 namespace meadowthread {
 
 /// @brief One log record about a request, with its description.
-struct StoryStep {
+struct TimelineStep {
   LogRecord record;
   std::string sentence;
 };
 
 /// @brief All log records about one request, in time order.
-class RequestStory {
+class RequestTimeline {
  public:
-  explicit RequestStory(std::string_view request) : request(request) {}
+  explicit RequestTimeline(std::string_view request) : request(request) {}
 
   /// @brief Reads a log and keeps the lines about the request or one of its
   /// attempts.
@@ -28,7 +28,7 @@
 
   /// @brief The steps sorted by time; in the order read if any line has no
   /// time.
-  std::vector<StoryStep> Steps() const;
+  std::vector<TimelineStep> Steps() const;
 
   const std::string& Request() const { return this->request; }
 
@@ -40,7 +40,7 @@
 };
 
 /// @brief Describes a log record in a readable sentence.
-std::string SentenceOf(const LogRecord& record);
+std::string DescribeRecord(const LogRecord& record);
 
 }  // namespace meadowthread
 
--- a/src/cli/status_report.cc
+++ b/src/cli/status_report.cc
@@ -73,18 +73,18 @@
   row.status.host = host.name;
   row.zone = host.zone;
   row.listed = host.leaving ? "leaving" : "live";
-  absl::Status trouble = reply.body.status();
+  absl::Status failure = reply.body.status();
   if (reply.body.ok()) {
     const auto status = ParseHostStatus(host.name, *reply.body);
-    trouble = status.status();
+    failure = status.status();
     if (status.ok()) {
       row.status = *status;
       row.source = StatusSource::kHost;
       return row;
     }
   }
-  row.trouble = "unreachable: " +
-                std::string(trouble.message().data(), trouble.message().size());
+  row.failure = "unreachable: " +
+                std::string(failure.message().data(), failure.message().size());
   FillFromObject(FindObject(objects, host.name), &row);
   return row;
 }
@@ -101,7 +101,7 @@
             "-",         "-",
             "-",         "-",
             "-",         "-",
-            "-",         row.trouble};
+            "-",         row.failure};
   }
   const std::string age =
       status.confirmed_unix_ms == 0
@@ -119,7 +119,7 @@
           absl::StrCat(status.engines),
           Or(absl::StrJoin(status.stop_waits_for, ","), "-"),
           row.source == StatusSource::kObject
-              ? row.trouble + " (from its status object)"
+              ? row.failure + " (from its status object)"
               : "answered"};
 }
 
@@ -129,7 +129,7 @@
           {"zone", row.zone},
           {"listed", row.listed},
           {"source", std::string(SourceName(row.source))},
-          {"trouble", row.trouble},
+          {"trouble", row.failure},
           {"incarnation", status.incarnation},
           {"ready", status.ready},
           {"mark", status.mark},
@@ -183,7 +183,7 @@
       StatusRow row;
       row.status.host = object.name;
       row.listed = "not_listed";
-      row.trouble = "not asked: not in the host list";
+      row.failure = "not asked: not in the host list";
       FillFromObject(&object, &row);
       report.rows.push_back(row);
     }
--- a/src/cli/status_report.h
+++ b/src/cli/status_report.h
@@ -53,7 +53,7 @@
   std::string zone;
   std::string listed;  ///< "live", "leaving" or "not_listed"
   StatusSource source = StatusSource::kNone;
-  std::string trouble;  ///< why the host's own response is missing
+  std::string failure;  ///< why the host's own response is missing
 };
 
 /// @brief The contents of the output of `meadowthread status`.
--- a/src/cli/template_put_command.cc
+++ b/src/cli/template_put_command.cc
@@ -58,8 +58,8 @@
         [&change](OperatorChanges& changes, const ChangeDone& done) {
           changes.PutTemplate(change, done);
         });
-    return TellChange(context.platform, end, "template " + parsed.document.name,
-                      change.operation);
+    return ReportChange(context.platform, end,
+                        "template " + parsed.document.name, change.operation);
   }
 
  private:
--- a/src/cli/template_read_commands.cc
+++ b/src/cli/template_read_commands.cc
@@ -57,7 +57,7 @@
     }
     for (const TemplateEntry& entry : *versions) {
       if (!this->version.isSet() || entry.version == this->version.getValue()) {
-        return this->Tell(entry);
+        return this->ToCommandResult(entry);
       }
     }
     CommandResult result;
@@ -69,7 +69,7 @@
   }
 
  private:
-  CommandResult Tell(const TemplateEntry& entry) {
+  CommandResult ToCommandResult(const TemplateEntry& entry) {
     CommandResult result;
     result.text = entry.yaml;
     result.json["name"] = this->name.getValue();
@@ -105,7 +105,7 @@
 // template list  //
 ////////////////////
 
-CommandResult TellList(const ObjectList& list) {
+CommandResult ToListResult(const ObjectList& list) {
   CommandResult result;
   result.json["revision"] = list.revision;
   result.json["templates"] = ordered_json::array();
@@ -135,7 +135,7 @@
  public:
   CommandResult Run(const RunContext& context) override {
     const auto list = AwaitList(context.platform, kTemplatesKind);
-    return list.ok() ? TellList(*list) : FailedResult(list.status());
+    return list.ok() ? ToListResult(*list) : FailedResult(list.status());
   }
 };
 
@@ -182,14 +182,14 @@
     }
     result.text = table.Text();
     if (this->changes.getValue()) {
-      TellChanges(*versions, &result);
+      AppendChanges(*versions, &result);
     }
     return result;
   }
 
  private:
-  static void TellChanges(const std::vector<TemplateEntry>& versions,
-                          CommandResult* result) {
+  static void AppendChanges(const std::vector<TemplateEntry>& versions,
+                            CommandResult* result) {
     for (std::size_t i = 0; i + 1 < versions.size(); ++i) {
       const std::string difference =
           LineDifference(versions[i + 1].yaml, versions[i].yaml);
--- a/src/cli/tests/command_line_test.cc
+++ b/src/cli/tests/command_line_test.cc
@@ -14,7 +14,7 @@
 class Program final : public Command {
  public:
   Program() {
-    this->registry.Add(MakeStatusCommand(this->connector, this->world.clock));
+    this->registry.Add(MakeStatusCommand(this->connector, this->state.clock));
     this->registry.Add(MakeOwnershipShowCommand(this->connector));
     this->registry.Add(MakeExplainCommand());
     this->registry.Add(MakeVersionCommand());
@@ -26,8 +26,8 @@
 
  private:
   CommandHelp help;
-  FakeWorld world;
-  FakeConnector connector{this->world};
+  FakePlatformState state;
+  FakeConnector connector{this->state};
   CommandRegistry registry;
 };
 
--- a/src/cli/tests/fake_platform.h
+++ b/src/cli/tests/fake_platform.h
@@ -42,7 +42,7 @@
 
 /// @brief The state and scripted replies of a fake platform; outlives the
 /// platforms.
-struct FakeWorld {
+struct FakePlatformState {
   MemoryStore store;
   QueueScheduler tasks;
   ManualClock clock{1'000'000};
@@ -50,7 +50,7 @@
   std::vector<HostReply> replies;  ///< returned by AskStatuses and CallAll
   std::vector<std::string> calls;  ///< parameters of CallAll
   /// Runs once, before the first queued task: between a write and its retry.
-  std::function<void()> at_pause = [] {};
+  std::function<void()> before_first_task = [] {};
 
   void Put(std::string_view kind, std::string_view name,
            std::string_view value) {
@@ -62,58 +62,58 @@
 /// @brief An in-memory platform that delivers replies while a command waits.
 class FakePlatform final : public Platform {
  public:
-  explicit FakePlatform(FakeWorld& world) : world(world) {}
+  explicit FakePlatform(FakePlatformState& state) : state(state) {}
 
-  ObjectStore& Store() override { return this->world.store; }
+  ObjectStore& Store() override { return this->state.store; }
 
-  Scheduler& Tasks() override { return this->world.tasks; }
+  Scheduler& Tasks() override { return this->state.tasks; }
 
   bool Wait(const std::function<bool()>& is_done) override {
-    this->world.store.Settle();
+    this->state.store.Settle();
     while (!is_done()) {
-      std::exchange(this->world.at_pause, [] {})();
-      if (!this->world.tasks.RunOne()) {
+      std::exchange(this->state.before_first_task, [] {})();
+      if (!this->state.tasks.RunOne()) {
         break;
       }
-      this->world.store.Settle();
+      this->state.store.Settle();
     }
     return is_done();
   }
 
   void Pause(std::int64_t pause_ms) override {
-    this->world.store.Settle();
-    this->world.clock.Advance(pause_ms);
+    this->state.store.Settle();
+    this->state.clock.Advance(pause_ms);
   }
 
-  absl::StatusOr<HostList> ListHosts() override { return this->world.hosts; }
+  absl::StatusOr<HostList> ListHosts() override { return this->state.hosts; }
 
   std::vector<HostReply> AskStatuses(
       std::span<const HostEntry> /*hosts*/) override {
-    return this->world.replies;
+    return this->state.replies;
   }
 
   std::vector<HostReply> CallAll(std::span<const HostEntry> /*hosts*/,
                                  std::string_view /*method*/,
                                  std::string_view params) override {
-    this->world.calls.emplace_back(params);
-    return this->world.replies;
+    this->state.calls.emplace_back(params);
+    return this->state.replies;
   }
 
  private:
-  FakeWorld& world;
+  FakePlatformState& state;
 };
 
 class FakeConnector final : public PlatformConnector {
  public:
-  explicit FakeConnector(FakeWorld& world) : world(world) {}
+  explicit FakeConnector(FakePlatformState& state) : state(state) {}
 
   std::unique_ptr<Platform> Connect(
       const PlatformAddress& /*address*/) override {
-    return std::make_unique<FakePlatform>(this->world);
+    return std::make_unique<FakePlatform>(this->state);
   }
 
  private:
-  FakeWorld& world;
+  FakePlatformState& state;
 };
 
 /// @brief The output and exit code of a command.
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -67,10 +67,10 @@
         [&document](OperatorChanges& changes, const ChangeDone& done) {
           changes.PutZone(document, done);
         });
-    return TellChange(context.platform, end,
-                      absl::StrCat("zone ", document.host, " ",
-                                   std::string(StateOf(this->mark))),
-                      document.operation);
+    return ReportChange(context.platform, end,
+                        absl::StrCat("zone ", document.host, " ",
+                                     std::string(StateOf(this->mark))),
+                        document.operation);
   }
 
  private:
--- a/src/main/relay_command.cc
+++ b/src/main/relay_command.cc
@@ -33,7 +33,7 @@
     }
     const ParsedRelaySettings parsed = LoadRelaySettings(file.getValue());
     if (!parsed.IsValid()) {
-      return parser.Refuse(parsed.Status());
+      return parser.ReportError(parsed.Status());
     }
     platform::UsersPlatform platform;
     return static_cast<ExitCode>(
--- a/src/main/serve_command.cc
+++ b/src/main/serve_command.cc
@@ -23,7 +23,7 @@
     }
     const ParsedSettings parsed = LoadSettings(file.getValue());
     if (!parsed.IsValid()) {
-      return parser.Refuse(parsed.Status());
+      return parser.ReportError(parsed.Status());
     }
     return static_cast<ExitCode>(RunServe(parsed.settings));
   }
--- a/src/metrics/metric_registry.cc
+++ b/src/metrics/metric_registry.cc
@@ -19,10 +19,10 @@
                        [](const auto& family, const std::string& name) {
                          return family->Name() < name;
                        });
-  const bool taken =
+  const bool is_duplicate =
       place != this->families.end() && (*place)->Name() == spec.name;
   // Parsers reject the whole page if two families have the same name.
-  CHECK(!taken) << "metric added twice: " << spec.name;
+  CHECK(!is_duplicate) << "metric added twice: " << spec.name;
   auto family = std::make_unique<MetricFamily<Metric>>(spec);
   MetricFamily<Metric>& added = *family;
   this->families.insert(place, std::move(family));
