--- a/src/base/json_slices.cc
+++ b/src/base/json_slices.cc
@@ -35,11 +35,12 @@
     this->SkipSpaces();
     const std::size_t begin = this->at;
     const char first = this->AtEnd() ? '\0' : this->text[begin];
-    const bool whole = first == '"'                   ? this->SkipString()
-                       : first == '{' || first == '[' ? this->SkipNested()
-                                                      : this->SkipScalar();
-    return whole ? this->text.substr(begin, this->at - begin)
-                 : std::string_view();
+    const bool is_complete = first == '"' ? this->SkipString()
+                             : first == '{' || first == '['
+                                 ? this->SkipNested()
+                                 : this->SkipScalar();
+    return is_complete ? this->text.substr(begin, this->at - begin)
+                       : std::string_view();
   }
 
   void SkipSpaces() {
--- a/src/cli/await.h
+++ b/src/cli/await.h
@@ -13,16 +13,17 @@
 
 /// @brief Starts an asynchronous call and waits for its result.
 /// @param[in] start starts the call; receives the completion callback
-/// @param[in] late the error to return if the wait times out
+/// @param[in] timeout_error the error to return if the wait times out
 template <typename Answer, typename Start>
-absl::StatusOr<Answer> Await(Platform& platform, const absl::Status& late,
+absl::StatusOr<Answer> Await(Platform& platform,
+                             const absl::Status& timeout_error,
                              const Start& start) {
   // Shared with the callback, which may still run after this function has timed
   // out.
   auto answer = std::make_shared<std::optional<absl::StatusOr<Answer>>>();
   start([answer](const absl::StatusOr<Answer>& result) { *answer = result; });
   platform.Wait([answer] { return answer->has_value(); });
-  return answer->has_value() ? **answer : absl::StatusOr<Answer>(late);
+  return answer->has_value() ? **answer : absl::StatusOr<Answer>(timeout_error);
 }
 
 /// @brief Reads one object from the object API.
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -36,9 +36,9 @@
         "file", "a settings or template file; - reads standard input", true, "",
         "FILE", parser.Line());
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     const absl::StatusOr<std::string> text =
         ReadInput(file.getValue(), console);
--- a/src/cli/command_result.cc
+++ b/src/cli/command_result.cc
@@ -48,14 +48,14 @@
     (IsError(result.code) ? console.err : console.out) << result.text;
     return result.code;
   }
-  nlohmann::ordered_json whole;
-  whole["result"] = std::string(ExitCodeName(result.code));
-  whole["exit_code"] = static_cast<int>(result.code);
-  whole.update(result.json);
+  nlohmann::ordered_json json;
+  json["result"] = std::string(ExitCodeName(result.code));
+  json["exit_code"] = static_cast<int>(result.code);
+  json.update(result.json);
   // Invalid UTF-8 from a log or a file is replaced; by default dump() throws on
   // it.
-  console.out << whole.dump(2, ' ', false,
-                            nlohmann::json::error_handler_t::replace)
+  console.out << json.dump(2, ' ', false,
+                           nlohmann::json::error_handler_t::replace)
               << "\n";
   return result.code;
 }
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -58,9 +58,9 @@
         "(default: -)",
         false, "FILE", parser.Line());
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     RequestTimeline timeline(request.getValue());
     std::vector<std::string> paths = logs.getValue();
--- a/src/cli/host_mark_command.cc
+++ b/src/cli/host_mark_command.cc
@@ -46,9 +46,9 @@
                                      : "the mark is one of live, leaving, "
                                        "stopping");
     }
-    const absl::StatusOr<std::string> who = this->author.Author();
-    if (!who.ok()) {
-      return UsageResult(who.status());
+    const absl::StatusOr<std::string> author_name = this->author.Author();
+    if (!author_name.ok()) {
+      return UsageResult(author_name.status());
     }
     // With a misspelt name the mark would have no effect, and the intended host
     // would keep receiving work.
@@ -62,7 +62,7 @@
     document.mark = *wanted;
     document.handover = this->handover.getValue();
     document.operation = this->operation.Operation(this->operations);
-    document.set_by = *who;
+    document.set_by = *author_name;
     document.unix_ms = this->clock.WallMs();
     const ChangeResult end = AwaitChange(
         context.platform,
--- a/src/cli/platform_command.cc
+++ b/src/cli/platform_command.cc
@@ -11,9 +11,9 @@
   const std::unique_ptr<Invocation> invocation = this->Prepare(parser.Line());
   PlatformOptions options(parser.Line());
   OutputOption output(parser.Line());
-  const std::optional<ExitCode> ended = parser.Parse(arguments);
-  if (ended.has_value()) {
-    return *ended;
+  const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+  if (exit_code.has_value()) {
+    return *exit_code;
   }
   const absl::StatusOr<PlatformAddress> address = options.Address();
   if (!address.ok()) {
--- a/src/cli/qt_platform.cc
+++ b/src/cli/qt_platform.cc
@@ -149,10 +149,10 @@
   /// accepts callers.
   void AskStatus(const std::string& url, const std::string& other_url,
                  const RpcDone& done) {
-    const std::string whole = url + "/statusz";
-    Fetch(this->http, this->Get(whole), kStatusLimitBytes,
-          [this, whole, other_url, done](const HttpFetched& fetched) {
-            const auto body = BodyOf(fetched, "statusz", whole);
+    const std::string status_url = url + "/statusz";
+    Fetch(this->http, this->Get(status_url), kStatusLimitBytes,
+          [this, status_url, other_url, done](const HttpFetched& fetched) {
+            const auto body = BodyOf(fetched, "statusz", status_url);
             if (body.ok() || other_url.empty()) {
               done(body);
               return;
--- a/src/cli/status_report.cc
+++ b/src/cli/status_report.cc
@@ -89,14 +89,14 @@
   return row;
 }
 
-std::string Or(const std::string& text, const char* fallback) {
+std::string OrDefault(const std::string& text, const char* fallback) {
   return text.empty() ? fallback : text;
 }
 
 std::vector<std::string> CellsOf(const StatusRow& row, std::int64_t now_ms) {
   const HostStatus& status = row.status;
   if (row.source == StatusSource::kNone) {
-    return {status.host, Or(row.zone, "-"),
+    return {status.host, OrDefault(row.zone, "-"),
             row.listed,  "-",
             "-",         "-",
             "-",         "-",
@@ -108,16 +108,16 @@
           ? "never"
           : absl::StrCat(now_ms - status.confirmed_unix_ms, " ms");
   return {status.host,
-          Or(row.zone, "-"),
+          OrDefault(row.zone, "-"),
           row.listed,
-          Or(status.mark, "live"),
+          OrDefault(status.mark, "live"),
           status.ready ? "yes" : "no",
           absl::StrCat(status.configuration_revision),
           age,
           absl::StrCat(status.streams),
           absl::StrCat(status.queued),
           absl::StrCat(status.engines),
-          Or(absl::StrJoin(status.stop_waits_for, ","), "-"),
+          OrDefault(absl::StrJoin(status.stop_waits_for, ","), "-"),
           row.source == StatusSource::kObject
               ? row.failure + " (from its status object)"
               : "answered"};
--- a/src/cli/template_put_command.cc
+++ b/src/cli/template_put_command.cc
@@ -38,13 +38,13 @@
     if (!parsed.IsValid()) {
       return this->Invalid(*yaml);
     }
-    const absl::StatusOr<std::string> who = this->author.Author();
-    if (!who.ok()) {
-      return UsageResult(who.status());
+    const absl::StatusOr<std::string> author_name = this->author.Author();
+    if (!author_name.ok()) {
+      return UsageResult(author_name.status());
     }
     TemplateChange change;
     change.yaml = *yaml;
-    change.author = *who;
+    change.author = *author_name;
     change.operation = this->operation.Operation(this->operations);
     change.unix_ms = this->clock.WallMs();
     if (TemplateToJson(EntryOf(change)).size() > kMaxObjectBytes) {
--- a/src/cli/version_command.cc
+++ b/src/cli/version_command.cc
@@ -16,9 +16,9 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     CommandResult result;
     result.text = std::string("meadowthread ") + kVersion + "\n";
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -45,9 +45,9 @@
     if (!IsName(this->zone.getValue())) {
       return UsageResult("ZONE is not a valid availability zone name");
     }
-    const absl::StatusOr<std::string> who = this->author.Author();
-    if (!who.ok()) {
-      return UsageResult(who.status());
+    const absl::StatusOr<std::string> author_name = this->author.Author();
+    if (!author_name.ok()) {
+      return UsageResult(author_name.status());
     }
     // With a misspelt name the change would have no effect, and the intended
     // zone would keep receiving work.
@@ -60,7 +60,7 @@
     document.host = this->zone.getValue();
     document.mark = this->mark;
     document.operation = this->operation.Operation(this->operations);
-    document.set_by = *who;
+    document.set_by = *author_name;
     document.unix_ms = this->clock.WallMs();
     const ChangeResult end = AwaitChange(
         context.platform,
--- a/src/main/relay_command.cc
+++ b/src/main/relay_command.cc
@@ -27,9 +27,9 @@
     TCLAP::ValueArg<std::string> file("", "settings",
                                       "the settings file of this host", false,
                                       DefaultFile(), "FILE", parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     const ParsedRelaySettings parsed = LoadRelaySettings(file.getValue());
     if (!parsed.IsValid()) {
--- a/src/main/serve_command.cc
+++ b/src/main/serve_command.cc
@@ -17,9 +17,9 @@
     TCLAP::ValueArg<std::string> file("", "settings",
                                       "the settings file of this host", true,
                                       "", "FILE", parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     const ParsedSettings parsed = LoadSettings(file.getValue());
     if (!parsed.IsValid()) {
--- a/src/metrics/exposition.cc
+++ b/src/metrics/exposition.cc
@@ -39,9 +39,9 @@
 
 void AppendHead(std::string_view name, std::string_view help,
                 std::string_view type, std::string* out) {
-  const std::string whole_name(name);
-  absl::StrAppend(out, "# HELP ", whole_name, " ", std::string(help), "\n");
-  absl::StrAppend(out, "# TYPE ", whole_name, " ", std::string(type), "\n");
+  const std::string name_text(name);
+  absl::StrAppend(out, "# HELP ", name_text, " ", std::string(help), "\n");
+  absl::StrAppend(out, "# TYPE ", name_text, " ", std::string(type), "\n");
 }
 
 void AppendMetric(std::string_view name, std::span<const MetricLabel> labels,
@@ -62,9 +62,9 @@
     with_quantile.back().value = NumberText(kSummaryQuantiles.at(i));
     AppendSeries(name, with_quantile, summary.Quantile(i), out);
   }
-  const std::string whole_name(name);
-  AppendSeries(whole_name + "_sum", labels, summary.Sum(), out);
-  AppendSeries(whole_name + "_count", labels,
+  const std::string name_text(name);
+  AppendSeries(name_text + "_sum", labels, summary.Sum(), out);
+  AppendSeries(name_text + "_count", labels,
                static_cast<double>(summary.Count()), out);
 }
 
