--- a/src/base/log_writer.h
+++ b/src/base/log_writer.h
@@ -78,9 +78,9 @@
   std::int64_t last_report_ms = 0;
 };
 
-/// @brief Redirects all glog output of this process, instead of to files, to
-/// standard output through a LogWriter that lives as long as the process. To be
-/// called once.
+/// @brief Sends all glog output of this process to standard output, and none to
+/// files, through a LogWriter that lives as long as the process. To be called
+/// once.
 void LogToStandardOutput();
 
 /// @brief Flushes the log of LogToStandardOutput without blocking; to be called
--- a/src/cli/quarantine_commands.h
+++ b/src/cli/quarantine_commands.h
@@ -20,8 +20,8 @@
 std::unique_ptr<Command> MakeQuarantineKeepCommand(PlatformConnector& connector,
                                                    const Clock& clock);
 
-/// @brief `quarantine lift`: lifts a quarantine and discounts the crashes so
-/// far.
+/// @brief `quarantine lift`: lifts a quarantine; the crashes so far no longer
+/// count.
 /// @param[in] connector,clock outlive the command
 std::unique_ptr<Command> MakeQuarantineLiftCommand(PlatformConnector& connector,
                                                    const Clock& clock);
--- a/src/cli/request_timeline.h
+++ b/src/cli/request_timeline.h
@@ -44,4 +44,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_CLI_REQUEST_STORY_H_
+#endif  // MEADOWTHREAD_CLI_REQUEST_TIMELINE_H_
