--- a/src/base/json_fields.cc
+++ b/src/base/json_fields.cc
@@ -19,7 +19,8 @@
   return found == object.end() ? nullptr : &*found;
 }
 
-// A number beyond 64 signed bits would come back as another one.
+// An unsigned number beyond the range of int64 would be converted to a
+// different value.
 bool IsInt64(const json& value) {
   return value.is_number_integer() &&
          (!value.is_number_unsigned() ||
@@ -44,7 +45,7 @@
 
 absl::StatusOr<json> ParseObject(std::string_view text, std::string_view step,
                                  std::string_view peer) {
-  const bool is_deep = NestsDeeper(text, kMostJsonDepth);
+  const bool is_deep = ExceedsDepth(text, kMaxJsonDepth);
   json value = is_deep ? json() : json::parse(text, nullptr, false);
   if (value.is_object()) {
     return absl::StatusOr<json>(std::move(value));
--- a/src/base/json_slices.cc
+++ b/src/base/json_slices.cc
@@ -11,15 +11,16 @@
 constexpr std::string_view kSpaces = " \t\r\n";
 constexpr std::string_view kAfterScalar = " \t\r\n,]}:\"[{";
 
-/// @brief A place in a text of JSON.
+/// @brief A read position in JSON text.
 class Cursor {
  public:
   explicit Cursor(std::string_view text) : text(text) {}
 
   bool AtEnd() const { return this->at >= this->text.size(); }
 
-  /// @brief Goes over spaces and over `wanted` behind them, if it stands there.
-  bool Take(char wanted) {
+  /// @brief Skips white space and then `wanted`, if it comes next.
+  /// @return whether `wanted` was skipped
+  bool SkipChar(char wanted) {
     this->SkipSpaces();
     if (this->AtEnd() || this->text[this->at] != wanted) {
       return false;
@@ -28,17 +29,18 @@
     return true;
   }
 
-  /// @brief Goes over spaces and one value.
-  /// @return its text, empty where there is none
-  std::string_view TakeValue() {
+  /// @brief Skips white space and one value.
+  /// @return the text of the value, empty if there is none
+  std::string_view ReadValue() {
     this->SkipSpaces();
     const std::size_t begin = this->at;
     const char first = this->AtEnd() ? '\0' : this->text[begin];
-    const bool whole = first == '"'                   ? this->SkipString()
-                       : first == '{' || first == '[' ? this->SkipNested()
-                                                      : this->SkipScalar();
-    return whole ? this->text.substr(begin, this->at - begin)
-                 : std::string_view();
+    const bool is_complete = first == '"' ? this->SkipString()
+                             : first == '{' || first == '['
+                                 ? this->SkipNested()
+                                 : this->SkipScalar();
+    return is_complete ? this->text.substr(begin, this->at - begin)
+                       : std::string_view();
   }
 
   void SkipSpaces() {
@@ -46,7 +48,7 @@
                         this->text.size());
   }
 
-  /// @brief Goes over a string that begins here.
+  /// @brief Skips the string that starts at the current position.
   bool SkipString() {
     for (++this->at; !this->AtEnd(); ++this->at) {
       if (this->text[this->at] == '"') {
@@ -108,12 +110,12 @@
 
 }  // namespace
 
-bool NestsDeeper(std::string_view json_text, std::size_t limit) {
+bool ExceedsDepth(std::string_view json_text, std::size_t limit) {
   std::size_t depth = 0;
   for (std::size_t at = 0; at < json_text.size(); ++at) {
     const char here = json_text[at];
     if (here == '"') {
-      // To the string's end, or to the text's where it has none.
+      // Skip to the closing quote, or to the end of the text if there is none.
       for (++at; at < json_text.size() && json_text[at] != '"'; ++at) {
         at += json_text[at] == '\\' ? 1 : 0;
       }
@@ -132,19 +134,19 @@
 std::optional<std::vector<std::string_view>> JsonElements(
     std::string_view array_text) {
   Cursor cursor(array_text);
-  if (!cursor.Take('[')) {
+  if (!cursor.SkipChar('[')) {
     return std::nullopt;
   }
   std::vector<std::string_view> elements;
-  bool more = !cursor.Take(']');
+  bool more = !cursor.SkipChar(']');
   while (more) {
-    const std::string_view value = cursor.TakeValue();
+    const std::string_view value = cursor.ReadValue();
     if (value.empty()) {
       return std::nullopt;
     }
     elements.push_back(value);
-    more = cursor.Take(',');
-    if (!more && !cursor.Take(']')) {
+    more = cursor.SkipChar(',');
+    if (!more && !cursor.SkipChar(']')) {
       return std::nullopt;
     }
   }
@@ -155,23 +157,23 @@
 std::optional<std::vector<JsonMember>> JsonMembers(
     std::string_view object_text) {
   Cursor cursor(object_text);
-  if (!cursor.Take('{')) {
+  if (!cursor.SkipChar('{')) {
     return std::nullopt;
   }
   std::vector<JsonMember> members;
-  bool more = !cursor.Take('}');
+  bool more = !cursor.SkipChar('}');
   while (more) {
-    const std::string_view key = cursor.TakeValue();
-    if (!key.starts_with('"') || !cursor.Take(':')) {
+    const std::string_view key = cursor.ReadValue();
+    if (!key.starts_with('"') || !cursor.SkipChar(':')) {
       return std::nullopt;
     }
-    const std::string_view value = cursor.TakeValue();
+    const std::string_view value = cursor.ReadValue();
     if (value.empty()) {
       return std::nullopt;
     }
     members.emplace_back(key, value);
-    more = cursor.Take(',');
-    if (!more && !cursor.Take('}')) {
+    more = cursor.SkipChar(',');
+    if (!more && !cursor.SkipChar('}')) {
       return std::nullopt;
     }
   }
--- a/src/cli/change_command.cc
+++ b/src/cli/change_command.cc
@@ -9,10 +9,11 @@
 namespace meadowthread {
 namespace {
 
-/// A change ends by itself; this many limits of a wait only bound a fault.
-constexpr int kMostWaits = 20;
+/// A change always completes on its own; this limit on the number of waits only
+/// guards against a bug that keeps it from completing.
+constexpr int kMaxWaits = 20;
 
-std::string SentenceOf(const ChangeResult& end) {
+std::string DescribeOutcome(const ChangeResult& end) {
   switch (end.outcome) {
     case ChangeOutcome::kAccepted:
       return absl::StrCat(end.message, " as version ", end.version);
@@ -34,28 +35,30 @@
 }  // namespace
 
 OperationOption::OperationOption(TCLAP::CmdLine& line)
-    : argument("", "operation",
-               "the id of a change whose result was unknown: settles it and "
-               "never applies it twice (a new id)",
-               false, "", "ID", line) {}
+    : argument(
+          "", "operation",
+          "the id of an earlier change whose result was unknown; repeating it "
+          "never applies the change twice (default: a new id)",
+          false, "", "ID", line) {}
 
 std::string OperationOption::Operation(NonceSource& operations) {
   return this->argument.isSet() ? this->argument.getValue() : operations.Next();
 }
 
 ChangeResult AwaitChange(Platform& platform, const StartChange& start) {
-  // Shared with the callback, since a late end may outlive this call.
+  // Shared with the callback, which may still run after this function has timed
+  // out.
   auto end = std::make_shared<std::optional<ChangeResult>>();
   OperatorChanges changes(platform.Store(), platform.Tasks());
-  start(changes, [end](const ChangeResult& came) { *end = came; });
-  for (int waits = 0; waits < kMostWaits && !end->has_value(); ++waits) {
+  start(changes, [end](const ChangeResult& result) { *end = result; });
+  for (int waits = 0; waits < kMaxWaits && !end->has_value(); ++waits) {
     platform.Wait([end] { return end->has_value(); });
   }
   if (end->has_value()) {
     return **end;
   }
   ChangeResult unknown;
-  unknown.message = "no end of the change came within the limit";
+  unknown.message = "the change did not complete within the time limit";
   return unknown;
 }
 
@@ -77,8 +80,8 @@
   return ExitCode::kUnknown;
 }
 
-CommandResult TellChange(Platform& platform, const ChangeResult& end,
-                         std::string_view what, std::string_view operation) {
+CommandResult ReportChange(Platform& platform, const ChangeResult& end,
+                           std::string_view what, std::string_view operation) {
   CommandResult result;
   result.code = ExitCodeOf(end.outcome);
   result.json["result"] = std::string(ChangeOutcomeName(end.outcome));
@@ -88,18 +91,18 @@
   result.json["superseded"] = end.superseded;
   result.json["may_have_been_in_force"] = end.may_have_been_in_force;
   result.json["difference"] = end.difference;
-  result.text = absl::StrCat(std::string(what), ": ", SentenceOf(end), "\n",
-                             end.difference);
+  result.text = absl::StrCat(std::string(what), ": ", DescribeOutcome(end),
+                             "\n", end.difference);
   if (end.may_have_been_in_force) {
-    result.text += "yours may have been in force before it\n";
+    result.text += "your change may have been in force before it\n";
   }
   if (end.outcome == ChangeOutcome::kUnknown) {
     absl::StrAppend(&result.text, "--operation ", std::string(operation), "\n");
   }
   if (end.outcome == ChangeOutcome::kAccepted) {
-    const OfferReport offered = OfferToAll(platform, end.object);
-    result.json["offered"] = offered.Json();
-    result.text += offered.Text();
+    const PushReport pushed = PushToEntryHosts(platform, end.object);
+    result.json["offered"] = pushed.Json();
+    result.text += pushed.Text();
   }
   return result;
 }
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -9,7 +9,8 @@
 namespace meadowthread {
 namespace {
 
-CommandResult Tell(const std::string& file, const CheckedDocument& checked) {
+CommandResult ToCommandResult(const std::string& file,
+                              const CheckedDocument& checked) {
   CommandResult result;
   const std::string kind(DocumentKindName(checked.kind));
   result.json["file"] = file;
@@ -32,28 +33,29 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     TCLAP::UnlabeledValueArg<std::string> file(
-        "file", "settings or a template; - is the standard input", true, "",
+        "file", "a settings or template file; - reads standard input", true, "",
         "FILE", parser.Line());
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     const absl::StatusOr<std::string> text =
         ReadInput(file.getValue(), console);
     if (!text.ok()) {
       return output.Print(FailedResult(text.status()), console);
     }
-    return output.Print(Tell(file.getValue(), CheckDocument(*text)), console);
+    return output.Print(ToCommandResult(file.getValue(), CheckDocument(*text)),
+                        console);
   }
 
  private:
   CommandHelp help = {
       "check",
-      "checks settings or a template without using them",
-      "Tells by its top fields whether a document is a host's settings or a "
-      "template,\nand every problem at once, each with its line and field. "
-      "Speaks to nobody.",
+      "validates a settings or template file without applying it",
+      "Recognizes host settings and templates by their top-level fields and "
+      "reports every\nproblem with its line and field. Makes no network "
+      "calls.",
       {"meadowthread check entry-1.yaml",
        "meadowthread check daily-report.yaml --output json"}};
 };
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -6,26 +6,26 @@
 #include "cli/command_arguments.h"
 #include "cli/command_result.h"
 #include "cli/input_file.h"
-#include "cli/request_story.h"
+#include "cli/request_timeline.h"
 
 namespace meadowthread {
 namespace {
 
 constexpr std::string_view kStandardInput = "-";
 
-CommandResult Tell(const RequestStory& story) {
+CommandResult ToCommandResult(const RequestTimeline& timeline) {
   CommandResult result;
-  result.json["request"] = story.Request();
+  result.json["request"] = timeline.Request();
   result.json["steps"] = nlohmann::ordered_json::array();
-  const std::vector<StoryStep> steps = story.Steps();
+  const std::vector<TimelineStep> steps = timeline.Steps();
   if (steps.empty()) {
     result.code = ExitCode::kNotFound;
     result.text =
-        absl::StrCat("no log line is about request ", story.Request(), "\n");
+        absl::StrCat("no log line is about request ", timeline.Request(), "\n");
     return result;
   }
-  result.text = absl::StrCat("request ", story.Request(), ":\n");
-  for (const StoryStep& step : steps) {
+  result.text = absl::StrCat("request ", timeline.Request(), ":\n");
+  for (const TimelineStep& step : steps) {
     const LogRecord& record = step.record;
     absl::StrAppend(&result.text, "  ", record.time, "  [", record.source,
                     "]  ", step.sentence, "\n");
@@ -50,49 +50,50 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     TCLAP::UnlabeledValueArg<std::string> request(
-        "request", "the id in the answer's Meadowthread-Request header", true,
-        "", "REQUEST", parser.Line());
+        "request", "the id from the response's Meadowthread-Request header",
+        true, "", "REQUEST", parser.Line());
     TCLAP::MultiArg<std::string> logs(
         "", "log",
-        "a log to read, once for each host's; - is the standard input (-)",
+        "a log file to read, repeated for each host; - reads standard input "
+        "(default: -)",
         false, "FILE", parser.Line());
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
-    RequestStory story(request.getValue());
+    RequestTimeline timeline(request.getValue());
     std::vector<std::string> paths = logs.getValue();
     if (paths.empty()) {
       paths.emplace_back(kStandardInput);
     }
     for (const std::string& path : paths) {
-      const absl::Status status = ReadLog(path, console, &story);
+      const absl::Status status = ReadLog(path, console, &timeline);
       if (!status.ok()) {
         return output.Print(FailedResult(status), console);
       }
     }
-    return output.Print(Tell(story), console);
+    return output.Print(ToCommandResult(timeline), console);
   }
 
  private:
   static absl::Status ReadLog(const std::string& path, Console& console,
-                              RequestStory* story) {
+                              RequestTimeline* timeline) {
     const absl::StatusOr<std::string> text = ReadInput(path, console);
     if (text.ok()) {
       std::istringstream log(*text);
-      story->Read(log, path);
+      timeline->Read(log, path);
     }
     return text.status();
   }
 
   CommandHelp help = {
       "explain",
-      "tells what happened to a request, from log lines",
+      "shows what happened to a request, from log lines",
       "Every decision about a request is one log line of key=value pairs. "
-      "explain\nreads the logs of any number of hosts, picks the lines that "
-      "are about the\nrequest or one of its attempts, and tells them in order "
-      "of time: which engine\nwas chosen and why, what failed, how it ended.",
+      "explain\nreads the logs of any number of hosts, selects the lines "
+      "about the request or\none of its attempts, and prints them in time "
+      "order: which engine was chosen and\nwhy, what failed, and how it ended.",
       {"meadowthread explain entry-1-5f3a-17 --log entry-1.log --log "
        "entry-2.log",
        "cat *.log | meadowthread explain entry-1-5f3a-17 --output json"}};
--- a/src/cli/ownership_move_command.cc
+++ b/src/cli/ownership_move_command.cc
@@ -11,8 +11,8 @@
 constexpr std::int64_t kSecondMs = 1000;
 constexpr int kDefaultWaitS = 60;
 
-CommandResult Tell(const OwnershipMoveRequest& request,
-                   const OwnershipMoveProgress& progress) {
+CommandResult ToCommandResult(const OwnershipMoveRequest& request,
+                              const OwnershipMoveProgress& progress) {
   const std::string object = OwnershipObjectName(request.id);
   CommandResult result;
   result.json["object"] = object;
@@ -30,16 +30,17 @@
     result.code = ExitCode::kConflict;
     return result;
   }
-  // The draining mark may stand, and whoever asks again carries the move on.
+  // The draining state may already be stored; running the command again
+  // continues the move.
   const bool draining = progress.phase == OwnershipMovePhase::kDraining;
   result.code = ExitCode::kUnknown;
   result.json["phase"] = draining ? "draining" : "starting";
   result.text = absl::StrCat(
-      object, draining ? " is draining" : " was perhaps marked as draining",
+      object, draining ? " is draining" : " may have been marked as draining",
       progress.waiting_for.empty()
           ? ""
           : "; it waits for " + absl::StrJoin(progress.waiting_for, ", "),
-      "\nthe same command goes on with the move\n");
+      "\nrun the same command again to continue the move\n");
   if (!progress.last_error.ok()) {
     const CommandResult failed = FailedResult(progress.last_error);
     result.text += failed.text;
@@ -48,24 +49,27 @@
   return result;
 }
 
-/// The arguments that are the move's own.
+/// The arguments specific to `ownership move`.
 struct MoveArguments {
   explicit MoveArguments(TCLAP::CmdLine& line)
       : object("object", "workspace.NAME or engine.NAME", true, "", "OBJECT",
                line),
-        next_owner("", "to", "the half that is to own it", true, "", "HALF",
-                   line),
-        next_address("", "address",
-                     "where callers of that half go (from --settings)", false,
-                     "", "URL", line),
+        next_owner("", "to", "the deployment that becomes the owner", true, "",
+                   "HALF", line),
+        next_address(
+            "", "address",
+            "the URL for callers of that deployment (default: from --settings)",
+            false, "", "URL", line),
         default_owner("", "default-owner",
-                      "owner of what has no object (from --settings)", false,
-                      "", "HALF", line),
+                      "the owner of everything without an ownership object "
+                      "(default: from --settings)",
+                      false, "", "HALF", line),
         gone("", "gone",
-             "a host that you know to be dead for good, so that the move need "
-             "not wait for it",
+             "a host that is known to be permanently gone, so that the move "
+             "does not wait for it",
              false, "HOST", line),
-        wait_s("", "wait-s", "how long to wait for hosts to drain (60)", false,
+        wait_s("", "wait-s",
+               "how long to wait for hosts to drain (default: 60)", false,
                kDefaultWaitS, "SECONDS", line) {}
 
   TCLAP::UnlabeledValueArg<std::string> object;
@@ -76,10 +80,10 @@
   TCLAP::ValueArg<int> wait_s;
 };
 
-std::string AddressOf(const std::optional<DeploymentSettings>& half,
+std::string AddressOf(const std::optional<DeploymentSettings>& deployment,
                       const std::string& name) {
-  if (half.has_value()) {
-    for (const DeploymentAddress& address : half->addresses) {
+  if (deployment.has_value()) {
+    for (const DeploymentAddress& address : deployment->addresses) {
       if (address.half == name) {
         return address.url;
       }
@@ -100,29 +104,32 @@
     if (!id.has_value()) {
       return UsageResult("OBJECT is neither workspace.NAME nor engine.NAME");
     }
-    const OwnershipMoverSettings settings = this->SettingsOf(context.half);
+    const OwnershipMoverSettings settings =
+        this->SettingsOf(context.deployment);
     if (settings.default_owner.empty()) {
-      return UsageResult("say --default-owner or --settings");
+      return UsageResult(
+          "the default owner is not given: use --default-owner or --settings");
     }
     OwnershipMoveRequest request = {*id, this->arguments.next_owner.getValue(),
                                     this->arguments.next_address.getValue(),
                                     this->operations.Next(),
                                     this->arguments.gone.getValue()};
     if (request.next_address.empty()) {
-      request.next_address = AddressOf(context.half, request.next_owner);
+      request.next_address = AddressOf(context.deployment, request.next_owner);
     }
-    return Tell(request, this->Move(request, settings, context.platform));
+    return ToCommandResult(request,
+                           this->Move(request, settings, context.platform));
   }
 
  private:
   OwnershipMoverSettings SettingsOf(
-      const std::optional<DeploymentSettings>& half) {
+      const std::optional<DeploymentSettings>& deployment) {
     OwnershipMoverSettings settings;
     settings.default_owner = this->arguments.default_owner.getValue();
-    if (settings.default_owner.empty() && half.has_value()) {
-      settings.default_owner = half->default_owner;
+    if (settings.default_owner.empty() && deployment.has_value()) {
+      settings.default_owner = deployment->default_owner;
     }
-    settings.default_address = AddressOf(half, settings.default_owner);
+    settings.default_address = AddressOf(deployment, settings.default_owner);
     return settings;
   }
 
@@ -154,10 +161,11 @@
       : PlatformCommand(
             connector,
             {"ownership move",
-             "hands a workspace or an engine to a half of the migration",
-             "Moves ownership in steps: the owner takes nothing new, its hosts "
-             "finish what runs,\nand only then the next half owns it. Cut off "
-             "at any step, the same command goes\non; two at once do no harm.",
+             "moves a workspace or an engine to another deployment",
+             "Moves ownership in steps: the owner accepts no new work, its "
+             "hosts finish running\nwork, and only then does the next "
+             "deployment become the owner. If the command is\ninterrupted at "
+             "any step, run it again to continue; running two at once is safe.",
              {"meadowthread ownership move workspace.makati --to west "
               "--settings entry-1.yaml",
               "meadowthread ownership move engine.engine-3 --to west "
--- a/src/cli/platform_command.cc
+++ b/src/cli/platform_command.cc
@@ -11,16 +11,16 @@
   const std::unique_ptr<Invocation> invocation = this->Prepare(parser.Line());
   PlatformOptions options(parser.Line());
   OutputOption output(parser.Line());
-  const std::optional<ExitCode> ended = parser.Parse(arguments);
-  if (ended.has_value()) {
-    return *ended;
+  const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+  if (exit_code.has_value()) {
+    return *exit_code;
   }
   const absl::StatusOr<PlatformAddress> address = options.Address();
   if (!address.ok()) {
-    return parser.Refuse(address.status());
+    return parser.ReportError(address.status());
   }
   const std::unique_ptr<Platform> platform = this->connector.Connect(*address);
-  const RunContext context = {*platform, console, options.Half()};
+  const RunContext context = {*platform, console, options.Deployment()};
   return output.Print(invocation->Run(context), console);
 }
 
--- a/src/cli/status_report.cc
+++ b/src/cli/status_report.cc
@@ -37,7 +37,7 @@
   return strings;
 }
 
-/// An incarnation may be written as a number or as text.
+/// A field as text; the incarnation may be a number or a string.
 std::string TextOf(const nlohmann::json& object, const char* field) {
   const auto found = object.find(field);
   if (found == object.end()) {
@@ -54,8 +54,8 @@
   return found == objects.end() ? nullptr : &*found;
 }
 
-/// Fills a row from the host's status object, which is all that is left of a
-/// host that does not answer.
+/// Fills a row from the host's status object, the only source for a host that
+/// does not answer.
 void FillFromObject(const StoredObject* object, StatusRow* row) {
   if (object == nullptr) {
     return;
@@ -73,53 +73,53 @@
   row.status.host = host.name;
   row.zone = host.zone;
   row.listed = host.leaving ? "leaving" : "live";
-  absl::Status trouble = reply.body.status();
+  absl::Status failure = reply.body.status();
   if (reply.body.ok()) {
     const auto status = ParseHostStatus(host.name, *reply.body);
-    trouble = status.status();
+    failure = status.status();
     if (status.ok()) {
       row.status = *status;
       row.source = StatusSource::kHost;
       return row;
     }
   }
-  row.trouble = "unreachable: " +
-                std::string(trouble.message().data(), trouble.message().size());
+  row.failure = "unreachable: " +
+                std::string(failure.message().data(), failure.message().size());
   FillFromObject(FindObject(objects, host.name), &row);
   return row;
 }
 
-std::string Or(const std::string& text, const char* fallback) {
+std::string OrDefault(const std::string& text, const char* fallback) {
   return text.empty() ? fallback : text;
 }
 
 std::vector<std::string> CellsOf(const StatusRow& row, std::int64_t now_ms) {
   const HostStatus& status = row.status;
   if (row.source == StatusSource::kNone) {
-    return {status.host, Or(row.zone, "-"),
+    return {status.host, OrDefault(row.zone, "-"),
             row.listed,  "-",
             "-",         "-",
             "-",         "-",
             "-",         "-",
-            "-",         row.trouble};
+            "-",         row.failure};
   }
   const std::string age =
       status.confirmed_unix_ms == 0
           ? "never"
           : absl::StrCat(now_ms - status.confirmed_unix_ms, " ms");
   return {status.host,
-          Or(row.zone, "-"),
+          OrDefault(row.zone, "-"),
           row.listed,
-          Or(status.mark, "live"),
+          OrDefault(status.mark, "live"),
           status.ready ? "yes" : "no",
           absl::StrCat(status.configuration_revision),
           age,
           absl::StrCat(status.streams),
           absl::StrCat(status.queued),
           absl::StrCat(status.engines),
-          Or(absl::StrJoin(status.stop_waits_for, ","), "-"),
+          OrDefault(absl::StrJoin(status.stop_waits_for, ","), "-"),
           row.source == StatusSource::kObject
-              ? row.trouble + " (from its status object)"
+              ? row.failure + " (from its status object)"
               : "answered"};
 }
 
@@ -129,7 +129,7 @@
           {"zone", row.zone},
           {"listed", row.listed},
           {"source", std::string(SourceName(row.source))},
-          {"trouble", row.trouble},
+          {"trouble", row.failure},
           {"incarnation", status.incarnation},
           {"ready", status.ready},
           {"mark", status.mark},
@@ -183,7 +183,7 @@
       StatusRow row;
       row.status.host = object.name;
       row.listed = "not_listed";
-      row.trouble = "not asked: the host list does not have it";
+      row.failure = "not asked: not in the host list";
       FillFromObject(&object, &row);
       report.rows.push_back(row);
     }
--- a/src/cli/tests/fake_platform.h
+++ b/src/cli/tests/fake_platform.h
@@ -17,13 +17,14 @@
 
 namespace meadowthread {
 
-/// @brief Runs tasks one at a time, when a command waits for nothing else.
+/// @brief Queues tasks and runs them one at a time, ignoring their delays.
 class QueueScheduler final : public Scheduler {
  public:
   void After(std::int64_t /*delay_ms*/, std::function<void()> task) override {
     this->tasks.push_back(std::move(task));
   }
 
+  /// @brief Runs the oldest task.
   /// @return whether there was a task
   bool RunOne() {
     if (this->tasks.empty()) {
@@ -39,16 +40,17 @@
   std::deque<std::function<void()>> tasks;
 };
 
-/// @brief What the fake platform is made of; outlives the platforms.
-struct FakeWorld {
+/// @brief The state and scripted replies of a fake platform; outlives the
+/// platforms.
+struct FakePlatformState {
   MemoryStore store;
   QueueScheduler tasks;
   ManualClock clock{1'000'000};
   absl::StatusOr<HostList> hosts = HostList{};
-  std::vector<HostReply> replies;  ///< to AskStatuses and CallAll
+  std::vector<HostReply> replies;  ///< returned by AskStatuses and CallAll
   std::vector<std::string> calls;  ///< parameters of CallAll
-  /// Happens once, before the first task: between a write and the next.
-  std::function<void()> at_pause = [] {};
+  /// Runs once, before the first queued task: between a write and its retry.
+  std::function<void()> before_first_task = [] {};
 
   void Put(std::string_view kind, std::string_view name,
            std::string_view value) {
@@ -57,64 +59,64 @@
   }
 };
 
-/// @brief A platform in memory, whose answers come while a command waits.
+/// @brief An in-memory platform that delivers replies while a command waits.
 class FakePlatform final : public Platform {
  public:
-  explicit FakePlatform(FakeWorld& world) : world(world) {}
+  explicit FakePlatform(FakePlatformState& state) : state(state) {}
 
-  ObjectStore& Store() override { return this->world.store; }
+  ObjectStore& Store() override { return this->state.store; }
 
-  Scheduler& Tasks() override { return this->world.tasks; }
+  Scheduler& Tasks() override { return this->state.tasks; }
 
   bool Wait(const std::function<bool()>& is_done) override {
-    this->world.store.Settle();
+    this->state.store.Settle();
     while (!is_done()) {
-      std::exchange(this->world.at_pause, [] {})();
-      if (!this->world.tasks.RunOne()) {
+      std::exchange(this->state.before_first_task, [] {})();
+      if (!this->state.tasks.RunOne()) {
         break;
       }
-      this->world.store.Settle();
+      this->state.store.Settle();
     }
     return is_done();
   }
 
   void Pause(std::int64_t pause_ms) override {
-    this->world.store.Settle();
-    this->world.clock.Advance(pause_ms);
+    this->state.store.Settle();
+    this->state.clock.Advance(pause_ms);
   }
 
-  absl::StatusOr<HostList> ListHosts() override { return this->world.hosts; }
+  absl::StatusOr<HostList> ListHosts() override { return this->state.hosts; }
 
   std::vector<HostReply> AskStatuses(
       std::span<const HostEntry> /*hosts*/) override {
-    return this->world.replies;
+    return this->state.replies;
   }
 
   std::vector<HostReply> CallAll(std::span<const HostEntry> /*hosts*/,
                                  std::string_view /*method*/,
                                  std::string_view params) override {
-    this->world.calls.emplace_back(params);
-    return this->world.replies;
+    this->state.calls.emplace_back(params);
+    return this->state.replies;
   }
 
  private:
-  FakeWorld& world;
+  FakePlatformState& state;
 };
 
 class FakeConnector final : public PlatformConnector {
  public:
-  explicit FakeConnector(FakeWorld& world) : world(world) {}
+  explicit FakeConnector(FakePlatformState& state) : state(state) {}
 
   std::unique_ptr<Platform> Connect(
       const PlatformAddress& /*address*/) override {
-    return std::make_unique<FakePlatform>(this->world);
+    return std::make_unique<FakePlatform>(this->state);
   }
 
  private:
-  FakeWorld& world;
+  FakePlatformState& state;
 };
 
-/// @brief What a command wrote and how it ended.
+/// @brief The output and exit code of a command.
 struct RunRecord {
   ExitCode code = ExitCode::kFailed;
   std::string out;
--- a/src/cli/version_command.cc
+++ b/src/cli/version_command.cc
@@ -16,9 +16,9 @@
                Console& console) override {
     CommandArguments parser(this->help, console);
     OutputOption output(parser.Line());
-    const std::optional<ExitCode> ended = parser.Parse(arguments);
-    if (ended.has_value()) {
-      return *ended;
+    const std::optional<ExitCode> exit_code = parser.Parse(arguments);
+    if (exit_code.has_value()) {
+      return *exit_code;
     }
     CommandResult result;
     result.text = std::string("meadowthread ") + kVersion + "\n";
@@ -28,8 +28,8 @@
 
  private:
   CommandHelp help = {"version",
-                      "tells the program's version",
-                      "Tells the version that this program was built as.",
+                      "prints the program's version",
+                      "Prints the version of this build.",
                       {"meadowthread version --output json"}};
 };
 
--- a/src/metrics/metric_registry.cc
+++ b/src/metrics/metric_registry.cc
@@ -19,10 +19,10 @@
                        [](const auto& family, const std::string& name) {
                          return family->Name() < name;
                        });
-  const bool taken =
+  const bool is_duplicate =
       place != this->families.end() && (*place)->Name() == spec.name;
-  // Two families of one name would make the whole page unreadable.
-  CHECK(!taken) << "metric added twice: " << spec.name;
+  // Parsers reject the whole page if two families have the same name.
+  CHECK(!is_duplicate) << "metric added twice: " << spec.name;
   auto family = std::make_unique<MetricFamily<Metric>>(spec);
   MetricFamily<Metric>& added = *family;
   this->families.insert(place, std::move(family));
