--- a/bench/load/stream_load.cc
+++ b/bench/load/stream_load.cc
@@ -72,7 +72,7 @@
     }
   }
 
-  void OnEnd(const HttpEnd& /*end*/) override {
+  void OnEnd(const HttpCallResult& /*end*/) override {
     this->over = true;
     ++(this->received == this->expected ? this->gaps.complete
                                         : this->gaps.failed);
--- a/fuzz/answers_fuzzer.cc
+++ b/fuzz/answers_fuzzer.cc
@@ -17,7 +17,7 @@
 };
 
 ParseResult Read(std::string_view text, std::size_t step) {
-  MessageReader reader(MessageKind::kAnswer, kHeadLimit);
+  MessageReader reader(MessageKind::kResponse, kHeadLimit);
   reader.ExpectNoBody(false);
   ParseResult reading;
   for (std::size_t at = 0; at < text.size(); at += step) {
--- a/fuzz/objects_fuzzer.cc
+++ b/fuzz/objects_fuzzer.cc
@@ -4,19 +4,19 @@
 #include "configuration/template_object.h"
 #include "fuzz/fuzz_input.h"
 #include "hosts/host_list.h"
-#include "store/object_answers.h"
+#include "store/object_responses.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   using namespace meadowthread;  // NOLINT(google-build-using-namespace)
   const std::string_view text = fuzz::TextOf(data, size);
-  HttpFetched fetched;
+  FetchResult fetched;
   fetched.end.http_status = 200;
   fetched.end.request_may_have_left = true;
   fetched.response.http_status = 200;
   fetched.response.body = std::string(text);
   const absl::StatusOr<ObjectList> list =
-      ReadListAnswer(fetched, "list", "marks");
+      ParseListResponse(fetched, "list", "marks");
   if (list.ok()) {
     for (const StoredObject& item : list->items) {
       fuzz::Require(item.kind == "marks" && !item.name.empty(),
--- a/fuzz/requests_fuzzer.cc
+++ b/fuzz/requests_fuzzer.cc
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "fuzz/fuzz_input.h"
-#include "net/tests/played_connection.h"
+#include "net/tests/server_connection_harness.h"
 
 namespace meadowthread {
 namespace {
@@ -21,9 +21,9 @@
   return limits;
 }
 
-class RequestRecorder final : public testing::PlayedConnection {
+class RequestRecorder final : public testing::ServerConnectionHarness {
  public:
-  RequestRecorder() : PlayedConnection(SmallLimits()) {}
+  RequestRecorder() : ServerConnectionHarness(SmallLimits()) {}
 
   /// @brief Method, target, headers and body of each served request.
   const std::string& Served() const { return this->served; }
--- a/src/base/ip_and_port.cc
+++ b/src/base/ip_and_port.cc
@@ -23,12 +23,12 @@
   const char* const end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, port);
   return error == std::errc() && rest == end && port > 0 &&
-         port <= kHighestPort;
+         port <= kMaxPortNumber;
 }
 
 }  // namespace
 
-bool IsIpNumber(std::string_view text) {
+bool IsIpAddress(std::string_view text) {
   return IsNumberOf(AF_INET, text) || IsNumberOf(AF_INET6, text);
 }
 
--- a/src/base/ip_and_port.h
+++ b/src/base/ip_and_port.h
@@ -6,10 +6,10 @@
 
 namespace meadowthread {
 
-inline constexpr std::int64_t kHighestPort = 65'535;
+inline constexpr std::int64_t kMaxPortNumber = 65'535;
 
 /// @brief Whether a text is an IPv4 or IPv6 address without brackets.
-bool IsIpNumber(std::string_view text);
+bool IsIpAddress(std::string_view text);
 
 /// @brief Whether a text is IP:PORT with a port above 0; [IP]:PORT for IPv6.
 bool IsIpAndPort(std::string_view text);
--- a/src/claims/tests/claim_faults_test.cc
+++ b/src/claims/tests/claim_faults_test.cc
@@ -1,17 +1,17 @@
 #include <criterion/criterion.h>
 
 #include "claims/tests/claim_fixture.h"
-#include "store/tests/passing_store.h"
+#include "store/tests/forwarding_store.h"
 
 namespace meadowthread {
 namespace {
 
 /// @brief A store client that sends each write twice and returns the reply to
 /// the second one.
-class ResendingStore final : public PassingStore {
+class ResendingStore final : public ForwardingStore {
  public:
   explicit ResendingStore(MemoryStore* store)
-      : PassingStore(*store), store(store) {}
+      : ForwardingStore(*store), store(store) {}
 
   void Put(std::string_view kind, std::string_view name, std::string_view value,
            std::int64_t version, const PutDone& done) override {
--- a/src/cli/entry_hosts.cc
+++ b/src/cli/entry_hosts.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
-#include "store/object_answers.h"
+#include "store/object_responses.h"
 
 namespace meadowthread {
 namespace {
--- a/src/cli/exit_code.cc
+++ b/src/cli/exit_code.cc
@@ -51,7 +51,7 @@
     case ErrorId::kStoreUnavailable:
     case ErrorId::kConnectFailed:
     case ErrorId::kConnectionLost:
-    case ErrorId::kPeerSilent:
+    case ErrorId::kPeerTimeout:
       return ExitCode::kUnavailable;
     case ErrorId::kNotFound:
       return ExitCode::kNotFound;
--- a/src/cli/qt_platform.cc
+++ b/src/cli/qt_platform.cc
@@ -49,7 +49,7 @@
 }
 
 /// The body of a complete response with status 200, otherwise an error.
-absl::StatusOr<std::string> BodyOf(const HttpFetched& fetched,
+absl::StatusOr<std::string> BodyOf(const FetchResult& fetched,
                                    std::string_view step,
                                    std::string_view peer) {
   if (!fetched.end.status.ok()) {
@@ -90,11 +90,11 @@
     const std::string url = this->address.host_list;
     const absl::StatusOr<std::string> body = Await<std::string>(
         *this,
-        PeerError(ErrorId::kPeerSilent, "host-list", url,
+        PeerError(ErrorId::kPeerTimeout, "host-list", url,
                   "no answer within the timeout"),
         [this, &url](const auto& done) {
           Fetch(this->http, this->Get(url), kHostListLimitBytes,
-                [done, url](const HttpFetched& fetched) {
+                [done, url](const FetchResult& fetched) {
                   done(BodyOf(fetched, "host-list", url));
                 });
         });
@@ -151,7 +151,7 @@
                  const RpcDone& done) {
     const std::string status_url = url + "/statusz";
     Fetch(this->http, this->Get(status_url), kStatusLimitBytes,
-          [this, status_url, other_url, done](const HttpFetched& fetched) {
+          [this, status_url, other_url, done](const FetchResult& fetched) {
             const auto body = BodyOf(fetched, "statusz", status_url);
             if (body.ok() || other_url.empty()) {
               done(body);
@@ -179,7 +179,7 @@
       all.push_back({hosts[i].name,
                      reply.has_value()
                          ? *reply
-                         : PeerError(ErrorId::kPeerSilent, step, hosts[i].name,
+                         : PeerError(ErrorId::kPeerTimeout, step, hosts[i].name,
                                      "no answer within the timeout")});
     }
     return all;
--- a/src/configuration/tests/operator_change_test.cc
+++ b/src/configuration/tests/operator_change_test.cc
@@ -8,7 +8,7 @@
 #include "configuration/template_object.h"
 #include "configuration/text_difference.h"
 #include "store/memory_store.h"
-#include "store/tests/passing_store.h"
+#include "store/tests/forwarding_store.h"
 
 namespace meadowthread {
 namespace {
@@ -19,9 +19,9 @@
 }
 
 // The next `stale_gets` reads return an earlier state.
-class StaleStore final : public PassingStore {
+class StaleStore final : public ForwardingStore {
  public:
-  StaleStore() : PassingStore(this->memory) {}
+  StaleStore() : ForwardingStore(this->memory) {}
 
   void Get(std::string_view kind, std::string_view name,
            const GetDone& done) override {
--- a/src/configuration/tests/view_watcher_test.cc
+++ b/src/configuration/tests/view_watcher_test.cc
@@ -8,7 +8,7 @@
 #include "base/manual_scheduler.h"
 #include "store/memory_store.h"
 #include "store/store_errors.h"
-#include "store/tests/passing_store.h"
+#include "store/tests/forwarding_store.h"
 
 namespace meadowthread {
 namespace {
@@ -16,9 +16,9 @@
 constexpr std::array<std::string_view, 1> kKinds = {kTemplatesKind};
 
 // A store whose reads can be made to fail in several ways.
-class FaultyReads final : public PassingStore {
+class FaultyReads final : public ForwardingStore {
  public:
-  FaultyReads() : PassingStore(this->memory) {}
+  FaultyReads() : ForwardingStore(this->memory) {}
 
   void List(std::string_view kind, std::int64_t since,
             const ListDone& done) override {
--- a/src/engine/engine_client.cc
+++ b/src/engine/engine_client.cc
@@ -59,7 +59,7 @@
   http.url = GenerationUrl(engine, generation);
   http.connect_timeout_ms = this->limits.connect_timeout_ms;
   http.total_timeout_ms = this->limits.control_timeout_ms;
-  Fetch(this->client, http, kMaxControlBytes, [](const HttpFetched&) {});
+  Fetch(this->client, http, kMaxControlBytes, [](const FetchResult&) {});
 }
 
 void EngineClient::ReadLoad(const EngineAddress& engine, const LoadDone& done) {
@@ -69,7 +69,7 @@
   http.total_timeout_ms = this->limits.control_timeout_ms;
   const std::string name = engine.engine;
   Fetch(this->client, http, kMaxControlBytes,
-        [done, name](const HttpFetched& fetched) {
+        [done, name](const FetchResult& fetched) {
           if (!fetched.end.status.ok()) {
             done(fetched.end.status);
             return;
--- a/src/engine/engine_stream.cc
+++ b/src/engine/engine_stream.cc
@@ -113,14 +113,14 @@
   receiver->OnStreamClosed(close);
 }
 
-void EngineStream::OnEnd(const HttpEnd& end) {
+void EngineStream::OnEnd(const HttpCallResult& end) {
   this->call = 0;
   if (this->sink != nullptr) {
     this->sink->OnStreamClosed(this->MakeStreamClose(end));
   }
 }
 
-StreamClose EngineStream::MakeStreamClose(const HttpEnd& end) const {
+StreamClose EngineStream::MakeStreamClose(const HttpCallResult& end) const {
   StreamClose close;
   close.status = end.status;
   close.http_status = end.http_status;
--- a/src/engine/engine_stream.h
+++ b/src/engine/engine_stream.h
@@ -62,12 +62,12 @@
 
   void OnHead(int http_status, std::span<const HttpHeader> headers) override;
   void OnData(std::string_view data) override;
-  void OnEnd(const HttpEnd& end) override;
+  void OnEnd(const HttpCallResult& end) override;
   void OnSseEvent(const SseEvent& event) override;
 
  private:
   void CloseMalformed(std::string_view what);
-  StreamClose MakeStreamClose(const HttpEnd& end) const;
+  StreamClose MakeStreamClose(const HttpCallResult& end) const;
 
   HttpClient& client;
   std::string engine;
--- a/src/exchange/rpc_client.cc
+++ b/src/exchange/rpc_client.cc
@@ -45,7 +45,7 @@
 absl::StatusOr<std::string> Run(const CallTask& task, const Clock& clock) {
   const std::int64_t left_ms = task.deadline_ms - clock.MonotonicMs();
   if (left_ms <= 0) {
-    return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerSilent,
+    return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerTimeout,
                    task.peer, "no worker thread was free before the deadline");
   }
   const detail::RpcResult result =
@@ -59,7 +59,7 @@
       return Failure(absl::StatusCode::kInternal, ErrorId::kPeerMalformed,
                      task.peer, result.message);
     case detail::RpcOutcome::kTimedOut:
-      return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerSilent,
+      return Failure(absl::StatusCode::kDeadlineExceeded, ErrorId::kPeerTimeout,
                      task.peer, result.message);
     case detail::RpcOutcome::kConnectionLost:
       break;
--- a/src/exchange/rpc_server.cc
+++ b/src/exchange/rpc_server.cc
@@ -22,7 +22,7 @@
 }
 
 void SendEmpty(ResponseWriter& writer, int http_status) {
-  WholeResponse response;
+  ServerResponse response;
   response.http_status = http_status;
   response.content_type.clear();
   writer.SendWhole(response);
@@ -61,7 +61,7 @@
   // may have disconnected by then.
   const std::shared_ptr<ResponseWriter> answers = std::move(writer);
   this->dispatcher.Handle(request.body, [answers](std::string_view answer) {
-    WholeResponse response;
+    ServerResponse response;
     response.body = std::string(answer);
     answers->SendWhole(response);
   });
--- a/src/exchange/rpc_server.h
+++ b/src/exchange/rpc_server.h
@@ -43,7 +43,9 @@
   void CloseConnections() { this->server.CloseConnections(); }
 
   /// @brief Number of connections whose peers may still get a response.
-  std::size_t Owed() const { return this->server.Owed(); }
+  std::size_t UndeliveredCount() const {
+    return this->server.UndeliveredCount();
+  }
 
   void Serve(const ServerRequest& request,
              std::unique_ptr<ResponseWriter> writer) override;
--- a/src/exchange/tests/fake_network.h
+++ b/src/exchange/tests/fake_network.h
@@ -78,7 +78,7 @@
   void TimeOut(const RpcPeer& peer, std::int64_t after_ms,
                const RpcDone& done) {
     ErrorDetail detail;
-    detail.id = ErrorId::kPeerSilent;
+    detail.id = ErrorId::kPeerTimeout;
     detail.peer = peer.name;
     const absl::Status status = MakeError(absl::StatusCode::kDeadlineExceeded,
                                           detail, "no answer in time");
--- a/src/exchange/tests/rpc_test.cc
+++ b/src/exchange/tests/rpc_test.cc
@@ -163,7 +163,7 @@
   const auto result =
       CallOnce(loop, client, {"reinosa-1", "127.0.0.1", silent.serverPort()},
                "echo", "{}", 100);
-  cr_assert(DetailOf(result.status()).id == ErrorId::kPeerSilent);
+  cr_assert(DetailOf(result.status()).id == ErrorId::kPeerTimeout);
 }
 
 Test(a_control_call, is_refused_if_too_many_are_in_progress) {
@@ -180,7 +180,7 @@
   }
   cr_assert(loop.Until([&] { return ends.size() == 3; }));
   cr_assert(ends.front() == ErrorId::kOverloaded);
-  cr_assert(ends.back() == ErrorId::kPeerSilent);
+  cr_assert(ends.back() == ErrorId::kPeerTimeout);
 }
 
 Test(a_peers_answer, that_is_not_json_rpc_is_an_error_of_the_peer) {
--- a/src/gateway/caller_stream.cc
+++ b/src/gateway/caller_stream.cc
@@ -110,7 +110,7 @@
   }
   if (this->mode == DeliveryMode::kJson) {
     this->ended = true;
-    WholeResponse response;
+    ServerResponse response;
     response.headers = {{"Meadowthread-Request", this->metadata.request}};
     response.body = this->format.FormatJson(this->text, finish_reason, usage);
     this->writer->SendWhole(response);
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -176,7 +176,7 @@
     status = this->deps.gate.BeginWork(caller->workspace);
   }
   const std::string id = NewRequestId();
-  writer->NameAnswer(id);
+  writer->SetRequestId(id);
   if (!status.ok()) {
     SendProblem(*writer, status, id);
     return;
@@ -210,7 +210,7 @@
                               std::unique_ptr<ResponseWriter> writer) {
   IncomingRequest incoming;
   incoming.start.request = NewRequestId();
-  writer->NameAnswer(incoming.start.request);
+  writer->SetRequestId(incoming.start.request);
   incoming.start.arrived_ms = this->deps.session.clock.WallMs();
   absl::Status status = this->CheckRequest(api, request, &incoming);
   if (status.ok()) {
@@ -358,7 +358,7 @@
     SendProblem(*writer, claims.status(), "");
     return;
   }
-  writer->NameAnswer(claims->request);
+  writer->SetRequestId(claims->request);
   const std::string last(FindHeader(request.headers, "Last-Event-ID"));
   std::int64_t last_index = -1;
   if (!last.empty() &&
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -23,7 +23,7 @@
   if (!close.may_have_left) {
     return AttemptFailure::kUnreachable;
   }
-  return DetailOf(close.status).id == ErrorId::kPeerSilent
+  return DetailOf(close.status).id == ErrorId::kPeerTimeout
              ? AttemptFailure::kNoProgress
              : AttemptFailure::kLost;
 }
--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -210,7 +210,7 @@
 void ServiceForwarder::SendResult(std::uint64_t number,
                                   const ClaimResult& answer) {
   PendingCall& call = *this->Find(number);
-  WholeResponse response;
+  ServerResponse response;
   response.http_status = answer.status;
   response.content_type = answer.content_type;
   response.headers = {{"Meadowthread-Request", call.id}};
--- a/src/gateway/tests/caller_request_test.cc
+++ b/src/gateway/tests/caller_request_test.cc
@@ -58,7 +58,7 @@
   problem.status =
       MakeError(absl::StatusCode::kResourceExhausted, detail, "full");
   problem.request = "r-1";
-  const WholeResponse response = ProblemResponse(problem);
+  const ServerResponse response = ProblemResponse(problem);
   const auto body = nlohmann::json::parse(response.body);
   cr_assert(response.http_status == 429);
   cr_assert(body["code"] == 201);
--- a/src/hosts/host_list.cc
+++ b/src/hosts/host_list.cc
@@ -44,7 +44,7 @@
   return FieldError(ErrorId::kFieldInvalid, "role", "is not a known role");
 }
 
-bool IsPort(std::int64_t port) { return port >= 0 && port <= kHighestPort; }
+bool IsPort(std::int64_t port) { return port >= 0 && port <= kMaxPortNumber; }
 
 absl::StatusOr<HostEntry> DecodeEntry(std::string_view text) {
   const absl::StatusOr<json> parsed = ParseObject(text, kStep, kPeer);
--- a/src/hosts/host_list_poller.cc
+++ b/src/hosts/host_list_poller.cc
@@ -30,7 +30,7 @@
   request.url = this->url;
   request.total_timeout_ms = kTimeoutMs;
   Fetch(this->client, request, kMaxAnswerBytes,
-        [this](const HttpFetched& fetched) {
+        [this](const FetchResult& fetched) {
           this->OnFetched(fetched);
           this->scheduler.After(this->period_ms, [this] { this->Poll(); });
         });
@@ -38,7 +38,7 @@
 
 // If the list cannot be read, the last one stays in use. It may be out of date
 // anyway, and hosts are asked directly for what it lacks.
-void HostListPoller::OnFetched(const HttpFetched& fetched) {
+void HostListPoller::OnFetched(const FetchResult& fetched) {
   absl::Status status = fetched.end.status;
   if (status.ok() && fetched.response.http_status != http_code::kOk) {
     status = absl::UnavailableError(
--- a/src/hosts/host_list_poller.h
+++ b/src/hosts/host_list_poller.h
@@ -24,7 +24,7 @@
 
  private:
   void Poll();
-  void OnFetched(const HttpFetched& fetched);
+  void OnFetched(const FetchResult& fetched);
   void LogSkippedEntries(const HostList& list);
 
   HttpClient& client;
--- a/src/net/client_connection.cc
+++ b/src/net/client_connection.cc
@@ -100,14 +100,14 @@
     : owner(owner),
       peer(std::move(peer)),
       socket(std::move(socket)),
-      reader(MessageKind::kAnswer, kHeadLimit) {
+      reader(MessageKind::kResponse, kHeadLimit) {
   this->socket->SetHandler(this);
 }
 
 void ClientConnection::Begin(HttpCallId for_call, const HttpRequest& request,
                              const UrlParts& url) {
   this->call = for_call;
-  this->echo = request.answer_echo;
+  this->echo = request.response_echo;
   this->head_told = false;
   this->discarding = false;
   this->answered = false;
@@ -201,7 +201,7 @@
   const bool reusable = !by_close && head.keep_alive && !head.until_close &&
                         this->socket->PendingBytes() == 0 &&
                         this->reader.RestBytes() == 0;
-  HttpEnd end;
+  HttpCallResult end;
   end.http_status = this->http_status;
   end.request_may_have_left = true;
   end.ended_by_close = by_close;
@@ -235,14 +235,14 @@
   detail.peer = this->peer.authority;
   const bool left = this->MayHaveSentBytes();
   detail.step = left ? "read-answer" : "connect";
-  HttpEnd end;
+  HttpCallResult end;
   end.http_status = this->http_status;
   end.request_may_have_left = left;
   end.status = MakeError(absl::StatusCode::kUnavailable, detail, what);
   this->ReportEnd(end, false);
 }
 
-void ClientConnection::ReportEnd(const HttpEnd& end, bool reusable) {
+void ClientConnection::ReportEnd(const HttpCallResult& end, bool reusable) {
   ExchangeEnd told;
   told.end = end;
   told.answered = this->answered;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -33,7 +33,7 @@
 
 /// @brief How one request/response exchange on a connection ended.
 struct ExchangeEnd {
-  HttpEnd end;
+  HttpCallResult end;
   bool answered = false;  ///< at least one byte of a response was received
   bool reusable = false;
 };
@@ -102,7 +102,7 @@
   bool ReportHead();
   bool IsForeignResponse(const MessageHead& head) const;
   void FinishResponse(bool by_close);
-  void ReportEnd(const HttpEnd& end, bool reusable);
+  void ReportEnd(const HttpCallResult& end, bool reusable);
   bool MayHaveSentBytes() const;
 
   ExchangeObserver& owner;
--- a/src/net/fetch.cc
+++ b/src/net/fetch.cc
@@ -12,7 +12,7 @@
 class FetchHandler final : public HttpHandler {
  public:
   FetchHandler(HttpClient& client, std::size_t limit_bytes,
-               std::function<void(const HttpFetched&)> done)
+               std::function<void(const FetchResult&)> done)
       : client(client), limit_bytes(limit_bytes), done(std::move(done)) {}
 
   void Start(const HttpRequest& request) {
@@ -32,7 +32,7 @@
       return;
     }
     this->client.Cancel(this->call);
-    HttpEnd end;
+    HttpCallResult end;
     end.http_status = this->fetched.response.http_status;
     end.request_may_have_left = true;
     ErrorDetail detail;
@@ -44,7 +44,7 @@
     this->OnEnd(end);
   }
 
-  void OnEnd(const HttpEnd& end) override {
+  void OnEnd(const HttpCallResult& end) override {
     const std::unique_ptr<FetchHandler> owner(this);
     this->fetched.end = end;
     this->done(this->fetched);
@@ -53,17 +53,17 @@
  private:
   HttpClient& client;
   std::size_t limit_bytes;
-  std::function<void(const HttpFetched&)> done;
+  std::function<void(const FetchResult&)> done;
   std::string url;
   HttpCallId call = 0;
-  HttpFetched fetched;
+  FetchResult fetched;
 };
 
 }  // namespace
 
 void Fetch(HttpClient& client, const HttpRequest& request,
            std::size_t limit_bytes,
-           const std::function<void(const HttpFetched&)>& done) {
+           const std::function<void(const FetchResult&)>& done) {
   auto handler = std::make_unique<FetchHandler>(client, limit_bytes, done);
   handler.release()->Start(request);
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -38,13 +38,13 @@
   std::int64_t reuse_idle_ms = 8'000;
   /// A header that the response echoes. A response with another value belongs
   /// to another request and is discarded. An empty name turns the check off.
-  HttpHeader answer_echo;
+  HttpHeader response_echo;
 };
 
 /// @brief How an HTTP call ended.
-struct HttpEnd {
+struct HttpCallResult {
   /// OK if the complete response was received; otherwise kConnectFailed
-  /// (nothing was sent), kConnectionLost, kPeerSilent or kPeerMalformed, with
+  /// (nothing was sent), kConnectionLost, kPeerTimeout or kPeerMalformed, with
   /// step and peer.
   absl::Status status;
   int http_status = 0;  ///< 0 if no response head was received
@@ -66,7 +66,7 @@
   virtual void OnData(std::string_view data) = 0;
 
   /// @brief The call ended; this is the last callback. Not called after Cancel.
-  virtual void OnEnd(const HttpEnd& end) = 0;
+  virtual void OnEnd(const HttpCallResult& end) = 0;
 };
 
 /// @brief Identifies a call in progress; 0 is never used.
@@ -98,8 +98,8 @@
 
 /// @brief The result of Fetch; `response` is complete only if `end.status` is
 /// OK.
-struct HttpFetched {
-  HttpEnd end;
+struct FetchResult {
+  HttpCallResult end;
   HttpResponse response;
 };
 
@@ -109,7 +109,7 @@
 /// @param[in] done called once, on the event loop
 void Fetch(HttpClient& client, const HttpRequest& request,
            std::size_t limit_bytes,
-           const std::function<void(const HttpFetched&)>& done);
+           const std::function<void(const FetchResult&)>& done);
 
 /// @brief The value of a header; empty if there is none.
 std::string_view FindHeader(std::span<const HttpHeader> headers,
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -98,8 +98,8 @@
   void CloseAll();
   void SetLimits(const ServerLimits& with) { this->limits = with; }
   std::size_t Count() const { return this->connections.size(); }
-  std::size_t Owed() const;
-  std::int64_t AnswersCut() const { return this->answers_cut; }
+  std::size_t UndeliveredCount() const;
+  std::int64_t InterruptedResponses() const { return this->answers_cut; }
 
   const ServerLimits& Limits() const override { return this->limits; }
   std::int64_t NowMs() const override { return this->clock.MonotonicMs(); }
@@ -235,7 +235,7 @@
   }
 }
 
-std::size_t ServerCore::Owed() const {
+std::size_t ServerCore::UndeliveredCount() const {
   return static_cast<std::size_t>(std::count_if(
       this->connections.begin(), this->connections.end(),
       [](const auto& entry) { return entry.second->HasUndelivered(); }));
@@ -269,8 +269,12 @@
 
 std::size_t HttpServer::Connections() const { return this->core->Count(); }
 
-std::int64_t HttpServer::AnswersCut() const { return this->core->AnswersCut(); }
+std::int64_t HttpServer::InterruptedResponses() const {
+  return this->core->InterruptedResponses();
+}
 
-std::size_t HttpServer::Owed() const { return this->core->Owed(); }
+std::size_t HttpServer::UndeliveredCount() const {
+  return this->core->UndeliveredCount();
+}
 
 }  // namespace meadowthread
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -91,13 +91,13 @@
 
   /// @brief Number of connections that were broken before their response was
   /// delivered.
-  std::int64_t AnswersCut() const;
+  std::int64_t InterruptedResponses() const;
 
   /// @brief Number of connections with an unfinished request or an undelivered
   /// response. A response counts until the client's kernel has acknowledged it.
   /// If the process exits before this is zero, delivery is left to its kernel.
   /// @complexity one query of the kernel's queues per idle connection
-  std::size_t Owed() const;
+  std::size_t UndeliveredCount() const;
 
  private:
   std::unique_ptr<detail::ServerCore> core;
--- a/src/net/listen_check.cc
+++ b/src/net/listen_probe.cc
@@ -1,4 +1,4 @@
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 
 #include <QHostAddress>
 #include <QTcpSocket>
@@ -15,27 +15,27 @@
 /// @brief One test connection; deletes itself when it has a result.
 class PendingCheck final : public QObject {
  public:
-  PendingCheck(const ListenCheck::Done& done, QObject* owner)
+  PendingCheck(const ListenProbe::Done& done, QObject* owner)
       : QObject(owner), done(done) {
     QObject::connect(&this->socket, &QTcpSocket::connected, this,
-                     [this] { this->Finish(ListenState::kListens); });
+                     [this] { this->Finish(ListenProbeResult::kListens); });
     QObject::connect(
         &this->socket, &QTcpSocket::errorOccurred, this,
         [this](QAbstractSocket::SocketError error) {
           this->Finish(error == QAbstractSocket::ConnectionRefusedError
-                           ? ListenState::kRefused
-                           : ListenState::kSilent);
+                           ? ListenProbeResult::kRefused
+                           : ListenProbeResult::kSilent);
         });
   }
 
   void Begin(const QUrl& to, std::int64_t limit_ms) {
     QTimer::singleShot(std::chrono::milliseconds(limit_ms), this,
-                       [this] { this->Finish(ListenState::kSilent); });
+                       [this] { this->Finish(ListenProbeResult::kSilent); });
     this->socket.connectToHost(QHostAddress(to.host()),
                                static_cast<quint16>(to.port()));
   }
 
-  void Finish(ListenState state) {
+  void Finish(ListenProbeResult state) {
     if (!std::exchange(this->finished, true)) {
       this->socket.abort();
       this->deleteLater();
@@ -44,20 +44,20 @@
   }
 
  private:
-  ListenCheck::Done done;
+  ListenProbe::Done done;
   QTcpSocket socket;
   bool finished = false;
 };
 
 }  // namespace
 
-std::string_view ListenStateName(ListenState state) {
+std::string_view ListenProbeResultName(ListenProbeResult state) {
   switch (state) {
-    case ListenState::kListens:
+    case ListenProbeResult::kListens:
       return "listens";
-    case ListenState::kRefused:
+    case ListenProbeResult::kRefused:
       return "refused";
-    case ListenState::kSilent:
+    case ListenProbeResult::kSilent:
       return "silent";
   }
   return "silent";
@@ -65,7 +65,7 @@
 
 // Starts in the next turn of the event loop, so that `done` is never called
 // from within Ask.
-void QtListenCheck::Ask(std::string_view address, std::int64_t limit_ms,
+void QtListenProbe::Ask(std::string_view address, std::int64_t limit_ms,
                         const Done& done) {
   auto* const check = new PendingCheck(done, &this->owner);  // deletes itself
   const bool is_address = IsIpAndPort(address);
@@ -75,7 +75,7 @@
     if (is_address) {
       check->Begin(to, limit_ms);
     } else {
-      check->Finish(ListenState::kSilent);
+      check->Finish(ListenProbeResult::kSilent);
     }
   });
 }
--- a/src/net/listen_check.h
+++ b/src/net/listen_probe.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_NET_LISTEN_CHECK_H_
-#define MEADOWTHREAD_NET_LISTEN_CHECK_H_
+#ifndef MEADOWTHREAD_NET_LISTEN_PROBE_H_
+#define MEADOWTHREAD_NET_LISTEN_PROBE_H_
 
 #include <QObject>
 #include <cstdint>
@@ -9,22 +9,22 @@
 namespace meadowthread {
 
 /// @brief Result of a test connection.
-enum class ListenState {
+enum class ListenProbeResult {
   kListens,
   kRefused,  ///< the machine is up, but no process listens on the port
   kSilent,   ///< no reply within the time limit
 };
 
 /// @brief The state's name in log lines.
-std::string_view ListenStateName(ListenState state);
+std::string_view ListenProbeResultName(ListenProbeResult state);
 
 /// @brief Checks whether a process listens on an address by opening a
 /// connection and closing it immediately, without sending anything.
-class ListenCheck {
+class ListenProbe {
  public:
-  using Done = std::function<void(ListenState)>;
+  using Done = std::function<void(ListenProbeResult)>;
 
-  virtual ~ListenCheck() = default;
+  virtual ~ListenProbe() = default;
 
   /// @param[in] address IP:PORT
   /// @param[in] limit_ms longest wait
@@ -33,8 +33,8 @@
                    const Done& done) = 0;
 };
 
-/// @brief A ListenCheck that uses Qt's sockets.
-class QtListenCheck final : public ListenCheck {
+/// @brief A ListenProbe that uses Qt's sockets.
+class QtListenProbe final : public ListenProbe {
  public:
   void Ask(std::string_view address, std::int64_t limit_ms,
            const Done& done) override;
@@ -46,4 +46,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_NET_LISTEN_CHECK_H_
+#endif  // MEADOWTHREAD_NET_LISTEN_PROBE_H_
--- a/src/net/message_reader.h
+++ b/src/net/message_reader.h
@@ -32,7 +32,7 @@
 enum class ReadState { kMore, kWhole, kMalformed, kHeadTooLarge };
 
 /// @brief Whether requests or responses are read.
-enum class MessageKind { kRequest, kAnswer };
+enum class MessageKind { kRequest, kResponse };
 
 namespace detail {
 class MessageParser;
--- a/src/net/pooled_client.cc
+++ b/src/net/pooled_client.cc
@@ -45,7 +45,7 @@
   HttpCallId Start(const HttpRequest& request, HttpHandler* handler);
   void Cancel(HttpCallId id);
   void SetPaused(HttpCallId id, bool paused);
-  void DropResting(std::string_view peer);
+  void CloseIdle(std::string_view peer);
   const ClientStats& Stats() const { return this->stats; }
 
   void OnExchangeHead(ClientConnection& from, int http_status,
@@ -76,7 +76,7 @@
   absl::StatusOr<std::unique_ptr<StreamSocket>> Connect(const UrlParts& url);
   void KeepIdle(std::unique_ptr<ClientConnection> connection);
   void DestroyLater(std::unique_ptr<ClientConnection> connection);
-  void EndCall(HttpCallId id, const HttpEnd& end);
+  void EndCall(HttpCallId id, const HttpCallResult& end);
   void FailCallLater(HttpCallId id, const absl::Status& status);
   void CheckTimeouts();
   void CheckCall(const Call& call, std::int64_t now_ms);
@@ -176,7 +176,7 @@
 
 void ClientCore::FailCallLater(HttpCallId id, const absl::Status& status) {
   QTimer::singleShot(0, &this->check_timer, [this, id, status] {
-    HttpEnd end;
+    HttpCallResult end;
     end.status = status;
     this->EndCall(id, end);
   });
@@ -195,7 +195,7 @@
   this->calls.erase(found);
 }
 
-void ClientCore::EndCall(HttpCallId id, const HttpEnd& end) {
+void ClientCore::EndCall(HttpCallId id, const HttpCallResult& end) {
   const auto found = this->calls.find(id);
   if (found == this->calls.end()) {
     return;
@@ -240,7 +240,7 @@
   }
 }
 
-void ClientCore::DropResting(std::string_view peer) {
+void ClientCore::CloseIdle(std::string_view peer) {
   const auto found = this->idle.find(std::string(peer));
   if (found == this->idle.end()) {
     return;
@@ -304,7 +304,7 @@
 }
 
 void ClientCore::OnForeignResponse(ClientConnection& /*from*/) {
-  ++this->stats.answers_passed;
+  ++this->stats.foreign_responses;
 }
 
 void ClientCore::SetPaused(HttpCallId id, bool paused) {
@@ -353,10 +353,10 @@
     call.connection->Fail(ErrorId::kConnectFailed, "connecting took too long");
   } else if (request.total_timeout_ms > 0 &&
              age_ms >= request.total_timeout_ms) {
-    call.connection->Fail(ErrorId::kPeerSilent, "the call took too long");
+    call.connection->Fail(ErrorId::kPeerTimeout, "the call took too long");
   } else if (request.idle_timeout_ms > 0 && !call.paused &&
              silence_ms >= request.idle_timeout_ms) {
-    call.connection->Fail(ErrorId::kPeerSilent,
+    call.connection->Fail(ErrorId::kPeerTimeout,
                           "the peer sent nothing within the idle timeout");
   }
 }
@@ -397,8 +397,8 @@
   this->core->SetPaused(call, paused);
 }
 
-void PooledClient::DropResting(std::string_view peer) {
-  this->core->DropResting(peer);
+void PooledClient::CloseIdle(std::string_view peer) {
+  this->core->CloseIdle(peer);
 }
 
 const ClientStats& PooledClient::Stats() const { return this->core->Stats(); }
--- a/src/net/pooled_client.h
+++ b/src/net/pooled_client.h
@@ -18,7 +18,7 @@
   std::int64_t connects = 0;  ///< connection attempts
   std::int64_t reuses = 0;    ///< calls sent on a pooled connection
   std::int64_t resent = 0;    ///< requests that were resent
-  std::int64_t answers_passed =
+  std::int64_t foreign_responses =
       0;  ///< responses discarded because they belonged to another request
 };
 
@@ -39,7 +39,7 @@
 
   /// @brief Closes the idle connections to a peer whose process has ended.
   /// @param[in] peer IP:PORT
-  void DropResting(std::string_view peer);
+  void CloseIdle(std::string_view peer);
 
   const ClientStats& Stats() const;
 
--- a/src/net/problem.cc
+++ b/src/net/problem.cc
@@ -47,7 +47,7 @@
     case ErrorId::kUnknownModel:
     case ErrorId::kNotFound:
       return 404;
-    case ErrorId::kBodyLate:
+    case ErrorId::kBodyTimeout:
       return 408;
     case ErrorId::kClaimHeld:
     case ErrorId::kIdempotencyKeyExpired:
@@ -58,7 +58,7 @@
     case ErrorId::kBodyTooLarge:
       return 413;
     case ErrorId::kOwnedElsewhere:
-    case ErrorId::kOutsideHomes:
+    case ErrorId::kOutsideAllowedRegions:
       return 421;
     case ErrorId::kIdempotencyKeyReused:
       return 422;
@@ -71,7 +71,7 @@
     case ErrorId::kPeerMalformed:
       return 502;
     case ErrorId::kDeadlinePassed:
-    case ErrorId::kPeerSilent:
+    case ErrorId::kPeerTimeout:
       return 504;
     case ErrorId::kInternal:
       return 500;
@@ -112,9 +112,9 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-WholeResponse ProblemResponse(const Problem& problem) {
+ServerResponse ProblemResponse(const Problem& problem) {
   const ErrorDetail detail = DetailOf(problem.status);
-  WholeResponse response;
+  ServerResponse response;
   response.http_status = HttpStatusOf(detail.id);
   response.content_type = "application/problem+json";
   response.body = ProblemJson(problem);
--- a/src/net/problem.h
+++ b/src/net/problem.h
@@ -27,7 +27,7 @@
 
 /// @brief The complete response for a problem, with Retry-After if the error
 /// has a retry time.
-WholeResponse ProblemResponse(const Problem& problem);
+ServerResponse ProblemResponse(const Problem& problem);
 
 }  // namespace meadowthread
 
--- a/src/net/response_writer.cc
+++ b/src/net/response_writer.cc
@@ -19,7 +19,7 @@
   }
 }
 
-void ResponseWriter::SendWhole(const WholeResponse& response) {
+void ResponseWriter::SendWhole(const ServerResponse& response) {
   const auto to = this->connection.lock();
   if (to == nullptr || this->ended || this->started) {
     return;
@@ -32,7 +32,7 @@
   head.headers.insert(head.headers.end(), response.headers.begin(),
                       response.headers.end());
   head.content_length = response.body.size();
-  this->StartAnswer(head);
+  this->StartResponse(head);
   this->Write(response.body);
   this->FinishStream();
 }
@@ -44,10 +44,10 @@
   head.headers.push_back({"Content-Type", std::string(content_type)});
   head.headers.push_back({"Cache-Control", "no-store"});
   head.headers.insert(head.headers.end(), headers.begin(), headers.end());
-  this->StartAnswer(head);
+  this->StartResponse(head);
 }
 
-void ResponseWriter::StartAnswer(const ResponseHead& head) {
+void ResponseWriter::StartResponse(const ResponseHead& head) {
   const auto to = this->connection.lock();
   if (to == nullptr || this->ended || this->started) {
     return;
@@ -101,9 +101,9 @@
   }
 }
 
-void ResponseWriter::NameAnswer(std::string_view request) {
+void ResponseWriter::SetRequestId(std::string_view request) {
   if (const auto to = this->connection.lock()) {
-    to->NameAnswer(request);
+    to->SetRequestId(request);
   }
 }
 
--- a/src/net/response_writer.h
+++ b/src/net/response_writer.h
@@ -19,7 +19,7 @@
 }  // namespace detail
 
 /// @brief A complete response to send: status, headers and body.
-struct WholeResponse {
+struct ServerResponse {
   int http_status = 200;
   std::string content_type = "application/json";
   std::vector<HttpHeader> headers;
@@ -51,14 +51,14 @@
   /////////////////////
 
   /// @brief Sends a complete response; nothing may be written afterwards.
-  void SendWhole(const WholeResponse& response);
+  void SendWhole(const ServerResponse& response);
 
   /// @brief Sends the head of a streamed response with Cache-Control: no-store.
   void StartStream(int http_status, std::string_view content_type,
                    std::span<const HttpHeader> headers);
 
   /// @brief Sends a response head as given, such as that of a relayed response.
-  void StartAnswer(const ResponseHead& head);
+  void StartResponse(const ResponseHead& head);
 
   /// @brief Appends to the response body.
   void Write(std::string_view data);
@@ -76,7 +76,7 @@
   /////////////////////////////////
 
   /// @brief Sets the request id that log lines about this response show.
-  void NameAnswer(std::string_view request);
+  void SetRequestId(std::string_view request);
 
   /// @brief Bytes written that the kernel has not accepted yet.
   std::int64_t PendingBytes() const;
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -498,7 +498,7 @@
   const std::int64_t limit =
       this->head_taken ? limits.body_timeout_ms : limits.header_timeout_ms;
   if (now_ms - this->begun_ms > limit) {
-    this->Reject({ErrorId::kBodyLate,
+    this->Reject({ErrorId::kBodyTimeout,
                   "the request was not received completely in time"});
   }
 }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -76,7 +76,7 @@
   void SetOnClosed(std::function<void()> told);
   void SetOnDrained(std::function<void()> told);
   /// @brief Sets the request id for log lines about this response.
-  void NameAnswer(std::string_view request) { this->request_id = request; }
+  void SetRequestId(std::string_view request) { this->request_id = request; }
 
   ///////////////////////
   // Called by the server
--- a/src/net/tests/closing_test.cc
+++ b/src/net/tests/closing_test.cc
@@ -11,13 +11,13 @@
 
 #include "net/http_server.h"
 #include "net/tests/raw_peer.h"
-#include "net/tests/slow_caller.h"
+#include "net/tests/slow_client.h"
 
 namespace meadowthread {
 namespace {
 
 using tests::Loop;
-using tests::SlowCaller;
+using tests::SlowClient;
 
 constexpr std::size_t kShort = 100;
 // More than the kernel buffers for one connection.
@@ -54,14 +54,14 @@
   bool IsServed(int times) {
     return this->loop.Until([&] { return this->service.served == times; });
   }
-  bool HasAnswers(const SlowCaller& caller, int count) {
+  bool HasAnswers(const SlowClient& caller, int count) {
     return this->loop.Until([&] {
       int ends = 0;
       for (std::size_t at = caller.Got().find("aend"); at != std::string::npos;
            at = caller.Got().find("aend", at + 1)) {
         ++ends;
       }
-      return ends == count || caller.Ended() != SlowCaller::End::kOpen;
+      return ends == count || caller.Ended() != SlowClient::End::kOpen;
     }) && caller.Got().ends_with("aend");
   }
   /// @brief Busy-waits until what a client has just sent is in the server's
@@ -80,17 +80,17 @@
 
 Test(a_request_that_came_before_the_close, counts_as_undelivered) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
   f.WaitForArrival();
-  cr_assert(f.server->Owed() == 1);
+  cr_assert(f.server->UndeliveredCount() == 1);
 }
 
 Test(a_request_that_came_before_the_close, is_answered) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
@@ -103,37 +103,37 @@
 Test(a_request_on_a_new_connection, is_answered_while_a_server_closes) {
   Fixture f;
   f.server->CloseConnections();
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
 }
 
 Test(a_request_that_nobody_read, is_reset_when_its_server_goes) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   caller.Read(kAll);
   cr_assert(f.HasAnswers(caller, 1));
   caller.Send(tests::BytesOf(f.request));
   f.WaitForArrival();
   f.server.reset();
   cr_assert(
-      f.loop.Until([&] { return caller.Ended() != SlowCaller::End::kOpen; }));
-  cr_assert(caller.Ended() == SlowCaller::End::kReset);
+      f.loop.Until([&] { return caller.Ended() != SlowClient::End::kOpen; }));
+  cr_assert(caller.Ended() == SlowClient::End::kReset);
 }
 
 Test(a_connection_without_a_request, does_not_count_as_undelivered) {
   Fixture f;
   f.server->CloseConnections();
   HttpRequest silent = f.request;
-  SlowCaller caller(silent, SlowCaller::Sends::kNothing);
+  SlowClient caller(silent, SlowClient::Sends::kNothing);
   cr_assert(f.loop.Until([&] { return f.server->Connections() == 1; }));
-  cr_assert(f.server->Owed() == 0);
+  cr_assert(f.server->UndeliveredCount() == 0);
 }
 
 Test(a_response_written_in_the_last_event_loop_turn, reaches_its_caller) {
   Fixture f;
   f.service.keeps = true;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed(1));
   f.service.kept->SendWhole({200, "text/plain", {}, "aend"});
   f.server.reset();
@@ -144,7 +144,7 @@
 Test(a_caller_that_has_finished_sending, gets_what_is_written) {
   Fixture f;
   f.service.bytes = kLong;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed(1));
   caller.FinishSending();
   f.WaitForArrival();
@@ -156,7 +156,7 @@
      is_taken_for_disconnected_while_it_waits) {
   Fixture f;
   f.service.keeps = true;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed(1));
   caller.FinishSending();
   cr_assert(f.loop.Until([&] { return f.service.kept->IsClosed(); }));
--- a/src/net/tests/delivery_test.cc
+++ b/src/net/tests/delivery_test.cc
@@ -8,15 +8,15 @@
 #include <memory>
 
 #include "net/http_server.h"
-#include "net/tests/played_connection.h"
 #include "net/tests/raw_peer.h"
-#include "net/tests/slow_caller.h"
+#include "net/tests/server_connection_harness.h"
+#include "net/tests/slow_client.h"
 
 namespace meadowthread {
 namespace {
 
 using tests::Loop;
-using tests::SlowCaller;
+using tests::SlowClient;
 
 constexpr std::size_t kAnswerBytes = 80'000;
 constexpr std::int64_t kNotReadingMs = 9'000;
@@ -44,11 +44,11 @@
   bool IsServed(int times = 1) {
     return this->loop.Until([&] { return this->service.served == times; });
   }
-  bool IsOver(const SlowCaller& caller) {
+  bool IsOver(const SlowClient& caller) {
     return this->loop.Until(
-        [&] { return caller.Ended() != SlowCaller::End::kOpen; });
+        [&] { return caller.Ended() != SlowClient::End::kOpen; });
   }
-  static bool HasAll(const SlowCaller& caller) {
+  static bool HasAll(const SlowClient& caller) {
     return caller.Got().ends_with("aend") && caller.Got().size() > kAnswerBytes;
   }
 
@@ -61,7 +61,7 @@
 Test(a_slow_caller, gets_the_whole_last_answer_of_its_connection) {
   Fixture f;
   f.request.headers = {{"Connection", "close"}};
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
   // 40 kB/s: takes two seconds
   caller.Read(400);
@@ -74,7 +74,7 @@
 Test(a_slow_caller, gets_a_whole_answer_that_its_kernel_takes_for_long) {
   Fixture f;
   f.request.headers = {{"Connection", "close"}};
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
   // 8 kB/s: takes ten seconds
   caller.Read(80);
@@ -86,19 +86,19 @@
 // those of clients that answered every probe; one got 2,048 of 80 kB.
 Test(a_slow_caller, that_does_not_read_for_nine_seconds_gets_its_answer) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
   f.loop.Until([] { return false; }, kNotReadingMs);
   caller.Read(20'000);
   cr_assert(f.loop.Until([&] {
-    return Fixture::HasAll(caller) || caller.Ended() != SlowCaller::End::kOpen;
+    return Fixture::HasAll(caller) || caller.Ended() != SlowClient::End::kOpen;
   }));
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
 }
 
 // Keeps the writer, so that the test decides when to respond.
-struct PlayedAnswer final : public testing::PlayedConnection {
-  using PlayedConnection::PlayedConnection;
+struct PlayedAnswer final : public testing::ServerConnectionHarness {
+  using ServerConnectionHarness::ServerConnectionHarness;
   void Serve(const ServerRequest&,
              std::unique_ptr<ResponseWriter> with) override {
     this->writer = std::move(with);
@@ -158,45 +158,45 @@
 
 Test(a_server, counts_a_response_as_undelivered_until_its_caller_has_it) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
-  cr_assert(f.server->Owed() == 1);
+  cr_assert(f.server->UndeliveredCount() == 1);
   caller.Read(20'000);
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 0; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 0; }));
   cr_assert(f.loop.Until([&] { return Fixture::HasAll(caller); }));
-  cr_assert(caller.Ended() == SlowCaller::End::kOpen);
+  cr_assert(caller.Ended() == SlowClient::End::kOpen);
 }
 
 Test(a_server, counts_a_partly_received_request_as_undelivered) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   caller.Read(20'000);
   cr_assert(f.IsServed());
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 0; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 0; }));
   caller.Send("GET /second HTTP/1.1\r\n");
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 1; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 1; }));
   caller.Send("Host: a\r\n\r\n");
   cr_assert(f.IsServed(2));
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 0; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 0; }));
 }
 
 Test(a_destroyed_server, leaves_its_answers_to_the_kernel) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 1; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 1; }));
   f.server.reset();
   caller.Read(20'000);
   cr_assert(f.IsOver(caller));
   cr_assert(Fixture::HasAll(caller), "%zu bytes came", caller.Got().size());
-  cr_assert(caller.Ended() == SlowCaller::End::kFinished);
+  cr_assert(caller.Ended() == SlowClient::End::kFinished);
 }
 
 Test(a_destroyed_server, does_so_also_if_its_caller_has_sent_more) {
   Fixture f;
-  SlowCaller caller(f.request);
+  SlowClient caller(f.request);
   cr_assert(f.IsServed());
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 1; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 1; }));
   caller.Send("GET /next HTTP/1.1\r\nHost: a\r\n\r\n");
   f.server.reset();
   caller.Read(20'000);
@@ -208,11 +208,11 @@
      is_not_counted_as_an_interrupted_response) {
   Fixture f;
   {
-    const SlowCaller caller(f.request);
+    const SlowClient caller(f.request);
     cr_assert(f.IsServed());
   }
   cr_assert(f.loop.Until([&] { return f.server->Connections() == 0; }));
-  cr_assert(f.server->AnswersCut() == 0);
+  cr_assert(f.server->InterruptedResponses() == 0);
 }
 
 }  // namespace
--- a/src/net/tests/http_server_test.cc
+++ b/src/net/tests/http_server_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 using tests::Loop;
-using tests::RawCaller;
+using tests::RawClient;
 
 // Echoes the request; for paths under /held it keeps the writer instead.
 struct Echo final : public HttpService {
@@ -22,7 +22,7 @@
       this->held.push_back(std::move(writer));
       return;
     }
-    WholeResponse response;
+    ServerResponse response;
     response.content_type = "text/plain";
     response.body = request.method + " " + request.target + " " + request.body;
     writer->SendWhole(response);
@@ -44,7 +44,7 @@
 
 std::string Refused(const std::string& bytes) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(bytes);
   cr_assert(f.loop.Until([&] { return caller.Closed(); }), "%s", bytes.c_str());
   cr_assert(f.echo.requests.empty(), "it was served: %s", bytes.c_str());
@@ -53,7 +53,7 @@
 
 Test(a_request, reaches_the_service_byte_for_byte) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(
       "PATCHY /a/%41%2f/c|d?x=%7e&y=%20 HTTP/1.1\r\nhOsT: a\r\n"
       "X-Odd:  two  blanks \r\nContent-Length: 3\r\n\r\nabc");
@@ -69,7 +69,7 @@
 
 Test(a_request, in_chunks_is_put_together_without_its_trailers) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(
       "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3;ext=1\r\nabc\r\n2\r\nde\r\n0\r\nAuthorization: forged\r\n\r\n");
@@ -107,7 +107,7 @@
 
 Test(a_request, hidden_in_the_body_of_another_is_never_served) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
   caller.Send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: " +
               std::to_string(hidden.size()) + "\r\n\r\n" + hidden);
@@ -118,7 +118,7 @@
 
 Test(a_request, with_expect_100_continue_gets_an_interim_response) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(
       "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
       "Content-Length: 2\r\n\r\n");
@@ -130,7 +130,7 @@
 
 Test(a_connection, serves_pipelined_requests_one_after_the_other) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(
       "GET /held HTTP/1.1\r\nHost: a\r\n\r\n"
       "GET /second HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -143,7 +143,7 @@
 
 Test(a_connection, is_closed_where_the_caller_asks_for_it) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   cr_assert(f.loop.Until([&] { return caller.Closed(); }));
   cr_assert(caller.Got().find("Connection: close\r\n") != std::string::npos);
@@ -151,7 +151,7 @@
 
 Test(a_connection, over_http_1_0_is_closed_after_its_response) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send("GET /held HTTP/1.0\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.echo.held.size() == 1; }));
   f.echo.held.at(0)->StartStream(200, "text/plain", {});
@@ -163,7 +163,7 @@
 
 Test(a_connection, that_closes_while_it_is_answered_is_told_once) {
   Fixture f;
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.echo.held.size() == 1; }));
   caller.Leave();
@@ -175,14 +175,14 @@
 Test(an_aborted_response, never_looks_complete) {
   for (const bool length_known : {false, true}) {
     Fixture f;
-    RawCaller caller(f.port);
+    RawClient caller(f.port);
     caller.Send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(f.loop.Until([&] { return f.echo.held.size() == 1; }));
     ResponseHead head;
     if (length_known) {
       head.content_length = 100;
     }
-    f.echo.held.at(0)->StartAnswer(head);
+    f.echo.held.at(0)->StartResponse(head);
     f.echo.held.at(0)->Write("half");
     f.echo.held.at(0)->Abort();
     cr_assert(f.loop.Until([&] { return caller.Closed(); }));
@@ -200,7 +200,7 @@
   limits.idle_timeout_ms = 50;
   const auto answer = [&limits](const std::string& bytes) {
     Fixture f(limits);
-    RawCaller caller(f.port);
+    RawClient caller(f.port);
     caller.Send(bytes);
     cr_assert(f.loop.Until([&] { return caller.Closed(); }));
     cr_assert(f.echo.requests.empty());
@@ -220,7 +220,7 @@
   ServerLimits limits;
   limits.max_held_bytes = 8;
   Fixture f(limits);
-  RawCaller caller(f.port);
+  RawClient caller(f.port);
   caller.Send(
       "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
       "123456789");
@@ -231,8 +231,8 @@
 
 Test(a_closing_server, closes_idle_connections_and_finishes_responses) {
   Fixture f;
-  RawCaller resting(f.port);
-  RawCaller busy(f.port);
+  RawClient resting(f.port);
+  RawClient busy(f.port);
   resting.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
   busy.Send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n");
   cr_assert(f.loop.Until(
--- a/src/net/tests/message_reader_test.cc
+++ b/src/net/tests/message_reader_test.cc
@@ -41,13 +41,13 @@
     const std::string answer =
         head + "T: " + std::string(length, 'x') + "\r\n\r\n";
     for (const std::size_t step : {answer.size(), std::size_t{1}}) {
-      cr_assert(Read(MessageKind::kAnswer, answer, step) ==
+      cr_assert(Read(MessageKind::kResponse, answer, step) ==
                 ReadState::kMalformed);
     }
   }
   const std::string proper = head + "T: short\r\n\r\n";
   for (const std::size_t step : {proper.size(), std::size_t{1}}) {
-    cr_assert(Read(MessageKind::kAnswer, proper, step) == ReadState::kWhole);
+    cr_assert(Read(MessageKind::kResponse, proper, step) == ReadState::kWhole);
   }
 }
 
@@ -56,7 +56,7 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;e=" +
       std::string(100, 'x') + "\r\na\r\n0\r\n\r\n";
   for (const std::size_t step : {answer.size(), std::size_t{1}}) {
-    cr_assert(Read(MessageKind::kAnswer, answer, step) ==
+    cr_assert(Read(MessageKind::kResponse, answer, step) ==
               ReadState::kMalformed);
   }
 }
--- a/src/net/tests/pooled_client_test.cc
+++ b/src/net/tests/pooled_client_test.cc
@@ -40,10 +40,10 @@
   socket.abort();
 }
 
-HttpFetched Ask(Loop& loop, PooledClient& client, const HttpRequest& request) {
-  std::optional<HttpFetched> got;
+FetchResult Ask(Loop& loop, PooledClient& client, const HttpRequest& request) {
+  std::optional<FetchResult> got;
   Fetch(client, request, 1'000'000,
-        [&got](const HttpFetched& fetched) { got = fetched; });
+        [&got](const FetchResult& fetched) { got = fetched; });
   cr_assert(loop.Until([&got] { return got.has_value(); }));
   return *got;
 }
@@ -116,8 +116,8 @@
   request.reuse_idle_ms = 5'000;
   Ask(loop, client, request);
   const std::string url = server.Url("");
-  client.DropResting(url.substr(std::string("http://").size()));
-  client.DropResting("10.0.0.1:80");
+  client.CloseIdle(url.substr(std::string("http://").size()));
+  client.CloseIdle("10.0.0.1:80");
   Ask(loop, client, request);
   cr_assert(client.Stats().reuses == 0 && client.Stats().connects == 2);
 }
@@ -141,10 +141,10 @@
       "HTTP/1.1 200 OK\r\nX-Id: new\r\nContent-Length: 3\r\n\r\nnew");
   PooledClient client;
   HttpRequest request = To(server);
-  request.answer_echo = {"X-Id", "new"};
-  const HttpFetched got = Ask(loop, client, request);
+  request.response_echo = {"X-Id", "new"};
+  const FetchResult got = Ask(loop, client, request);
   cr_assert(got.end.status.ok() && got.response.body == "new");
-  cr_assert(client.Stats().answers_passed == 1);
+  cr_assert(client.Stats().foreign_responses == 1);
 }
 
 Test(a_request_that_may_not_be_repeated, is_sent_once_whatever_its_end) {
@@ -164,12 +164,12 @@
   HttpRequest second = To(server, "/second");
   second.method = "POST";
   second.send_once = true;
-  const HttpFetched got = Ask(loop, client, second);
+  const FetchResult got = Ask(loop, client, second);
   cr_assert(!got.end.status.ok() && got.end.request_may_have_left);
   cr_assert(requests == 2);
   // A request that may be repeated is sent again on a new connection.
   cr_assert(Ask(loop, client, To(server, "/first")).end.status.ok());
-  const HttpFetched again = Ask(loop, client, To(server, "/second"));
+  const FetchResult again = Ask(loop, client, To(server, "/second"));
   cr_assert(!again.end.status.ok());
   cr_assert(client.Stats().resent == 1 && requests == 5);
 }
@@ -184,7 +184,7 @@
   }
   HttpRequest request;
   request.url = "http://127.0.0.1:" + std::to_string(port) + "/";
-  const HttpFetched got = Ask(loop, client, request);
+  const FetchResult got = Ask(loop, client, request);
   cr_assert(!got.end.request_may_have_left);
   cr_assert(DetailOf(got.end.status).id == ErrorId::kConnectFailed);
   request.url = "no url";
@@ -199,7 +199,7 @@
     Reset(socket);
   });
   PooledClient client;
-  const HttpFetched whole = Ask(loop, client, To(orderly));
+  const FetchResult whole = Ask(loop, client, To(orderly));
   cr_assert(whole.end.status.ok() && whole.end.ended_by_close);
   cr_assert(whole.response.body == "all");
   cr_assert(!Ask(loop, client, To(broken)).end.status.ok());
@@ -217,7 +217,7 @@
     const RawServer server = Answering(bytes, true);
     HttpRequest request = To(server);
     request.send_once = true;
-    const HttpFetched got = Ask(loop, client, request);
+    const FetchResult got = Ask(loop, client, request);
     cr_assert(!got.end.status.ok(), "%s", bytes);
     cr_assert(got.end.request_may_have_left, "%s", bytes);
   }
@@ -229,7 +229,7 @@
       "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   PooledClient client;
-  const HttpFetched got = Ask(loop, client, To(server));
+  const FetchResult got = Ask(loop, client, To(server));
   cr_assert(got.end.http_status == 200 && got.response.body == "ok");
 }
 
@@ -240,7 +240,7 @@
   PooledClient client;
   HttpRequest request = To(server);
   request.method = "HEAD";
-  const HttpFetched got = Ask(loop, client, request);
+  const FetchResult got = Ask(loop, client, request);
   cr_assert(got.end.status.ok() && got.response.body.empty());
 }
 
@@ -251,11 +251,11 @@
   HttpRequest request = To(server);
   request.total_timeout_ms = 80;
   cr_assert(DetailOf(Ask(loop, client, request).end.status).id ==
-            ErrorId::kPeerSilent);
+            ErrorId::kPeerTimeout);
   request.total_timeout_ms = 0;
   request.idle_timeout_ms = 80;
   cr_assert(DetailOf(Ask(loop, client, request).end.status).id ==
-            ErrorId::kPeerSilent);
+            ErrorId::kPeerTimeout);
 }
 
 Test(a_cancelled_call, closes_its_connection_and_tells_nothing) {
@@ -265,7 +265,7 @@
   struct Mute final : public HttpHandler {
     void OnHead(int, std::span<const HttpHeader>) override { ++this->told; }
     void OnData(std::string_view) override { ++this->told; }
-    void OnEnd(const HttpEnd&) override { ++this->told; }
+    void OnEnd(const HttpCallResult&) override { ++this->told; }
     int told = 0;
   } mute;
   const HttpCallId call = client.Start(To(server), &mute);
--- a/src/net/tests/raw_peer.h
+++ b/src/net/tests/raw_peer.h
@@ -36,9 +36,9 @@
 };
 
 /// @brief A client that sends raw bytes and collects what it receives.
-class RawCaller {
+class RawClient {
  public:
-  explicit RawCaller(std::uint16_t port) {
+  explicit RawClient(std::uint16_t port) {
     QObject::connect(&this->socket, &QTcpSocket::readyRead, [this] {
       this->got += this->socket.readAll().toStdString();
     });
--- a/src/net/tests/played_connection.h
+++ b/src/net/tests/server_connection_harness.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_NET_TESTS_PLAYED_CONNECTION_H_
-#define MEADOWTHREAD_NET_TESTS_PLAYED_CONNECTION_H_
+#ifndef MEADOWTHREAD_NET_TESTS_SERVER_CONNECTION_HARNESS_H_
+#define MEADOWTHREAD_NET_TESTS_SERVER_CONNECTION_HARNESS_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,11 +12,12 @@
 
 /// @brief A ServerConnection on a fake socket. The test acts as the client; a
 /// derived class implements the service.
-class PlayedConnection : public detail::ServerContext, public HttpService {
+class ServerConnectionHarness : public detail::ServerContext,
+                                public HttpService {
  public:
   /// @param[in] now_ms initial time of the fake clock, which Look sets
-  explicit PlayedConnection(const ServerLimits& with = {},
-                            std::int64_t now_ms = 0)
+  explicit ServerConnectionHarness(const ServerLimits& with = {},
+                                   std::int64_t now_ms = 0)
       : limits(with), now_ms(now_ms) {
     auto made = std::make_unique<Socket>(*this);
     this->connection =
@@ -59,7 +60,7 @@
  private:
   class Socket final : public StreamSocket {
    public:
-    explicit Socket(PlayedConnection& owner) : owner(owner) {}
+    explicit Socket(ServerConnectionHarness& owner) : owner(owner) {}
     void SetHandler(StreamSocketHandler*) override {}
     void Write(std::string_view bytes) override {
       this->owner.got.append(bytes);
@@ -77,7 +78,7 @@
     std::string Peer() const override { return "test"; }
 
    private:
-    PlayedConnection& owner;
+    ServerConnectionHarness& owner;
   };
 
   ServerLimits limits;
@@ -91,4 +92,4 @@
 
 }  // namespace meadowthread::testing
 
-#endif  // MEADOWTHREAD_NET_TESTS_PLAYED_CONNECTION_H_
+#endif  // MEADOWTHREAD_NET_TESTS_SERVER_CONNECTION_HARNESS_H_
--- a/src/net/tests/slow_caller.cc
+++ b/src/net/tests/slow_client.cc
@@ -1,4 +1,4 @@
-#include "net/tests/slow_caller.h"
+#include "net/tests/slow_client.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -41,7 +41,7 @@
   return bytes;
 }
 
-SlowCaller::SlowCaller(const HttpRequest& request, Sends sends,
+SlowClient::SlowClient(const HttpRequest& request, Sends sends,
                        int receive_bytes)
     : descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
   // Must be set before connecting, when the TCP window is announced.
@@ -61,15 +61,15 @@
   }
 }
 
-SlowCaller::~SlowCaller() { close(this->descriptor); }
+SlowClient::~SlowClient() { close(this->descriptor); }
 
-void SlowCaller::Send(const std::string& bytes) const {
+void SlowClient::Send(const std::string& bytes) const {
   send(this->descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL);
 }
 
-void SlowCaller::FinishSending() const { shutdown(this->descriptor, SHUT_WR); }
+void SlowClient::FinishSending() const { shutdown(this->descriptor, SHUT_WR); }
 
-void SlowCaller::Read(std::size_t bytes_per_10_ms) {
+void SlowClient::Read(std::size_t bytes_per_10_ms) {
   this->timer.disconnect();
   QObject::connect(
       &this->timer, &QTimer::timeout, &this->timer,
@@ -77,7 +77,7 @@
   this->timer.start(kPeriodMs);
 }
 
-void SlowCaller::ReadSome(std::size_t bytes) {
+void SlowClient::ReadSome(std::size_t bytes) {
   std::vector<char> buffer(bytes);
   std::size_t left = bytes;
   ssize_t count = 1;
--- a/src/net/tests/slow_caller.h
+++ b/src/net/tests/slow_client.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_NET_TESTS_SLOW_CALLER_H_
-#define MEADOWTHREAD_NET_TESTS_SLOW_CALLER_H_
+#ifndef MEADOWTHREAD_NET_TESTS_SLOW_CLIENT_H_
+#define MEADOWTHREAD_NET_TESTS_SLOW_CLIENT_H_
 
 #include <QTimer>
 #include <cstddef>
@@ -10,7 +10,7 @@
 namespace meadowthread::tests {
 
 /// @brief A client with a small receive buffer that reads at a set rate.
-class SlowCaller {
+class SlowClient {
  public:
   enum class End { kOpen, kFinished, kReset };
 
@@ -19,11 +19,11 @@
 
   /// @brief Connects to the request's host and sends it.
   /// @param[in] receive_bytes size of its kernel receive buffer
-  explicit SlowCaller(const HttpRequest& request, Sends sends = Sends::kRequest,
+  explicit SlowClient(const HttpRequest& request, Sends sends = Sends::kRequest,
                       int receive_bytes = kReceiveBytes);
-  ~SlowCaller();
-  SlowCaller(const SlowCaller&) = delete;
-  SlowCaller& operator=(const SlowCaller&) = delete;
+  ~SlowClient();
+  SlowClient(const SlowClient&) = delete;
+  SlowClient& operator=(const SlowClient&) = delete;
 
   /// @brief Sends further bytes on the same connection.
   void Send(const std::string& bytes) const;
@@ -54,4 +54,4 @@
 
 }  // namespace meadowthread::tests
 
-#endif  // MEADOWTHREAD_NET_TESTS_SLOW_CALLER_H_
+#endif  // MEADOWTHREAD_NET_TESTS_SLOW_CLIENT_H_
--- a/src/net/tests/tls_delivery_test.cc
+++ b/src/net/tests/tls_delivery_test.cc
@@ -118,10 +118,10 @@
   SlowTlsClient caller(f.port);
   caller.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
   cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
-  cr_assert(f.server->Owed() == 1);
+  cr_assert(f.server->UndeliveredCount() == 1);
   f.server->CloseConnections();
   caller.Read(20'000);
-  cr_assert(f.loop.Until([&] { return f.server->Owed() == 0; }));
+  cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 0; }));
   cr_assert(f.loop.Until([&] { return caller.IsOver(); }));
   cr_assert(caller.HasAll(), "%zu bytes came", caller.Got().size());
 }
@@ -134,7 +134,7 @@
     SlowTlsClient caller(f.port);
     caller.Send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(f.loop.Until([&] { return f.service.served == 1; }));
-    cr_assert(f.loop.Until([&] { return f.server->Owed() == 1; }));
+    cr_assert(f.loop.Until([&] { return f.server->UndeliveredCount() == 1; }));
     f.loop.Until([&] { return !caller.Got().empty(); }, kLetItWriteMs);
     if (sends_more) {
       caller.SendNow("GET /next HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/src/placement/order_messages.cc
+++ b/src/placement/order_messages.cc
@@ -24,7 +24,7 @@
   return MakeError(absl::StatusCode::kFailedPrecondition, error, message);
 }
 
-OrderResult NoAnswerResult(const HttpEnd& end) {
+OrderResult NoAnswerResult(const HttpCallResult& end) {
   OrderResult result;
   result.outcome = end.request_may_have_left ? OrderOutcome::kUnknown
                                              : OrderOutcome::kNotSent;
@@ -89,7 +89,7 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-OrderResult ReadOrderAnswer(const HttpFetched& fetched,
+OrderResult ReadOrderAnswer(const FetchResult& fetched,
                             std::string_view engine) {
   if (!fetched.end.status.ok()) {
     return NoAnswerResult(fetched.end);
--- a/src/placement/order_messages.h
+++ b/src/placement/order_messages.h
@@ -49,7 +49,7 @@
 /// @brief Reads the answer to an order. Any stale fencing token gives
 /// kStaleFence; OrderSender turns it into kSuperseded where the newer token is
 /// our own.
-OrderResult ReadOrderAnswer(const HttpFetched& fetched,
+OrderResult ReadOrderAnswer(const FetchResult& fetched,
                             std::string_view engine);
 
 }  // namespace meadowthread
--- a/src/placement/order_sender.cc
+++ b/src/placement/order_sender.cc
@@ -108,7 +108,7 @@
   const std::int64_t fence = this->lease.Fence();
   Fetch(this->client, this->Request(order), kMaxAnswerBytes,
         this->life.Guarded(
-            [this, order, fence, done](const HttpFetched& fetched) {
+            [this, order, fence, done](const FetchResult& fetched) {
               const OrderResult result = this->ClassifyAnswer(
                   ReadOrderAnswer(fetched, order.engine), fence);
               Log(order, fence, result);
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -6,7 +6,7 @@
 #include "base/log_line.h"
 
 namespace meadowthread {
-Quarantine::Quarantine(ListenCheck& check, const Clock& clock,
+Quarantine::Quarantine(ListenProbe& check, const Clock& clock,
                        Scheduler& scheduler)
     : clock(clock),
       detector(check, clock, scheduler, [this](const CrashRecord& record) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -12,7 +12,7 @@
 #include "absl/status/status.h"
 #include "base/clock.h"
 #include "base/scheduler.h"
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 #include "quarantine/crash_record_table.h"
 #include "quarantine/server_crash_detector.h"
 
@@ -26,7 +26,7 @@
   using Listener = std::function<void(const CrashRecordId&)>;
 
   /// @param[in] check,clock,scheduler must outlive this
-  Quarantine(ListenCheck& check, const Clock& clock, Scheduler& scheduler);
+  Quarantine(ListenProbe& check, const Clock& clock, Scheduler& scheduler);
   Quarantine(const Quarantine&) = delete;
   Quarantine& operator=(const Quarantine&) = delete;
 
--- a/src/quarantine/server_crash_detector.cc
+++ b/src/quarantine/server_crash_detector.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-ServerCrashDetector::ServerCrashDetector(ListenCheck& check, const Clock& clock,
+ServerCrashDetector::ServerCrashDetector(ListenProbe& check, const Clock& clock,
                                          Scheduler& scheduler,
                                          Listener listener)
     : check(check),
@@ -48,7 +48,7 @@
 void ServerCrashDetector::Probe(const InterruptedRun& run) {
   this->check.Ask(
       run.address, kProbeTimeoutMs,
-      this->life.Guarded([this, server = run.server](ListenState state) {
+      this->life.Guarded([this, server = run.server](ListenProbeResult state) {
         this->OnProbed(server, state);
       }));
 }
@@ -60,25 +60,25 @@
 // came later than the interruption of the earlier runs, and is not counted for
 // them.
 void ServerCrashDetector::OnProbed(const std::string& server,
-                                   ListenState state) {
+                                   ListenProbeResult state) {
   this->probing.erase(server);
   LogLine("server-checked")
       .Add("server", server)
-      .Add("state", ListenStateName(state))
+      .Add("state", ListenProbeResultName(state))
       .WriteImportant();
   const auto found = this->pending.find(server);
   if (found == this->pending.end()) {
     return;
   }
-  if (state == ListenState::kListens) {
+  if (state == ListenProbeResult::kListens) {
     for (PendingRun& entry : found->second) {
       entry.was_listening = true;
     }
   }
-  if (state == ListenState::kRefused) {
+  if (state == ListenProbeResult::kRefused) {
     std::erase_if(found->second,
                   [](const PendingRun& entry) { return entry.was_listening; });
-    this->ReportCrash(server, ListenStateName(state));
+    this->ReportCrash(server, ListenProbeResultName(state));
   }
 }
 
--- a/src/quarantine/server_crash_detector.h
+++ b/src/quarantine/server_crash_detector.h
@@ -12,7 +12,7 @@
 #include "base/clock.h"
 #include "base/lifetime.h"
 #include "base/scheduler.h"
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 #include "quarantine/crash_record.h"
 
 namespace meadowthread {
@@ -39,7 +39,7 @@
   using Listener = std::function<void(const CrashRecord&)>;
 
   /// @param[in] check,clock,scheduler must outlive this
-  ServerCrashDetector(ListenCheck& check, const Clock& clock,
+  ServerCrashDetector(ListenProbe& check, const Clock& clock,
                       Scheduler& scheduler, Listener listener);
   ServerCrashDetector(const ServerCrashDetector&) = delete;
   ServerCrashDetector& operator=(const ServerCrashDetector&) = delete;
@@ -60,11 +60,11 @@
   };
 
   void Probe(const InterruptedRun& run);
-  void OnProbed(const std::string& server, ListenState state);
+  void OnProbed(const std::string& server, ListenProbeResult state);
   void ReportCrash(std::string_view server, std::string_view cause);
   void DropExpired();
 
-  ListenCheck& check;
+  ListenProbe& check;
   const Clock& clock;
   Scheduler& scheduler;
   Listener listener;
--- a/src/quarantine/tests/fake_listen_check.h
+++ b/src/quarantine/tests/fake_listen_check.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <utility>
 
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 
 namespace meadowthread::testing {
 
 /// @brief Connection attempts whose results the test gives.
-class FakeListenCheck final : public ListenCheck {
+class FakeListenCheck final : public ListenProbe {
  public:
   void Ask(std::string_view address, std::int64_t /*limit_ms*/,
            const Done& done) override {
@@ -20,7 +20,7 @@
   }
 
   /// @brief Gives the result of the oldest attempt.
-  void Answer(ListenState state) {
+  void Answer(ListenProbeResult state) {
     const Done done = this->asked.front().second;
     this->asked.pop_front();
     done(state);
--- a/src/quarantine/tests/server_crash_detector_test.cc
+++ b/src/quarantine/tests/server_crash_detector_test.cc
@@ -44,7 +44,7 @@
   cr_assert(fixture.reported.empty());
   const std::int64_t cut_ms = fixture.clock.WallMs();
   fixture.Elapse(100);
-  fixture.check.Answer(ListenState::kRefused);
+  fixture.check.Answer(ListenProbeResult::kRefused);
   cr_assert(fixture.reported.size() == 2);
   cr_assert(fixture.reported[0].id.content == "c-1");
   cr_assert(fixture.reported[0].crashes[0].server == "s-1");
@@ -53,8 +53,8 @@
 
 // A malformed response, a lost connection, or a host that is unreachable.
 Test(an_interrupted_run, is_not_reported_if_the_server_accepts_or_is_silent) {
-  for (const ListenState state :
-       {ListenState::kListens, ListenState::kSilent}) {
+  for (const ListenProbeResult state :
+       {ListenProbeResult::kListens, ListenProbeResult::kSilent}) {
     Fixture fixture;
     fixture.detector.Add(Fixture::Run("c-1", "s-1"));
     fixture.check.Answer(state);
@@ -68,7 +68,7 @@
 Test(an_interrupted_run, is_reported_if_the_server_is_gone_soon_after) {
   Fixture fixture;
   fixture.detector.Add(Fixture::Run("c-1", "s-1"));
-  fixture.check.Answer(ListenState::kSilent);
+  fixture.check.Answer(ListenProbeResult::kSilent);
   fixture.Elapse(4'000);
   fixture.detector.NoteGone("s-2");
   cr_assert(fixture.reported.empty());
@@ -83,11 +83,11 @@
 Test(an_interrupted_run, is_not_reported_for_a_later_crash) {
   Fixture fixture;
   fixture.detector.Add(Fixture::Run("c-1", "s-1"));
-  fixture.check.Answer(ListenState::kListens);
+  fixture.check.Answer(ListenProbeResult::kListens);
   fixture.Elapse(2'000);
   fixture.detector.Add(Fixture::Run("c-2", "s-1"));
   cr_assert(fixture.check.asked.size() == 1, "tried again");
-  fixture.check.Answer(ListenState::kRefused);
+  fixture.check.Answer(ListenProbeResult::kRefused);
   cr_assert(fixture.reported.size() == 1 &&
             fixture.reported[0].id.content == "c-2");
 }
--- a/src/relay/backend_protocol.h
+++ b/src/relay/backend_protocol.h
@@ -78,7 +78,7 @@
       const ServerRequest& request) const = 0;
 
   /// @brief The response for a request that the host refuses or gives up on.
-  virtual WholeResponse Answer(const Problem& problem) const = 0;
+  virtual ServerResponse Answer(const Problem& problem) const = 0;
 };
 
 }  // namespace meadowthread
--- a/src/relay/call_session.cc
+++ b/src/relay/call_session.cc
@@ -151,7 +151,7 @@
       .Write();
   if (backend == nullptr && !this->HasServerInHomeRegions()) {
     this->EndOrWait(this->MakeProblem(
-        ErrorId::kOutsideHomes, Outcome::kNotRun, "choose",
+        ErrorId::kOutsideAllowedRegions, Outcome::kNotRun, "choose",
         "no backend server is in a region where the request may run"));
     return;
   }
@@ -280,7 +280,7 @@
 }
 
 void CallSession::OnAttemptFailed(Attempt& attempt) {
-  const HttpEnd& end = attempt.Ended();
+  const HttpCallResult& end = attempt.Ended();
   const std::int64_t now_ms = this->deps.clock.MonotonicMs();
   const bool may_have_left = end.request_may_have_left;
   const AttemptVerdict verdict = JudgeAttempt({may_have_left});
--- a/src/relay/call_session_end.cc
+++ b/src/relay/call_session_end.cc
@@ -59,7 +59,7 @@
 }
 
 std::int64_t CallSession::RetryAfterMs(ErrorId id) const {
-  if (id == ErrorId::kOutsideHomes) {
+  if (id == ErrorId::kOutsideAllowedRegions) {
     return -1;  // waiting brings no server into the allowed regions
   }
   if (this->deps.backends.IsEmptied(this->terms.service)) {
--- a/src/relay/detail/call_attempt.h
+++ b/src/relay/detail/call_attempt.h
@@ -62,7 +62,7 @@
     this->session.OnAttemptEnd(*this);
   }
 
-  void OnEnd(const HttpEnd& ended) override {
+  void OnEnd(const HttpCallResult& ended) override {
     this->call = 0;
     this->end = ended;
     this->session.OnAttemptEnd(*this);
@@ -70,7 +70,7 @@
 
   const std::string& BackendId() const { return this->backend; }
   std::int64_t SentMs() const { return this->sent_ms; }
-  const HttpEnd& Ended() const { return this->end; }
+  const HttpCallResult& Ended() const { return this->end; }
   HttpResponse& Answer() { return this->answer; }
 
  private:
@@ -78,7 +78,7 @@
   std::string backend;
   std::int64_t sent_ms;
   HttpCallId call = 0;
-  HttpEnd end;
+  HttpCallResult end;
   HttpResponse answer;
 };
 
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -54,7 +54,7 @@
     this->Refuse(*writer, read.status(), "");
     return;
   }
-  writer->NameAnswer(read->id);
+  writer->SetRequestId(read->id);
   const absl::StatusOr<RelayTerms> terms =
       this->config.TermsOf(*read, this->deps.random());
   if (!terms.ok()) {
@@ -156,7 +156,7 @@
     head.http_status = result->http_status;
     head.headers = EndToEndHeaders(result->headers);
     head.content_length = result->body.size();
-    call.writer->StartAnswer(head);
+    call.writer->StartResponse(head);
     call.writer->Write(result->body);
     call.writer->FinishStream();
   } else {
--- a/src/relay/stream_session.cc
+++ b/src/relay/stream_session.cc
@@ -179,7 +179,7 @@
 void StreamSession::SendHeadOnce() {
   if (!this->head_sent) {
     this->head_sent = true;
-    this->writer->StartAnswer(this->head);
+    this->writer->StartResponse(this->head);
   }
 }
 
@@ -187,7 +187,7 @@
 // End of the engine's connection
 /////////////////////////////////
 
-void StreamSession::OnEnd(const HttpEnd& end) {
+void StreamSession::OnEnd(const HttpCallResult& end) {
   this->call = 0;
   if (this->is_event_stream) {
     this->OnStreamEnd(end);
@@ -208,7 +208,7 @@
   this->ForwardWholeAnswer();
 }
 
-void StreamSession::OnStreamEnd(const HttpEnd& end) {
+void StreamSession::OnStreamEnd(const HttpCallResult& end) {
   const bool may_be_stopped =
       this->move != nullptr && this->move->MayHaveStopped();
   // While a move may have stopped the run, a response that ends by closing the
@@ -251,7 +251,7 @@
                "the engine is full", kOverloadedRetryMs);
 }
 
-void StreamSession::OnConnectionLost(const HttpEnd& end) {
+void StreamSession::OnConnectionLost(const HttpCallResult& end) {
   const bool may_have_left = end.request_may_have_left;
   const AttemptVerdict verdict =
       JudgeAttempt({may_have_left, false, this->head_sent});
--- a/src/relay/stream_session.h
+++ b/src/relay/stream_session.h
@@ -98,7 +98,7 @@
   // HttpHandler
   void OnHead(int http_status, std::span<const HttpHeader> headers) override;
   void OnData(std::string_view data) override;
-  void OnEnd(const HttpEnd& end) override;
+  void OnEnd(const HttpCallResult& end) override;
 
   // RunMoveOwner
   void OnMoveReady(const Continuation& continuation,
@@ -123,10 +123,10 @@
   void ForwardEvents(std::vector<RawSseEvent>* new_events);
   void RecordLinkStall();
   void SendHeadOnce();
-  void OnStreamEnd(const HttpEnd& end);
+  void OnStreamEnd(const HttpCallResult& end);
   void OnRejected();
-  void OnConnectionLost(const HttpEnd& end);
-  void OnResumeFailed(const HttpEnd& end, AnswerMeaning meaning);
+  void OnConnectionLost(const HttpCallResult& end);
+  void OnResumeFailed(const HttpCallResult& end, AnswerMeaning meaning);
   const Backend* FindMemoryHolder(const Continuation& from,
                                   std::string_view target) const;
   bool ResumeAtSource();
@@ -181,7 +181,7 @@
   std::unique_ptr<RunMove> move;
   std::vector<std::unique_ptr<RunMove>> old_moves;
   /// End of a stream that a move may have stopped.
-  std::optional<HttpEnd> deferred_end;
+  std::optional<HttpCallResult> deferred_end;
   std::int64_t deadline_ms;
   std::int64_t begun_ms;
   /// When it stops waiting for room; -1: it has not waited.
--- a/src/relay/stream_session_move.cc
+++ b/src/relay/stream_session_move.cc
@@ -152,7 +152,7 @@
   this->old_moves.push_back(std::move(this->move));
   if (this->deferred_end.has_value()) {
     // The stream has ended and there is no copy to continue from.
-    const HttpEnd held = *this->deferred_end;
+    const HttpCallResult held = *this->deferred_end;
     this->deferred_end.reset();
     this->OnConnectionLost(held);
     return;
@@ -196,7 +196,7 @@
   detail.outcome = Outcome::kUnknown;
   detail.step = "read-answer";
   detail.peer = this->engine;
-  HttpEnd end;
+  HttpCallResult end;
   end.status = MakeError(absl::StatusCode::kUnavailable, detail,
                          "the engine has started again");
   end.request_may_have_left = true;
@@ -215,7 +215,8 @@
 
 // The engine that should have continued the run did not. The source has stopped
 // the run and keeps its KV cache for some seconds.
-void StreamSession::OnResumeFailed(const HttpEnd& end, AnswerMeaning read) {
+void StreamSession::OnResumeFailed(const HttpCallResult& end,
+                                   AnswerMeaning read) {
   const AttemptVerdict verdict = JudgeAttempt(
       {end.request_may_have_left, end.status.ok() && IsRejection(read), false});
   const bool not_run = verdict.outcome == Outcome::kNotRun;
--- a/src/relay/stream_session_placement.cc
+++ b/src/relay/stream_session_placement.cc
@@ -221,7 +221,7 @@
   if (this->terms.allowed_regions.has_value() &&
       !this->deps.backends.HasServerInHomeRegions(
           this->terms.service, this->terms.allowed_regions)) {
-    this->Refuse(ErrorId::kOutsideHomes, Outcome::kNotRun, "choose",
+    this->Refuse(ErrorId::kOutsideAllowedRegions, Outcome::kNotRun, "choose",
                  "no engine is in its regions", -1);
     return true;
   }
--- a/src/relay/tests/call_session_test.cc
+++ b/src/relay/tests/call_session_test.cc
@@ -223,7 +223,7 @@
   fixture.terms.allowed_regions = AllowedRegions({"cebu"});
   fixture.Begin(ExecutionRule::kOnce);
   cr_assert(fixture.client.sent.empty());
-  cr_assert(fixture.Failure().id == ErrorId::kOutsideHomes);
+  cr_assert(fixture.Failure().id == ErrorId::kOutsideAllowedRegions);
   cr_assert(fixture.Failure().outcome == Outcome::kNotRun);
 }
 
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -91,7 +91,7 @@
     const std::size_t last = this->Sent() - 1;
     const std::string server = this->ServerOf(last);
     this->client.Break(last, true);
-    this->listen_check.Answer(ListenState::kRefused);
+    this->listen_check.Answer(ListenProbeResult::kRefused);
     this->backends.Remove(server);
     this->fleet.RemoveEngine(server);
   }
@@ -161,7 +161,7 @@
     fixture.Stream(kHarmlessPrompt);
     cr_assert(fixture.Sent() == before + 1);
     fixture.client.Break(before, true);
-    fixture.listen_check.Answer(ListenState::kListens);
+    fixture.listen_check.Answer(ListenProbeResult::kListens);
     fixture.Advance(10'000);
   }
 }
--- a/src/relay/tests/relay_fixture.h
+++ b/src/relay/tests/relay_fixture.h
@@ -17,7 +17,7 @@
 #include "base/manual_scheduler.h"
 #include "net/http_client.h"
 #include "net/problem.h"
-#include "net/tests/played_connection.h"
+#include "net/tests/server_connection_harness.h"
 #include "policy/dispatcher.h"
 #include "policy/length_model.h"
 #include "policy/local_allocation.h"
@@ -58,7 +58,7 @@
       this->handlers[n]->OnData(bytes);
     }
   }
-  void End(std::size_t n, const HttpEnd& end) {
+  void End(std::size_t n, const HttpCallResult& end) {
     if (HttpHandler* const handler =
             std::exchange(this->handlers.at(n), nullptr)) {
       handler->OnEnd(end);
@@ -78,7 +78,7 @@
   }
   /// @param[in] left whether bytes of the request may have been sent before
   void Break(std::size_t n, bool left) {
-    HttpEnd end;
+    HttpCallResult end;
     ErrorDetail detail;
     detail.id = left ? ErrorId::kConnectionLost : ErrorId::kConnectFailed;
     end.status = MakeError(absl::StatusCode::kUnavailable, detail, "broke");
@@ -86,8 +86,8 @@
     this->End(n, end);
   }
 
-  static HttpEnd Whole(int status) {
-    HttpEnd end;
+  static HttpCallResult Whole(int status) {
+    HttpCallResult end;
     end.http_status = status;
     end.request_may_have_left = true;
     return end;
@@ -136,7 +136,7 @@
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
     return RelayRequest{};
   }
-  WholeResponse Answer(const Problem& problem) const override {
+  ServerResponse Answer(const Problem& problem) const override {
     return ProblemResponse(problem);
   }
 };
@@ -258,7 +258,7 @@
 };
 
 /// @brief A caller with one request in progress.
-class FakeCaller final : public PlayedConnection {
+class FakeCaller final : public ServerConnectionHarness {
  public:
   FakeCaller() { this->Feed("GET / HTTP/1.1\r\nHost: h\r\n\r\n"); }
 
--- a/src/relay/tests/relay_test.cc
+++ b/src/relay/tests/relay_test.cc
@@ -24,7 +24,7 @@
     request.generation = GenerationSize{"m", 100, 100, 0};
     return request;
   }
-  WholeResponse Answer(const Problem& problem) const override {
+  ServerResponse Answer(const Problem& problem) const override {
     return ProblemResponse(problem);
   }
 };
--- a/src/relay/tests/stream_session_test.cc
+++ b/src/relay/tests/stream_session_test.cc
@@ -66,7 +66,7 @@
 
   /// @brief The engine closes the connection without a final chunk.
   void CloseStream(std::size_t n) {
-    HttpEnd end = FakeClient::Whole(200);
+    HttpCallResult end = FakeClient::Whole(200);
     end.ended_by_close = true;
     this->client.End(n, end);
   }
--- a/src/serve/detail/relay_host_impl.h
+++ b/src/serve/detail/relay_host_impl.h
@@ -18,7 +18,7 @@
 #include "exchange/stop_datagrams.h"
 #include "exchange/view_datagrams.h"
 #include "net/http_server.h"
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 #include "net/pooled_client.h"
 #include "net/qt_scheduler.h"
 #include "policy/length_model.h"
@@ -117,7 +117,7 @@
   StoreStallDetector store_stalls;
   StoreUptimeExchange store_uptimes;
   ViewDatagrams view_datagrams;
-  QtListenCheck listen_check;
+  QtListenProbe listen_check;
   Quarantine quarantine;
   ServerRateLimiter rate_limiter;
   CrashGossipDatagrams crash_datagrams;
--- a/src/serve/entry_host_registry.cc
+++ b/src/serve/entry_host_registry.cc
@@ -22,7 +22,7 @@
   if (!port.ok()) {
     return port.status();
   }
-  if (*port < 0 || *port > kHighestPort) {
+  if (*port < 0 || *port > kMaxPortNumber) {
     return FieldError(ErrorId::kFieldInvalid, field, "is not a port number");
   }
   return static_cast<int>(*port);
@@ -54,7 +54,7 @@
       return status;
     }
   }
-  if (!IsIpNumber(*address)) {
+  if (!IsIpAddress(*address)) {
     return FieldError(ErrorId::kFieldInvalid, "address",
                       "is not an IP address");
   }
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -22,7 +22,7 @@
 #include "gateway/service_backend_protocol.h"
 #include "hosts/host_list_poller.h"
 #include "net/http_server.h"
-#include "net/listen_check.h"
+#include "net/listen_probe.h"
 #include "net/pooled_client.h"
 #include "net/qt_scheduler.h"
 #include "policy/length_model.h"
@@ -177,7 +177,7 @@
   BackendHealth health;
   RetryBudgets service_retries;
   RelayMetrics service_metrics;
-  QtListenCheck listen_check;
+  QtListenProbe listen_check;
   Quarantine quarantine;
   ServerRateLimiter rate_limiter;
   CrashRecordStore crash_records;
@@ -425,8 +425,8 @@
 }
 
 RemainingWork HostProcess::Impl::Unfinished() const {
-  return {this->server->Owed(), this->claims.Pending(),
-          this->exchange.Server().Owed()};
+  return {this->server->UndeliveredCount(), this->claims.Pending(),
+          this->exchange.Server().UndeliveredCount()};
 }
 
 void HostProcess::Impl::ExitIfDrained() {
@@ -463,7 +463,7 @@
   LogLine line("stop-waits");
   line.Add("host", this->settings.host.name)
       .Add("running", this->Running())
-      .Add("callers_owed", this->server->Owed())
+      .Add("callers_owed", this->server->UndeliveredCount())
       .Add("claims_pending", this->claims.Pending());
   std::string requests;
   for (const RunningRequest& running :
@@ -502,8 +502,8 @@
   this->metrics.SetState("streams",
                          static_cast<double>(this->gateway->Running()));
   this->metrics.SetState("ready", this->gate.MayTakeWork().ok() ? 1.0 : 0.0);
-  this->metrics.SetState("answers_cut",
-                         static_cast<double>(this->server->AnswersCut()));
+  this->metrics.SetState(
+      "answers_cut", static_cast<double>(this->server->InterruptedResponses()));
   this->metrics.SetState("view_age_ms",
                          static_cast<double>(this->gate.ViewAgeMs()));
 }
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -329,7 +329,7 @@
           : 0);
   set("running", this->relay.Running());
   set("connections", this->server.Connections());
-  set("answers_cut", this->server.AnswersCut());
+  set("answers_cut", this->server.InterruptedResponses());
   set("backends", this->backends.Count());
   set("entries_refused", this->invalid_entries.InvalidCount());
   set("zones_emptied", this->backends.EmptiedZones());
@@ -354,7 +354,7 @@
   const ClientStats& sent = this->client.Stats();
   set("connects", sent.connects);
   set("reuses", sent.reuses);
-  set("answers_passed_over", sent.answers_passed);
+  set("answers_passed_over", sent.foreign_responses);
   set("log_lines_dropped", LogLinesDropped());
   return this->metrics.Text();
 }
@@ -442,7 +442,8 @@
   if (!this->stop_plan.has_value() || this->exiting) {
     return;
   }
-  const StopWork work = {this->relay.Running(), this->server.Owed()};
+  const StopWork work = {this->relay.Running(),
+                         this->server.UndeliveredCount()};
   const StopStep step = this->stop_plan->Next(this->clock.MonotonicMs(), work);
   if (step == StopStep::kWait) {
     return;
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -138,7 +138,7 @@
     this->quarantine.NoteGone(backend.key);
     if (backend.started_again) {
       this->relay.OnEngineStartedAgain(backend);
-      this->client.DropResting(backend.entry.address);
+      this->client.CloseIdle(backend.entry.address);
     }
     this->fleet.RemoveEngine(backend.key);
     this->rate_limiter.Remove(backend.key);
--- a/src/serve/tests/crash_record_store_test.cc
+++ b/src/serve/tests/crash_record_store_test.cc
@@ -55,7 +55,7 @@
     run.server = server;
     run.before_any_answer = true;
     this->quarantine.NoteCut(run);
-    this->check.Answer(ListenState::kRefused);
+    this->check.Answer(ListenProbeResult::kRefused);
   }
 
   /// @brief Reads all objects of the store, as the host's feeder does.
--- a/src/store/http_object_store.cc
+++ b/src/store/http_object_store.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "store/object_answers.h"
+#include "store/object_responses.h"
 #include "store/percent_encoding.h"
 
 namespace meadowthread {
@@ -35,7 +35,7 @@
       this->ReadRequest(ObjectPath(kind, name), this->options.read_timeout_ms);
   Fetch(this->client, request, kMaxObjectBytes,
         [kind = std::string(kind), name = std::string(name),
-         done](const HttpFetched& fetched) {
+         done](const FetchResult& fetched) {
           done(ParseGetResponse(fetched, kind, name));
         });
 }
@@ -101,8 +101,8 @@
                                 const ListDone& done) {
   Fetch(this->client, request, this->options.list_limit_bytes,
         [step = std::string(step), kind = std::string(kind),
-         done](const HttpFetched& fetched) {
-          done(ReadListAnswer(fetched, step, kind));
+         done](const FetchResult& fetched) {
+          done(ParseListResponse(fetched, step, kind));
         });
 }
 
@@ -111,7 +111,7 @@
                                  const PutDone& done) {
   Fetch(this->client, request, kMaxObjectBytes,
         [step = std::string(step), peer = std::string(peer),
-         done](const HttpFetched& fetched) {
+         done](const FetchResult& fetched) {
           done(ParseWriteResponse(fetched, step, peer));
         });
 }
--- a/src/store/object_answers.cc
+++ b/src/store/object_responses.cc
@@ -1,4 +1,4 @@
-#include "store/object_answers.h"
+#include "store/object_responses.h"
 
 #include <charconv>
 #include <optional>
@@ -45,7 +45,7 @@
 
 // A failed read has no effect, so the error only tells a malformed response
 // from an unavailable object API, which can be retried.
-absl::Status ReadFailure(const HttpFetched& fetched, std::string_view step,
+absl::Status ReadFailure(const FetchResult& fetched, std::string_view step,
                          std::string_view peer) {
   if (DetailOf(fetched.end.status).id == ErrorId::kPeerMalformed) {
     return StoreError(ErrorId::kStoreMalformed, step, peer);
@@ -53,7 +53,7 @@
   return StoreError(ErrorId::kStoreUnavailable, step, peer);
 }
 
-bool IsWhole(const HttpFetched& fetched, int http_status) {
+bool IsWhole(const FetchResult& fetched, int http_status) {
   return fetched.end.status.ok() && fetched.end.http_status == http_status;
 }
 
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-absl::StatusOr<StoredObject> ParseGetResponse(const HttpFetched& fetched,
+absl::StatusOr<StoredObject> ParseGetResponse(const FetchResult& fetched,
                                               std::string_view kind,
                                               std::string_view name) {
   const std::string peer = PeerOf(kind, name);
@@ -129,9 +129,9 @@
   return object;
 }
 
-absl::StatusOr<ObjectList> ReadListAnswer(const HttpFetched& fetched,
-                                          std::string_view step,
-                                          std::string_view kind) {
+absl::StatusOr<ObjectList> ParseListResponse(const FetchResult& fetched,
+                                             std::string_view step,
+                                             std::string_view kind) {
   if (IsWhole(fetched, http_code::kGone)) {
     return StoreError(ErrorId::kStoreRevisionGone, step, kind);
   }
@@ -145,7 +145,7 @@
   return list;
 }
 
-absl::StatusOr<std::int64_t> ParseWriteResponse(const HttpFetched& fetched,
+absl::StatusOr<std::int64_t> ParseWriteResponse(const FetchResult& fetched,
                                                 std::string_view step,
                                                 std::string_view peer) {
   if (!fetched.end.request_may_have_left) {
--- a/src/store/object_answers.h
+++ b/src/store/object_responses.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_STORE_OBJECT_ANSWERS_H_
-#define MEADOWTHREAD_STORE_OBJECT_ANSWERS_H_
+#ifndef MEADOWTHREAD_STORE_OBJECT_RESPONSES_H_
+#define MEADOWTHREAD_STORE_OBJECT_RESPONSES_H_
 
 #include <cstdint>
 #include <string_view>
@@ -13,18 +13,18 @@
 namespace meadowthread {
 
 /// @brief Parses the response to a get; the version is in its ETag.
-absl::StatusOr<StoredObject> ParseGetResponse(const HttpFetched& fetched,
+absl::StatusOr<StoredObject> ParseGetResponse(const FetchResult& fetched,
                                               std::string_view kind,
                                               std::string_view name);
 
 /// @brief Parses the response to a list or a watch.
-absl::StatusOr<ObjectList> ReadListAnswer(const HttpFetched& fetched,
-                                          std::string_view step,
-                                          std::string_view kind);
+absl::StatusOr<ObjectList> ParseListResponse(const FetchResult& fetched,
+                                             std::string_view step,
+                                             std::string_view kind);
 
 /// @brief Parses the response to a put or a delete. Returns the new version, or
 /// an error that tells whether the write was certainly not applied.
-absl::StatusOr<std::int64_t> ParseWriteResponse(const HttpFetched& fetched,
+absl::StatusOr<std::int64_t> ParseWriteResponse(const FetchResult& fetched,
                                                 std::string_view step,
                                                 std::string_view peer);
 
@@ -36,4 +36,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_STORE_OBJECT_ANSWERS_H_
+#endif  // MEADOWTHREAD_STORE_OBJECT_RESPONSES_H_
--- a/src/store/tests/passing_store.h
+++ b/src/store/tests/forwarding_store.h
@@ -1,5 +1,5 @@
-#ifndef MEADOWTHREAD_STORE_TESTS_PASSING_STORE_H_
-#define MEADOWTHREAD_STORE_TESTS_PASSING_STORE_H_
+#ifndef MEADOWTHREAD_STORE_TESTS_FORWARDING_STORE_H_
+#define MEADOWTHREAD_STORE_TESTS_FORWARDING_STORE_H_
 
 #include <cstdint>
 #include <string_view>
@@ -9,10 +9,10 @@
 namespace meadowthread {
 
 /// @brief Forwards every call to another store; tests override single methods.
-class PassingStore : public ObjectStore {
+class ForwardingStore : public ObjectStore {
  public:
   /// @param[in] to must outlive this store's calls
-  explicit PassingStore(ObjectStore& to) : to(to) {}
+  explicit ForwardingStore(ObjectStore& to) : to(to) {}
 
   void Get(std::string_view kind, std::string_view name,
            const GetDone& done) override {
@@ -41,4 +41,4 @@
 
 }  // namespace meadowthread
 
-#endif  // MEADOWTHREAD_STORE_TESTS_PASSING_STORE_H_
+#endif  // MEADOWTHREAD_STORE_TESTS_FORWARDING_STORE_H_
--- a/src/store/tests/http_object_store_test.cc
+++ b/src/store/tests/http_object_store_test.cc
@@ -84,7 +84,7 @@
   f.client.Fail(ErrorId::kConnectionLost, 0, true);
   cr_assert(f.Wrote() == ErrorId::kStoreUnknown);
   f.Put(0);
-  f.client.Fail(ErrorId::kPeerSilent, 503, true);
+  f.client.Fail(ErrorId::kPeerTimeout, 503, true);
   cr_assert(f.Wrote() == ErrorId::kStoreUnknown);
 }
 
@@ -117,7 +117,7 @@
     cr_assert(f.Read() == ErrorId::kStoreUnavailable);
   }
   f.Get();
-  f.client.Fail(ErrorId::kPeerSilent, 404, true);
+  f.client.Fail(ErrorId::kPeerTimeout, 404, true);
   cr_assert(f.Read() == ErrorId::kStoreUnavailable);
   f.Get();
   f.client.Answer(200, {}, "{}");
--- a/standins/tests/engine_service_test.cc
+++ b/standins/tests/engine_service_test.cc
@@ -23,13 +23,13 @@
   }
 
   void SetFaults(const std::string& faults) const {
-    RawCaller caller(this->port);
+    RawClient caller(this->port);
     caller.Send("POST", "/standin/faults", faults);
     cr_assert(WaitFor([&] { return caller.Got("applied"); }));
   }
 
   nlohmann::json Record() const {
-    RawCaller caller(this->port);
+    RawClient caller(this->port);
     caller.Send("GET", "/standin/record");
     nlohmann::json record;
     cr_assert(WaitFor([&] {
@@ -64,7 +64,7 @@
 
 Test(a_served_engine, streams_every_token_and_keeps_the_connection) {
   const ServedEngine engine;
-  RawCaller caller(engine.port);
+  RawClient caller(engine.port);
   caller.Send("POST", "/v1/generations", StartOf("[tokens=40]"));
   cr_assert(WaitFor([&] { return caller.Got("\r\n0\r\n\r\n"); }));
   for (int index = 0; index < 40; ++index) {
@@ -79,10 +79,10 @@
 
 Test(a_served_engine, replaces_the_previous_reader_by_a_new_one) {
   const ServedEngine engine;
-  RawCaller old_reader(engine.port);
+  RawClient old_reader(engine.port);
   old_reader.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
   cr_assert(WaitFor([&] { return old_reader.Got("\"i\":9,"); }));
-  RawCaller reader(engine.port);
+  RawClient reader(engine.port);
   reader.Send("GET",
               "/v1/generations/" + GenerationIdIn(old_reader.text) + "?from=5");
   cr_assert(WaitFor([&] { return reader.Got("\"i\":9,"); }));
@@ -93,7 +93,7 @@
 
 Test(a_served_engine, detects_that_a_reader_has_disconnected) {
   const ServedEngine engine;
-  RawCaller reader(engine.port);
+  RawClient reader(engine.port);
   reader.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
   cr_assert(WaitFor([&] { return reader.Got("\"i\":9,"); }));
   reader.socket.abort();
@@ -105,7 +105,7 @@
   const ServedEngine engine;
   {
     engine.SetFaults(R"({"refuse_after_read":1})");
-    RawCaller caller(engine.port);
+    RawClient caller(engine.port);
     caller.Send("POST", "/v1/generations", StartOf("[tokens=3]"));
     cr_assert(WaitFor([&] { return caller.IsClosed(); }));
     const nlohmann::json attempt = engine.Record()["attempts"][0];
@@ -114,7 +114,7 @@
   }
   {
     engine.SetFaults(R"({"refuse_after_read":1,"run":true})");
-    RawCaller caller(engine.port);
+    RawClient caller(engine.port);
     caller.Send("POST", "/v1/generations", StartOf("[tokens=3]"));
     cr_assert(WaitFor([&] { return caller.IsClosed(); }));
     const nlohmann::json attempt = engine.Record()["attempts"][0];
@@ -122,7 +122,7 @@
   }
   {
     engine.SetFaults(R"({"reject":"full"})");
-    RawCaller caller(engine.port);
+    RawClient caller(engine.port);
     caller.Send("POST", "/v1/generations", StartOf("[tokens=3]"));
     cr_assert(WaitFor([&] { return caller.Got("\"reason\":\"full\""); }));
     cr_assert(caller.Got("429") && engine.Record()["counts"]["rejects"] == 1);
@@ -131,17 +131,17 @@
 
 Test(a_served_engine, continues_without_readers_and_can_be_resumed) {
   const ServedEngine engine;
-  RawCaller reader(engine.port);
+  RawClient reader(engine.port);
   reader.Send("POST", "/v1/generations", StartOf("[tokens=600]"));
   cr_assert(WaitFor([&] { return reader.Got("\"i\":9,"); }));
   engine.SetFaults(R"({"close_streams":true})");
   cr_assert(WaitFor([&] { return reader.IsClosed(); }));
-  RawCaller again(engine.port);
+  RawClient again(engine.port);
   again.Send("GET",
              "/v1/generations/" + GenerationIdIn(reader.text) + "?from=10");
   cr_assert(WaitFor([&] { return again.Got("\"count\":600"); }));
   engine.SetFaults(R"({"lose_generations":true})");
-  RawCaller late(engine.port);
+  RawClient late(engine.port);
   late.Send("GET",
             "/v1/generations/" + GenerationIdIn(reader.text) + "?from=10");
   cr_assert(WaitFor([&] { return late.Got("HTTP/1.1 404"); }));
@@ -149,7 +149,7 @@
 
 Test(a_served_engine, closes_the_connection_on_a_request_within_a_stream) {
   const ServedEngine engine;
-  RawCaller caller(engine.port);
+  RawClient caller(engine.port);
   caller.Send("POST", "/v1/generations", StartOf("[tokens=30000]"));
   cr_assert(WaitFor([&] { return caller.Got("\"i\":9,"); }));
   caller.Send("GET", "/v1/load");
@@ -162,7 +162,7 @@
 Test(a_stalled_engine, accepts_requests_but_sends_nothing_until_it_continues) {
   const ServedEngine engine;
   engine.SetFaults(R"({"stall":true})");
-  RawCaller caller(engine.port);
+  RawClient caller(engine.port);
   caller.Send("POST", "/v1/generations", StartOf("[tokens=3]"));
   cr_assert(WaitFor([&] { return !engine.Record()["attempts"].empty(); }));
   cr_assert(caller.text.empty());
--- a/standins/tests/http_fixture.h
+++ b/standins/tests/http_fixture.h
@@ -25,9 +25,9 @@
 }
 
 /// @brief A client that sends raw HTTP and collects the bytes it receives.
-class RawCaller {
+class RawClient {
  public:
-  explicit RawCaller(std::uint16_t port) {
+  explicit RawClient(std::uint16_t port) {
     this->socket.connectToHost(QHostAddress::LocalHost, port);
     QObject::connect(
         &this->socket, &QTcpSocket::readyRead, &this->socket,
--- a/standins/tests/object_service_test.cc
+++ b/standins/tests/object_service_test.cc
@@ -18,7 +18,7 @@
   std::string Call(const std::string& method, const std::string& path,
                    const std::string& body = "",
                    const std::string& header = "") const {
-    RawCaller caller(this->port);
+    RawClient caller(this->port);
     caller.Send(method, path, body, header);
     cr_assert(
         WaitFor([&] { return caller.IsAnswered() || caller.IsClosed(); }));
@@ -98,7 +98,7 @@
 Test(a_watch, is_answered_at_the_first_change) {
   const ServedObjects objects;
   objects.Create("a");
-  RawCaller watch(objects.port);
+  RawClient watch(objects.port);
   watch.Send("GET", "/watch/claims?since=1&wait_ms=60000");
   objects.Create("b");
   cr_assert(WaitFor([&] { return watch.IsAnswered(); }));
@@ -110,7 +110,7 @@
   const ServedObjects objects;
   objects.Create("a");
   objects.SetFaults(R"({"watch_stall":true})");
-  RawCaller watch(objects.port);
+  RawClient watch(objects.port);
   watch.Send("GET", "/watch/claims?since=1&wait_ms=1");
   objects.Create("b");
   cr_assert(objects.Has("b") && watch.text.empty());
--- a/tests/process/answers_test.cc
+++ b/tests/process/answers_test.cc
@@ -207,7 +207,7 @@
    public:
     void OnHead(int, std::span<const HttpHeader>) override {}
     void OnData(std::string_view) override {}
-    void OnEnd(const HttpEnd&) override {}
+    void OnEnd(const HttpCallResult&) override {}
   } mute;
   const HttpCallId call = fleet.Client().Start(whole, &mute);
   cr_assert(WaitFor([&] { return fleet.TotalRuns() == 2; }));
--- a/tests/process/caller.cc
+++ b/tests/process/caller.cc
@@ -107,7 +107,7 @@
   }
 }
 
-void StreamingCaller::OnEnd(const HttpEnd& end) {
+void StreamingCaller::OnEnd(const HttpCallResult& end) {
   this->call = 0;
   this->over = true;
   if (end.status.ok() && this->status != 200) {
@@ -142,13 +142,13 @@
   return text;
 }
 
-HttpFetched Call(HttpClient& client, const HttpRequest& request) {
+FetchResult Call(HttpClient& client, const HttpRequest& request) {
   // Shared with the answer, which may come after the wait was given up.
-  const auto answer = std::make_shared<std::optional<HttpFetched>>();
+  const auto answer = std::make_shared<std::optional<FetchResult>>();
   Fetch(client, request, kAnswerLimit,
-        [answer](const HttpFetched& fetched) { *answer = fetched; });
+        [answer](const FetchResult& fetched) { *answer = fetched; });
   WaitFor([&answer] { return answer->has_value(); });
-  return answer->value_or(HttpFetched{});
+  return answer->value_or(FetchResult{});
 }
 
 HttpRequest Post(const std::string& url, const std::string& key,
@@ -165,7 +165,7 @@
   return request;
 }
 
-nlohmann::json JsonOf(const HttpFetched& fetched) {
+nlohmann::json JsonOf(const FetchResult& fetched) {
   return json::parse(fetched.response.body, nullptr, false);
 }
 
--- a/tests/process/caller.h
+++ b/tests/process/caller.h
@@ -40,7 +40,7 @@
 
   void OnHead(int status, std::span<const HttpHeader> headers) override;
   void OnData(std::string_view data) override;
-  void OnEnd(const HttpEnd& end) override;
+  void OnEnd(const HttpCallResult& end) override;
   void OnSseEvent(const SseEvent& event) override;
 
   bool IsOver() const { return this->over; }
@@ -79,7 +79,7 @@
 };
 
 /// @brief A whole answer, waited for.
-HttpFetched Call(HttpClient& client, const HttpRequest& request);
+FetchResult Call(HttpClient& client, const HttpRequest& request);
 
 /// @brief A request of a whole answer with a key.
 HttpRequest Post(const std::string& url, const std::string& key,
@@ -87,7 +87,7 @@
                  const std::string& idempotency_key = "");
 
 /// @brief The JSON of a whole answer.
-nlohmann::json JsonOf(const HttpFetched& fetched);
+nlohmann::json JsonOf(const FetchResult& fetched);
 
 }  // namespace meadowthread::tests
 
--- a/tests/process/claims_test.cc
+++ b/tests/process/claims_test.cc
@@ -25,7 +25,7 @@
   return plan;
 }
 
-HttpFetched Note(Fleet& fleet, int host, const std::string& key,
+FetchResult Note(Fleet& fleet, int host, const std::string& key,
                  const std::string& prompt) {
   const json body = {{"model", "reconcile"}, {"prompt", prompt}};
   HttpRequest request =
@@ -145,7 +145,7 @@
   Fleet fleet(Plan());
   fleet.Start();
   fleet.SetFaults(fleet.StoreUrl(), {{"down", true}});
-  const HttpFetched refused = Note(fleet, 0, "k-1", "[tokens=12] note");
+  const FetchResult refused = Note(fleet, 0, "k-1", "[tokens=12] note");
   cr_assert(JsonOf(refused)["outcome"] == "not_run");
   cr_assert(!FindHeader(refused.response.headers, "Retry-After").empty());
   // and one that may be repeated is served
@@ -265,7 +265,7 @@
     return count;
   };
   cr_assert(JsonOf(post(0, ""))["code"] == 108);
-  const HttpFetched first = post(0, "n-1");
+  const FetchResult first = post(0, "n-1");
   cr_assert(first.response.http_status == 200);
   cr_assert(WaitFor(
       [&] { return post(1, "n-1").response.body == first.response.body; }));
--- a/tests/process/delivery_test.cc
+++ b/tests/process/delivery_test.cc
@@ -13,7 +13,7 @@
 // was broken off.
 #include <criterion/criterion.h>
 
-#include "net/tests/slow_caller.h"
+#include "net/tests/slow_client.h"
 #include "platform/tests/relay_fleet.h"
 #include "process/fleet.h"
 
@@ -41,8 +41,8 @@
   return WaitFor([&] { return host.Log().find(words) != std::string::npos; });
 }
 
-bool IsOver(const SlowCaller& caller) {
-  return WaitFor([&] { return caller.Ended() != SlowCaller::End::kOpen; });
+bool IsOver(const SlowClient& caller) {
+  return WaitFor([&] { return caller.Ended() != SlowClient::End::kOpen; });
 }
 
 Test(a_stopping_host, delivers_an_answer_whose_run_has_ended) {
@@ -50,7 +50,7 @@
   Fleet fleet(OneHost());
   fleet.Start();
   // given an answer that is written whole, and a caller that has read nothing
-  SlowCaller caller(Report(fleet));
+  SlowClient caller(Report(fleet));
   cr_assert(HasLogged(fleet.Host(0), "outcome=complete"));
   // when the host stops, and the caller reads 250 kB a second
   fleet.Host(0).AskToStop();
@@ -67,7 +67,7 @@
   RelayFleet fleet(1, 1, 1);
   fleet.Start();
   // given a host that stops while a run of three seconds goes on
-  SlowCaller caller(fleet.Stream(0, "r-1", kEvents));
+  SlowClient caller(fleet.Stream(0, "r-1", kEvents));
   cr_assert(HasLogged(fleet.Host(0), "event=route request=r-1"));
   fleet.Host(0).AskToStop();
   // when the caller reads a little slower than its tokens come
--- a/tests/process/stop_work_test.cc
+++ b/tests/process/stop_work_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "net/tests/slow_caller.h"
+#include "net/tests/slow_client.h"
 #include "process/fleet.h"
 
 namespace meadowthread::tests {
@@ -61,7 +61,7 @@
   fleet.Start();
   const HttpRequest request = Post(fleet.HostUrl(0) + "/v1/completions", kKey,
                                    R"({"model":"reconcile","prompt":"x"})");
-  std::vector<std::unique_ptr<SlowCaller>> silent;
+  std::vector<std::unique_ptr<SlowClient>> silent;
   const SystemClock clock;
   const std::int64_t begun_ms = clock.MonotonicMs();
   std::int64_t last_ms = 0;
@@ -71,7 +71,7 @@
     if (now_ms - last_ms > kSilentEveryMs) {
       last_ms = now_ms;
       silent.push_back(
-          std::make_unique<SlowCaller>(request, SlowCaller::Sends::kNothing));
+          std::make_unique<SlowClient>(request, SlowClient::Sends::kNothing));
     }
     return !fleet.Host(0).IsRunning() || now_ms - begun_ms > kSoonMs;
   }));
--- a/tests/process/stops_test.cc
+++ b/tests/process/stops_test.cc
@@ -60,7 +60,7 @@
                           {"version", 1000},
                           {"value", mark.dump()},
                           {"deleted", false}}}}}}};
-  const HttpFetched offered =
+  const FetchResult offered =
       Call(fleet.Client(), Post(fleet.ControlUrl(0) + "/rpc", "", call.dump()));
   cr_assert(JsonOf(offered)["result"]["taken"] == 1, "%s",
             offered.response.body.c_str());
--- a/tests/soak/soak_caller.cc
+++ b/tests/soak/soak_caller.cc
@@ -19,8 +19,8 @@
       request_of(std::move(request_of)),
       exchanges({{this->next(), {}}}),
       slow(this->request_of(this->exchanges.front().asked),
-           tests::SlowCaller::Sends::kRequest, manner.receive_bytes),
-      reader(MessageKind::kAnswer, kHeadLimit) {
+           tests::SlowClient::Sends::kRequest, manner.receive_bytes),
+      reader(MessageKind::kResponse, kHeadLimit) {
   if (this->manner.pipelines) {
     this->Send();
   }
@@ -51,7 +51,7 @@
       this->exchanges[i].answer.left = true;
     }
     this->over = true;
-  } else if (this->slow.Ended() != tests::SlowCaller::End::kOpen) {
+  } else if (this->slow.Ended() != tests::SlowClient::End::kOpen) {
     this->EndConnection();
   } else if (this->answered == this->exchanges.size()) {
     const bool more = this->manner.follow_ups-- > 0 ||
@@ -96,7 +96,7 @@
 // Several may be left: those after the first got nothing.
 void SoakCaller::EndConnection() {
   this->over = true;
-  const bool in_order = this->slow.Ended() == tests::SlowCaller::End::kFinished;
+  const bool in_order = this->slow.Ended() == tests::SlowClient::End::kFinished;
   if (in_order && this->answered < this->exchanges.size()) {
     Answer& answer = this->exchanges[this->answered].answer;
     answer.whole =
--- a/tests/soak/soak_caller.h
+++ b/tests/soak/soak_caller.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "net/message_reader.h"
-#include "net/tests/slow_caller.h"
+#include "net/tests/slow_client.h"
 #include "soak/asked.h"
 
 namespace meadowthread::soak {
@@ -58,7 +58,7 @@
   Next next;
   RequestOf request_of;
   std::vector<Exchange> exchanges;
-  tests::SlowCaller slow;
+  tests::SlowClient slow;
   MessageReader reader;
   std::size_t taken = 0;     ///< bytes handed to the reader
   std::size_t answered = 0;  ///< exchanges that are over
