--- a/src/exchange/peer_directory.h
+++ b/src/exchange/peer_directory.h
@@ -19,7 +19,7 @@
   std::string zone;
   std::string region;
 
-  friend bool operator==(const PeerLocation&, const HostLocation&) = default;
+  friend bool operator==(const PeerLocation&, const PeerLocation&) = default;
 };
 
 /// @brief One host of the host list.
