--- a/src/allocation/allocation_datagrams.h
+++ b/src/allocation/allocation_datagrams.h
@@ -10,8 +10,8 @@
 
 namespace meadowthread {
 
-/// @brief Sends allocation messages as datagrams. They are not retransmitted,
-/// as a late message is of no use.
+/// @brief Sends allocation messages as datagrams. Lost ones are not
+/// retransmitted, because they would arrive too late to be of use.
 class AllocationDatagrams final : public AllocationChannel {
  public:
   /// @param[in] hub,receiver must outlive this
--- a/src/allocation/allocation_messages.cc
+++ b/src/allocation/allocation_messages.cc
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-// Larger counts of tokens or milliseconds are clamped to this: no prompt and no
-// wait is as long.
+// Counts of tokens or milliseconds are clamped to this value, which exceeds the
+// length of any prompt and of any wait.
 constexpr std::int64_t kMaxCount = 1'000'000'000;
 
 enum class Field { kText, kCount, kNumber, kFlag, kTextArray };
--- a/src/allocation/allocation_messages.h
+++ b/src/allocation/allocation_messages.h
@@ -14,10 +14,10 @@
 
 namespace meadowthread {
 
-/// @brief Most engines that one PlacementRequest may exclude.
+/// @brief Maximum number of engines that one PlacementRequest may exclude.
 inline constexpr std::size_t kMaxAvoidedEngines = 64;
 
-/// @brief A host asks an allocator for an engine.
+/// @brief A host's request to an allocator to choose an engine.
 struct PlacementRequest {
   std::uint64_t ticket = 0;  ///< identifies the request within its origin
   std::string origin;        ///< the host that gets the response
@@ -26,14 +26,15 @@
   std::string source;
   WorkItem work;
   std::vector<std::string> avoid;  ///< engines that the host can't use now
-  bool may_forward = true;         ///< to the allocator of another group
-  bool is_forwarded = false;       ///< another group's allocator sent it on
+  bool may_forward =
+      true;  ///< whether it may be sent on to another group's allocator
+  bool is_forwarded = false;  ///< sent by another group's allocator
 };
 
 /// @brief Result of a PlacementRequest.
 enum class PlacementStatus {
   kPlaced,    ///< an engine was chosen
-  kNoRoom,    ///< no usable engine can begin it in time
+  kNoRoom,    ///< no usable engine has room for it or can begin it in time
   kNoEngine,  ///< no engine is usable
   kQueued,    ///< a migration that waits for its source engine's link
   kDeclined,  ///< not the group's allocator, or its load data is incomplete
@@ -41,22 +42,24 @@
 
 /// @brief Response to a PlacementRequest.
 struct PlacementResponse {
-  std::uint64_t ticket = 0;  ///< of the request
+  std::uint64_t ticket = 0;  ///< ticket of the request
   PlacementStatus status = PlacementStatus::kDeclined;
-  std::string engine;         ///< the chosen one, or else the best candidate
-  double cost = 0.0;          ///< placement cost, see PressureOptions
-  double memory_share = 0.0;  ///< expected to be used, of the engine's memory
-  int in_flight = 0;          ///< requests at the engine
-  std::int64_t first_event_ms = 0;        ///< expected until the first event
-  std::int64_t prefill_tokens_ahead = 0;  ///< queued at the engine before it
-  bool was_forwarded = false;             ///< sent by another group's allocator
+  std::string engine;  ///< the chosen one, or else the best candidate
+  double cost = 0.0;   ///< placement cost, see PressureOptions
+  double memory_share =
+      0.0;            ///< fraction of the engine's memory expected to be used
+  int in_flight = 0;  ///< requests at the engine
+  std::int64_t first_event_ms = 0;  ///< expected time to the first event
+  std::int64_t prefill_tokens_ahead =
+      0;  ///< prompt tokens that the engine prefills before this request's
+  bool was_forwarded = false;  ///< sent by another group's allocator
 };
 
 /// @brief Releases the link of an engine after a migration, or withdraws a
 /// migration that waits for the link.
 struct LinkRelease {
   std::string engine;
-  std::uint64_t ticket = 0;  ///< of the migration's PlacementRequest
+  std::uint64_t ticket = 0;  ///< ticket of the migration's PlacementRequest
 };
 
 /// @brief The lowest placement cost among the engines of a group.
@@ -79,7 +82,7 @@
 nlohmann::json ToJson(const EngineAttempt& attempt);
 nlohmann::json ToJson(const PrefillObservation& seen);
 
-/// @brief Decodes a message; an error for any payload that does not fit.
+/// @brief Decodes a message; returns an error for a malformed payload.
 absl::StatusOr<PlacementRequest> PlacementRequestFrom(
     const nlohmann::json& payload);
 absl::StatusOr<PlacementResponse> PlacementResponseFrom(
--- a/src/allocation/allocation_participant.cc
+++ b/src/allocation/allocation_participant.cc
@@ -15,14 +15,14 @@
 // missed requests that other hosts began and ended meanwhile, and what it has
 // received since is out of order.
 constexpr std::int64_t kStallMs = 500;
-// By then the other hosts have reported all of their loads: a datagram each way
-// and one period of their report timer.
+// Time in which the other hosts, once asked, report all of their loads: one
+// datagram in each direction and one period of their report timer.
 constexpr std::int64_t kSyncMs = 200;
 // A group's pressure is sent to at most this many groups per tick, drawn at
 // random, so that the cost does not grow with the number of groups.
 constexpr std::size_t kMaxPressureGroups = 8;
-// A host is considered gone after a minute of silence, and is assigned groups
-// only if it was heard from in the last ten seconds.
+// Other hosts consider a host gone after a minute of silence, and assign groups
+// only to hosts heard from in the last ten seconds.
 constexpr std::int64_t kHeartbeatPeriodMs = 8'000;
 
 }  // namespace
@@ -76,7 +76,7 @@
   const std::vector<AllocatorHost> hosts = this->current_hosts();
   this->groups.CountEngines(this->dependencies.fleet);
   this->groups.SetHosts(hosts);
-  // A host that is stopping is not in the list; it still asks the allocators.
+  // A stopping host is not in the list itself, but still asks the allocators.
   const bool is_shared = hosts.size() > this->options.direct_hosts;
   if (is_shared != this->client.IsShared()) {
     LogLine("allocation-shared")
@@ -87,8 +87,9 @@
   }
 }
 
-// After getting a new group this host has no loads of it, and after a stall its
-// loads are outdated: in both cases all hosts are asked for reports.
+// When a new group is assigned to this host, it knows no loads of that group,
+// and after a stall the loads that it knows are outdated. In both cases it asks
+// all hosts for reports.
 void AllocationParticipant::UpdateOwnGroups(bool was_stalled) {
   std::set<std::string> assigned;
   for (const std::string& group : this->groups.Groups()) {
@@ -180,8 +181,8 @@
 void AllocationParticipant::OnMessage(std::string_view host,
                                       const PlacementRequest& request) {
   const std::int64_t now_ms = this->dependencies.clock.WallMs();
-  // After a stall the datagrams that piled up are read before the overdue tick
-  // runs.
+  // After a stall, datagrams that have piled up are handled before the overdue
+  // tick, which would detect the stall.
   if (this->WasStalled()) {
     this->allocator.SetReadyFrom(now_ms + kSyncMs);
   }
--- a/src/allocation/allocation_participant.h
+++ b/src/allocation/allocation_participant.h
@@ -24,7 +24,7 @@
 struct AllocationDependencies {
   DatagramHub& hub;
   FleetState& fleet;
-  EngineAllocation& local;  ///< chooses where no allocator does
+  EngineAllocation& local;  ///< chooses engines if no allocator does
   LoadSink& loads;          ///< is passed the loads of other hosts
   Scheduler& scheduler;
   const Clock& clock;
@@ -37,8 +37,8 @@
   HostLocation self;
   PressureOptions pressure;
   /// With at most this many hosts, every host sends its loads to all others and
-  /// chooses engines itself. With more there are allocators, as that traffic
-  /// grows with the square of the number of hosts.
+  /// chooses engines itself. With more hosts, allocators choose, because the
+  /// traffic among all hosts grows with the square of their number.
   std::size_t direct_hosts = 0;
 };
 
@@ -77,11 +77,11 @@
   /// allocators.
   void ReportAttempt(const EngineAttempt& attempt);
 
-  /// @brief A message of any kind came from another host.
+  /// @brief Records that a message of any kind came from another host.
   void NoteHeard(std::string_view host) { this->client.NoteHeard(host); }
 
-  /// @brief Sends the prefill time of one of this host's streams to the
-  /// engine's allocators, when the stream's first event has come.
+  /// @brief Sends a prefill measurement, taken at the first event of one of
+  /// this host's streams, to the engine's allocators.
   void ReportPrefill(const PrefillObservation& seen);
 
   /// @brief Chooses engines for this host's own requests.
--- a/src/allocation/allocator.cc
+++ b/src/allocation/allocator.cc
@@ -9,24 +9,27 @@
 namespace meadowthread {
 namespace {
 
-// A host's load report includes a placement made this long before, even if its
-// counts do not show it: a round trip within a zone and one period of the
-// report timer.
+// A load report that arrives this long after a placement includes it, even if
+// the counts do not show it: the time covers a round trip within a zone and one
+// period of the report timer.
 constexpr std::int64_t kReportLagMs = 40;
-// A reservation that no load report has covered for this long was not used, or
-// the report was lost; later reports repeat it. Stalls of hosts that have used
-// up their share of CPU time are shorter than this.
+// A reservation expires if no load report has covered it for this long: the
+// placement was not used, or the report was lost and later reports include the
+// request again. Hosts that have used up their share of CPU time stall for less
+// than this.
 constexpr std::int64_t kReservationMs = 300;
-// Pressures are sent every quarter of a second, so three in a row may be lost.
+// A group's pressure is ignored if it was received longer ago than this. It is
+// sent every quarter of a second, so three messages in a row may be lost.
 constexpr std::int64_t kMaxPressureAgeMs = 1'000;
-// An engine of another group has to be cheaper by this much, a third of an
-// engine's memory: in another zone its streams, and migrations to and from it,
-// would cross between zones.
+// A request is forwarded to another group only if an engine there is cheaper by
+// more than this, about a third of an engine's memory: if that group is in
+// another zone, the streams of its engines and migrations to and from them
+// cross between zones.
 constexpr double kCrossGroupCost = 0.3;
-// Added to the known pressure of another group for each request forwarded to
-// it, until its next report: the prefill of one prompt, spread over a few dozen
-// engines, times the number of groups that see the same pressure and forward to
-// the same group.
+// Each request forwarded to another group raises the pressure that this host
+// assumes for that group by this much, until the group reports again. The
+// prefill of one prompt adds little when spread over a few dozen engines, but
+// several groups see the same low pressure and forward there at the same time.
 constexpr double kForwardCost = 0.1;
 
 PlacementResponse ResponseOf(const PlacementRequest& request,
@@ -98,8 +101,9 @@
   PressureOptions group_options = this->options;
   // All engines of a group are in the same zone.
   group_options.zone_cost = 0.0;
-  // Only this allocator places work on the group, so that the best engine can
-  // be taken without spreading choices over near-equal ones.
+  // Only this allocator places work on the group, so it can take the best
+  // engine. Random choice among near-equal engines is needed only if several
+  // hosts choose.
   group_options.near_equal = 0.0;
   // Prefer migration targets whose link carries no other copy.
   if (!request.source.empty()) {
@@ -116,8 +120,9 @@
   return chooser.Choose(request.work, this->fleet, now_ms, random);
 }
 
-// A request is forwarded, at most once, if no engine is usable here or another
-// group is cheaper by more than kCrossGroupCost.
+// Returns the group to forward the request to, or an empty string. A request is
+// forwarded, at most once, if no engine is usable here or another group is
+// cheaper by more than kCrossGroupCost.
 std::string Allocator::LessLoadedGroup(const PlacementRequest& request,
                                        const Decision& decision,
                                        std::int64_t now_ms) {
@@ -174,7 +179,8 @@
   this->fleet.ForgetPeerLoad(reservation.engine, reservation.name);
 }
 
-// Requests of the host at the engine: those it reported, and reservations.
+// Number of the host's requests at the engine: those that it reported, and its
+// reservations.
 std::int64_t Allocator::RequestsOf(std::string_view host,
                                    std::string_view engine,
                                    std::int64_t now_ms) const {
@@ -190,9 +196,10 @@
                                   });
 }
 
-// If the host reports more requests than before the reservation, the new one is
-// included. If not, an older request may have ended, or the report was sent
-// before the host got the placement; kReportLagMs decides between the two.
+// If the host reports more requests than before the reservation, its report
+// includes the new one. If not, either an older request has ended, or the
+// report was sent before the host got the placement; kReportLagMs decides
+// between the two.
 void Allocator::ConfirmReservations(std::string_view host,
                                     std::span<const EngineLoadNote> notes,
                                     std::int64_t now_ms) {
@@ -281,7 +288,8 @@
   request.group = std::string(group);
   request.work = work->second;
   const Decision decision = this->ChooseEngine(request, now_ms, 0);
-  // Without room the group must not attract requests from other groups.
+  // A group without room must not attract requests from other groups, so it
+  // reports no pressure.
   if (!decision.engine.has_value()) {
     return std::nullopt;
   }
--- a/src/allocation/allocator.h
+++ b/src/allocation/allocator.h
@@ -37,11 +37,12 @@
 /// @brief Places requests on the engines of the groups that this host is an
 /// allocator of.
 ///
-/// When hundreds of hosts choose among the same engines from load reports that
-/// are two seconds old, they send their streams to the same engine and these
-/// queue there. The allocator counts each placement at once, as a reservation.
-/// All of its state can be rebuilt from load reports: after a start or a stall
-/// it declines requests until the other hosts have reported.
+/// Guards against overload of single engines: when hundreds of hosts choose
+/// among the same engines from load reports that are two seconds old, they send
+/// their streams to the same engine, where these queue. An allocator counts
+/// each placement at once, as a reservation. All of its state can be rebuilt
+/// from load reports: after a start or a stall it declines requests until the
+/// other hosts have reported.
 class Allocator {
  public:
   /// @param[in] self this host's name
@@ -51,8 +52,9 @@
   Allocator(const Allocator&) = delete;
   Allocator& operator=(const Allocator&) = delete;
 
-  /// @brief Makes the allocator place requests only on engines at which the
-  /// requesting host has a share of the arrival limit.
+  /// @brief Limits the rate of new requests at each engine: a request is placed
+  /// only on an engine at which the requesting host has a share of the rate
+  /// limit.
   /// @param[in] with,clock must outlive this
   void SetArrivals(const ServerRateLimiter& with, const Clock& clock) {
     this->arrivals = &with;
@@ -72,7 +74,8 @@
   AllocatorResult Allocate(const PlacementRequest& request, std::int64_t now_ms,
                            std::uint64_t random);
 
-  /// @brief A migration is over or withdrawn: frees its engine's link.
+  /// @brief Frees the link of an engine whose migration is over or was
+  /// withdrawn.
   void ReleaseLink(std::string_view host, const LinkRelease& release) {
     this->links.Release(release.engine, {std::string(host), release.ticket});
   }
@@ -81,12 +84,12 @@
   std::vector<LinkGrant> GrantLinks(std::int64_t now_ms, std::uint64_t random);
 
   /// @brief Drops the reservations that a host's load report now covers. The
-  /// report must be in the fleet state already.
+  /// fleet state must include the report already.
   void ConfirmReservations(std::string_view host,
                            std::span<const EngineLoadNote> notes,
                            std::int64_t now_ms);
 
-  /// @brief Takes the pressure that another group's allocator reported.
+  /// @brief Records the pressure that another group's allocator reported.
   void UpdatePressure(const GroupPressure& pressure, std::int64_t now_ms) {
     this->pressures[pressure.group] = {pressure.cost, now_ms};
   }
@@ -103,9 +106,11 @@
   struct Reservation {
     std::string host;
     std::string engine;
-    std::string name;  ///< under which it is a peer's load in the fleet state
+    std::string name;  ///< the peer name under which the fleet state holds this
+                       ///< reservation as a PeerLoad
     std::int64_t reserved_ms = 0;
-    std::int64_t requests_before = 0;  ///< of the host at the engine
+    std::int64_t requests_before =
+        0;  ///< requests of the host at the engine before this one
   };
   struct ReportedPressure {
     double cost = 0.0;
--- a/src/allocation/allocator_client.cc
+++ b/src/allocation/allocator_client.cc
@@ -9,17 +9,19 @@
 namespace meadowthread {
 namespace {
 
-// A response takes less than a millisecond within a zone. A host that has used
-// up its share of CPU time stalls for less than this, and the latency targets
-// of streams are more than a second.
+// A response takes less than a millisecond within a zone. This time is longer
+// than the stalls of a host that has used up its share of CPU time, and short
+// compared with the latency targets of streams, which are more than a second.
 constexpr std::int64_t kResponseTimeoutMs = 60;
-// An allocator that did not respond is not asked for this long: it is being
-// restarted or is unreachable, and each request would cost kResponseTimeoutMs.
+// An allocator that did not respond is not asked again for this long: it is
+// being restarted or is unreachable, and each request to it would lose
+// kResponseTimeoutMs.
 constexpr std::int64_t kSuspectMs = 2'000;
-// A queued migration repeats its request, as the message that grants it the
-// link may be lost.
+// Period in which the request of a queued migration is repeated, because the
+// message that grants the link may be lost.
 constexpr std::int64_t kQueueRetryMs = 250;
-// A draining engine is gone by then.
+// Maximum time for which a migration waits for the link: after that, its
+// draining engine is gone.
 constexpr std::int64_t kMaxQueueWaitMs = 3'000;
 // After the allocator has chosen this many engines that this host knows to be
 // unusable, the host chooses locally.
@@ -71,15 +73,15 @@
          found->second > this->clock.MonotonicMs();
 }
 
-// The allocator knows which hosts have a share of the arrival limit, but not
-// whether they have used it up.
+// Checked here because the allocator knows which hosts have a share of an
+// engine's rate limit, but not whether they have used it up.
 bool AllocatorClient::HasUsedUpArrivalShare(std::string_view engine) const {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   return this->arrivals != nullptr && !this->arrivals->May(engine, now_ms) &&
          this->arrivals->HasShare(this->self.host, engine, now_ms);
 }
 
-// Engines that this host has found unusable itself; the allocator may not know
+// Engines that this host knows to be unusable; the allocator may not know it
 // yet.
 std::vector<std::string> AllocatorClient::LocallyUnusableEngines() const {
   const std::int64_t now_ms = this->clock.WallMs();
@@ -163,7 +165,8 @@
   this->FallBack(ticket);
 }
 
-// The response may be handled, and the entry erased, before this returns.
+// The response may be handled, and the pending entry erased, before this
+// function returns.
 void AllocatorClient::SendRequest(std::uint64_t ticket) {
   Pending& entry = this->pending.at(ticket);
   ++entry.attempts;
@@ -240,8 +243,9 @@
   }
 }
 
-// The engine lists of two hosts may differ for a moment. An engine that this
-// host knows to be draining or gone is rejected and the request repeated.
+// The engine lists of two hosts may differ for a moment. If this host knows the
+// chosen engine to be draining or gone, it rejects the engine and repeats the
+// request.
 void AllocatorClient::OnPlaced(std::uint64_t ticket,
                                const PlacementResponse& response) {
   Pending& entry = this->pending.at(ticket);
@@ -268,7 +272,8 @@
   chosen(decision);
 }
 
-// New work is placed locally; a migration gets no engine.
+// Called if no allocator placed the request: chooses an engine locally for new
+// work, and none for a migration.
 void AllocatorClient::FallBack(std::uint64_t ticket) {
   const Pending entry = std::move(this->pending.at(ticket));
   this->pending.erase(ticket);
--- a/src/allocation/allocator_client.h
+++ b/src/allocation/allocator_client.h
@@ -29,7 +29,7 @@
 /// chooses locally if none of them responds.
 class AllocatorClient final : public EngineAllocation {
  public:
-  /// @param[in] local chooses where no allocator is asked or none responds
+  /// @param[in] local chooses engines if no allocator is asked or none responds
   /// @param[in] groups,fleet,local,channel,scheduler,clock must outlive this
   AllocatorClient(HostLocation self, const EngineGroups& groups,
                   const FleetState& fleet, EngineAllocation& local,
@@ -39,18 +39,20 @@
   AllocatorClient& operator=(const AllocatorClient&) = delete;
 
   /// @brief Excludes engines at which this host has used up its share of the
-  /// arrival limit.
+  /// rate limit for new requests.
   /// @param[in] with must outlive this
   void SetArrivals(const ServerRateLimiter& with) { this->arrivals = &with; }
 
-  /// @brief Sets whether allocators are asked; if not, this host chooses
-  /// locally.
+  /// @brief Sets whether allocators are asked to choose engines; if not, this
+  /// host chooses locally.
   void SetShared(bool is_shared) { this->is_shared = is_shared; }
 
-  /// @brief A message came from the host: it is no longer suspected.
+  /// @brief Records that a message came from the host, which therefore is asked
+  /// again if it had not responded before.
   void NoteHeard(std::string_view host);
 
-  /// @brief Takes an allocator's response; late and duplicate ones are ignored.
+  /// @brief Handles an allocator's response; late and duplicate ones are
+  /// ignored.
   void OnResponse(const PlacementResponse& response);
 
   // EngineAllocation
--- a/src/allocation/engine_groups.cc
+++ b/src/allocation/engine_groups.cc
@@ -12,9 +12,9 @@
 namespace meadowthread {
 namespace {
 
-// An engine begins two or three streams per second, and each stream costs the
-// allocator six datagrams: for this many engines it needs less than 1 % of a
-// core.
+// Maximum number of engines of a group. An engine begins two or three streams
+// per second, and each stream costs the allocator six datagrams, so that this
+// many engines need less than 1 % of a core.
 constexpr std::size_t kMaxEnginesPerGroup = 48;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed = 0) {
@@ -52,8 +52,8 @@
   this->engine_counts = std::move(counts);
 }
 
-// Rounded up to a power of two, so that it rarely changes when engines come and
-// go; each change moves engines between groups.
+// The count is rounded up to a power of two, so that it rarely changes when
+// engines come and go; each change moves engines to other groups.
 std::size_t EngineGroups::GroupCount(std::string_view zone) const {
   const auto found = this->engine_counts.find(zone);
   const std::size_t count =
@@ -94,8 +94,8 @@
                    .first->second;
 }
 
-// Rendezvous hashing: a host that joins or leaves changes only the groups that
-// it is an allocator of.
+// Rendezvous hashing: when a host joins or leaves, only the groups that it is
+// an allocator of change.
 std::vector<std::string> EngineGroups::RankAllocators(
     std::string_view group) const {
   const std::string_view zone = ZoneOf(group);
--- a/src/allocation/engine_groups.h
+++ b/src/allocation/engine_groups.h
@@ -12,7 +12,7 @@
 
 namespace meadowthread {
 
-/// @brief An entry host that may be an allocator.
+/// @brief A host that accepts requests of callers and may be an allocator.
 struct AllocatorHost {
   std::string name;
   std::string zone;
@@ -29,7 +29,8 @@
 /// higher load on it.
 class EngineGroups {
  public:
-  /// The first one places requests; the second is asked if it does not respond.
+  /// The first allocator of a group places requests; the second is asked if the
+  /// first does not respond.
   static constexpr std::size_t kAllocatorsPerGroup = 2;
 
   /// @return whether the hosts changed
--- a/src/allocation/link_queues.cc
+++ b/src/allocation/link_queues.cc
@@ -8,8 +8,8 @@
 namespace meadowthread {
 namespace {
 
-// Hosts renew a request every quarter of a second; one of two renewals may be
-// lost.
+// A queued request is dropped if it was not renewed for this long. Hosts renew
+// it every quarter of a second, so that one of two renewals may be lost.
 constexpr std::int64_t kMaxRequestAgeMs = 600;
 
 }  // namespace
--- a/src/allocation/link_queues.h
+++ b/src/allocation/link_queues.h
@@ -22,9 +22,9 @@
 /// migration holds a link at a time; the others wait in the order in which they
 /// asked.
 ///
-/// A link carries one copy of a KV cache after the other. When an engine with
-/// generations of many hosts drains, a generation pauses if the last step of
-/// its copy waits behind the copy of another one.
+/// A link carries the copies of KV caches one after the other. When an engine
+/// with generations of many hosts drains, a generation would pause if the last
+/// step of its copy had to wait behind the copy of another one.
 class LinkQueues {
  public:
   /// @brief Requests the link for a migration, or renews the request.
--- a/src/allocation/tests/allocation_messages_test.cc
+++ b/src/allocation/tests/allocation_messages_test.cc
@@ -45,8 +45,8 @@
   cr_assert(read.ok() && ToJson(*read) == ToJson(response));
 }
 
-// Replaces each field in turn by a value of another type, and passes payloads
-// that are no message at all.
+// Replaces each field in turn by a value of another type, and decodes payloads
+// that are not messages at all.
 Test(a_malformed_message, is_rejected) {
   const std::vector<json> wrong = {json(), json("x"), json(-1),
                                    json::array({1}), json::object()};
--- a/src/allocation/tests/allocation_participant_test.cc
+++ b/src/allocation/tests/allocation_participant_test.cc
@@ -18,8 +18,8 @@
   void OnNotes(std::string_view, std::span<const EngineLoadNote>) override {}
 };
 
-/// @brief Two hosts in one zone, so that both are allocators of its group; the
-/// other one never answers.
+/// @brief Two hosts in one zone, so that both are allocators of its group. The
+/// second host never answers.
 struct Fixture {
   explicit Fixture(std::size_t direct_hosts = 1) : fleet(2) {
     this->options.self = {"self", "z"};
@@ -79,8 +79,8 @@
   cr_assert(fixture.PlacesRequest());
 }
 
-// After a stall the loads that a host knows are outdated: it would place
-// requests on engines that are full or gone.
+// After a stall, the loads that a host knows are outdated: without new reports
+// it would place requests on engines that are full or gone.
 Test(a_stalled_host, places_nothing_until_it_has_new_load_reports) {
   Fixture fixture;
   fixture.Elapse(300);
--- a/src/allocation/tests/allocator_client_test.cc
+++ b/src/allocation/tests/allocator_client_test.cc
@@ -32,7 +32,7 @@
   std::vector<std::pair<std::string, LinkRelease>> releases;
 };
 
-/// @brief Chooses the engine "alone" for everything.
+/// @brief Local allocation that always chooses the engine "alone".
 struct FakeLocal final : public EngineAllocation {
   void Choose(const WorkItem&, const Chosen& chosen) override {
     Decision decision;
--- a/src/allocation/tests/allocator_test.cc
+++ b/src/allocation/tests/allocator_test.cc
@@ -62,9 +62,9 @@
 };
 
 // Guards against hundreds of hosts sending their streams to the same engines
-// because load reports come too late: with independent choices 1,003 of the
-// 2,997 reports generated on a quiet day missed their latency target. Here 24
-// requests come before any host has reported one.
+// because load reports come too late: when each host chose by itself, 1,003 of
+// the 2,997 reports generated on a quiet day missed their latency target. Here
+// 24 requests arrive before any host has reported one.
 Test(requests_of_many_hosts, are_spread_before_any_host_reports_them) {
   Fixture fixture(8);
   std::map<std::string, int> placed;
@@ -192,9 +192,9 @@
   cr_assert(once.forward_to.empty() && once.response.was_forwarded);
 }
 
-// Guards against all groups forwarding to the least loaded one: on a quiet day
-// a group of 26 engines got 98 requests within two seconds, while other groups
-// got 40, and rejected 42 of them.
+// Guards against all groups forwarding to the least loaded one: on a quiet day,
+// one group of 26 engines got 98 requests within two seconds and rejected 42 of
+// them, while other groups got 40.
 Test(forwarded_work, does_not_all_go_to_one_group) {
   Fixture fixture(1);
   fixture.ReportLoad("e0", kCapacity / 2, 6'000, 1);
--- a/src/allocation/tests/link_queues_test.cc
+++ b/src/allocation/tests/link_queues_test.cc
@@ -10,9 +10,9 @@
 const MigrationId kSecond{"host-2", 1};
 const MigrationId kThird{"host-3", 1};
 
-// Guards against two copies on one link: when an engine with generations of
-// many hosts drains, the last step of the first copy would wait behind the
-// second.
+// Guards against two copies on one link at a time: when an engine with
+// generations of many hosts drains, the last step of the first copy would wait
+// behind the second copy.
 Test(a_link, carries_one_migration_after_the_other) {
   LinkQueues queues;
   cr_assert(queues.Request("e", kFirst, 0));
--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -9,9 +9,9 @@
 namespace meadowthread {
 namespace {
 
-// Time constant of the average of a queue's service rate.
+// Time constant of the exponential average of a queue's service rate.
 constexpr double kRateWindowMs = 10'000.0;
-// With fewer items served within the window, the rate is unreliable.
+// With fewer items served (decaying count), the rate is unreliable.
 constexpr double kMinServedForRate = 3.0;
 constexpr std::int64_t kMinRetryMs = 1'000;
 constexpr std::int64_t kMaxRetryMs = 60'000;
@@ -21,8 +21,8 @@
 // Cost of work whose expected tokens are not known.
 constexpr std::int64_t kDefaultCostTokens = 512;
 
-// Above this size, start tags that the virtual clock has already passed are
-// erased.
+// Above this number of saved start tags, those that the virtual clock has
+// already passed are erased.
 constexpr std::size_t kMaxSavedStartTags = 1'024;
 
 std::size_t LevelIndex(Urgency urgency) {
@@ -35,6 +35,7 @@
 
 double UnitInterval(std::uint64_t random) {
   constexpr double kScale = 0x1.0p-53;
+  // Of 64 random bits, a double can represent 53 exactly.
   constexpr int kDiscardedBits = 11;
   return static_cast<double>(random >> kDiscardedBits) * kScale;
 }
@@ -133,8 +134,8 @@
   flow.start_tag = level.virtual_time;
   const auto found = level.saved_start_tags.find(work.workspace);
   if (found != level.saved_start_tags.end()) {
-    // A workspace that was served ahead of its turn before its queue ran empty
-    // still has to wait for the others to catch up.
+    // If the workspace was served ahead of its turn before its queue ran empty,
+    // it still has to wait until the other workspaces have caught up.
     flow.start_tag = std::max(flow.start_tag, found->second);
     level.saved_start_tags.erase(found);
   }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -25,7 +25,7 @@
   /// its workspace already holds its maximum share of the queue
   kWorkspaceShare,
   kDeadlinePassed,   ///< its deadline passed, on arrival or while it was queued
-  kDeadlineTooNear,  ///< its deadline would pass before its expected start
+  kDeadlineTooNear,  ///< its deadline is before its expected start
   /// it was queued for the longest time that its urgency allows
   kWaitedTooLong,
 };
@@ -59,10 +59,9 @@
   std::array<std::size_t, kUrgencyCount> max_queued = {256, 512, 512};
   std::array<std::int64_t, kUrgencyCount> max_wait_ms = {10'000, 120'000,
                                                          600'000};
-  double workspace_share =
-      /// Largest fraction of a queue that one workspace may hold; applies once
-      /// the queue is half full.
-      0.5;
+  /// Largest fraction of a queue that one workspace may hold; applies once the
+  /// queue is half full.
+  double workspace_share = 0.5;
   /// Times that the head of a workspace's queue may be skipped for lack of
   /// room.
   int max_bypass = 32;
@@ -109,15 +108,15 @@
   struct Flow {  ///< queue of one workspace at one urgency
     std::string workspace;
     std::deque<WorkItem> items;
-    std::int64_t start_tag = 0;  ///< in tokens, on the level's virtual clock
+    std::int64_t start_tag =
+        0;  ///< on the level's virtual clock, which counts tokens
     int bypass_count = 0;
   };
 
   struct UrgencyLevel {       ///< queues of one urgency
     std::vector<Flow> flows;  ///< non-empty flows only
-    StringMap<std::int64_t>
-        /// Of flows that ran empty, by workspace.
-        saved_start_tags;
+    /// Start tags of workspaces whose queue ran empty, by workspace.
+    StringMap<std::int64_t> saved_start_tags;
     std::int64_t virtual_time = 0;  ///< start tag of the flow served last
     std::size_t size = 0;
     double recently_served = 0.0;  ///< exponentially decaying count
--- a/src/policy/allowed_regions.h
+++ b/src/policy/allowed_regions.h
@@ -16,8 +16,8 @@
 /// @brief Whether a request with these allowed regions may run in `region`.
 bool MayRunIn(const AllowedRegions& allowed_regions, std::string_view region);
 
-/// @brief The regions allowed by both the route and the workspace. An empty
-/// list imposes no restriction.
+/// @brief The regions allowed by both lists, the route's and the workspace's.
+/// An empty list imposes no restriction.
 AllowedRegions AllowedRegionsOf(std::span<const std::string> route,
                                 std::span<const std::string> workspace);
 
--- a/src/policy/baseline_choosers.h
+++ b/src/policy/baseline_choosers.h
@@ -8,7 +8,7 @@
 
 namespace meadowthread {
 
-/// @brief Takes the usable engines in turn.
+/// @brief Chooses the usable engines in round-robin order.
 class RoundRobinChooser final : public EngineChooser {
  public:
   Decision Choose(const WorkItem& work, const FleetState& fleet,
@@ -19,7 +19,7 @@
   std::uint64_t next = 0;
 };
 
-/// @brief Takes the engine with the least memory in use according to its last
+/// @brief Chooses the engine with the least memory in use according to its last
 /// load report.
 class LeastLoadChooser final : public EngineChooser {
  public:
@@ -28,8 +28,8 @@
   std::string_view Name() const override { return "least_load"; }
 };
 
-/// @brief Draws two engines at random and takes the one with fewer requests of
-/// this host in flight.
+/// @brief Draws two engines at random and chooses the one on which this host
+/// has fewer requests in flight.
 class PowerOfTwoChooser final : public EngineChooser {
  public:
   Decision Choose(const WorkItem& work, const FleetState& fleet,
--- a/src/policy/chooser.h
+++ b/src/policy/chooser.h
@@ -16,13 +16,14 @@
 
 /// @brief Why an engine was chosen, or why none was.
 enum class DecisionReason {
-  kRoundRobin,  ///< next in round-robin order
-  kLeastLoad,   ///< least loaded of the engines considered
-  kMemoryFits,  ///< cheapest of the engines whose memory is expected to suffice
-  kPrefixHint,  ///< as kMemoryFits, and the engine's cache may hold the
-                ///< prompt's prefix
-  kNotServed,   ///< no engine has the model loaded
-  kNoneUsable,  ///< every engine with the model is dead, leaving or stalled
+  kRoundRobin,   ///< next in round-robin order
+  kLeastLoad,    ///< least loaded of the engines considered
+  kMemoryFits,   ///< least cost of the engines whose memory is expected to
+                 ///< suffice
+  kPrefixHint,   ///< as kMemoryFits, and the engine's cache may hold the
+                 ///< prompt's prefix
+  kNotServed,    ///< no engine has the model loaded
+  kNoneUsable,   ///< every engine with the model is dead, leaving or stalled
   kNoneHasRoom,  ///< the work would probably overfill the memory of any engine
 };
 
@@ -70,7 +71,7 @@
 
 namespace detail {
 
-/// @brief The priority sent to engines that reflects nothing but the urgency.
+/// @brief The priority sent to engines if only the work's urgency counts.
 int UrgencyPriority(Urgency urgency);
 
 /// @brief A decision that names no engine.
@@ -79,8 +80,8 @@
 
 /// @brief Sorts engines best first: those that fit before those that do not,
 /// then by cost.
-/// @return the number of leading engines that fit like the best one and cost at
-/// most `near_equal` more
+/// @return the number of engines at the front that fit or not like the best one
+/// and whose cost exceeds its cost by at most `near_equal`
 /// @complexity O(n log n)
 template <typename ScoredEngine>
 std::size_t RankByCost(std::vector<ScoredEngine>& scored, double near_equal) {
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -44,8 +44,8 @@
   DispatchResult Offer(WorkItem work, std::int64_t now_ms,
                        std::uint64_t random);
 
-  /// @brief Removes and returns queued work that can be sent now. Call it
-  /// whenever a stream ends and every few tens of milliseconds.
+  /// @brief Removes and returns queued work that can be sent now. Should be
+  /// called whenever a stream ends, and every few tens of milliseconds.
   /// @param[in] max_orders limit for this call, so that a host with a wrong
   /// view of the engines does not send them its whole queue at once
   std::vector<SendOrder> Drain(std::int64_t now_ms, std::uint64_t random,
--- a/src/policy/engine_allocation.h
+++ b/src/policy/engine_allocation.h
@@ -28,10 +28,10 @@
   /// returns
   virtual void Choose(const WorkItem& work, const Chosen& chosen) = 0;
 
-  /// @brief Whether other hosts (allocators) choose the engines and schedule
-  /// the KV-cache copies. If not, work without room is queued on this host, and
-  /// hosts take turns at an engine's network link according to what they tell
-  /// each other.
+  /// @brief Whether other hosts, the allocators, choose the engines and
+  /// schedule the KV-cache copies. If not, this host queues work for which no
+  /// engine has room, and hosts take turns at an engine's network link
+  /// according to the loads that they report to each other.
   virtual bool IsShared() const = 0;
 
   /// @brief Requests a turn to copy the run's KV cache over the network link of
@@ -41,8 +41,8 @@
   virtual void RequestMigration(const MigrationRequest& move,
                                 const Chosen& granted) = 0;
 
-  /// @brief Ends the migration's turn at the link: the copy is done or was
-  /// never started. The next migration may begin.
+  /// @brief Ends the migration's turn at the link, because its copy is done or
+  /// will not be started. The next migration may begin.
   virtual void EndMigration(const MigrationRequest& move) = 0;
 };
 
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -17,10 +17,11 @@
   bool leaving = false;  ///< about to leave the fleet: gets no new work
   /// Unix ms until which the engine is slow after its start; 0: it is not slow.
   std::int64_t warm_at_ms = 0;
-  /// KV-cache capacity in tokens; 0: not in the host list, known from load
-  /// reports only.
+  /// KV-cache capacity in tokens; 0: the entry does not state it, and it is
+  /// taken from load reports.
   std::int64_t kv_capacity = 0;
-  /// Loaded models; empty: not in the host list, known from load reports only.
+  /// Loaded models; empty: the entry does not state them, and they are taken
+  /// from load reports.
   std::vector<ServedModel> models = {};
   std::string region = {};
 };
@@ -60,7 +61,7 @@
   int running = 0;
   int waiting = 0;
 
-  // This host's own requests, always exact.
+  // This host's own requests on the engine, always exact.
   int own_in_flight = 0;
   int own_since_report = 0;  ///< sent after `reported_unix_ms`
   std::int64_t own_kv = 0;   ///< KV-cache tokens held by own streams now
--- a/src/policy/first_attempt_estimator.cc
+++ b/src/policy/first_attempt_estimator.cc
@@ -5,21 +5,24 @@
 namespace meadowthread {
 namespace {
 
-// Attempts of one caller are further apart than this; equal limits differ only
-// by rounding.
+// Time limits that differ by at most this count as equal: rounding makes them
+// differ by less, and the attempts of one caller are further apart.
 constexpr std::int64_t kToleranceMs = 20;
-// Decay of the counts for each request: they cover about the last fifty.
+// Factor applied to the counts at each request, so that they cover about the
+// last fifty requests.
 constexpr double kDecay = 0.98;
-// If a smaller share of the requests has the longest limit, it is not the
-// common limit of first attempts. In a burst, up to half of the requests are
-// second attempts.
+// If a smaller fraction of a route's requests has the longest limit, that limit
+// is not the common one of first attempts. The fraction is below a half because
+// in a burst up to half of the requests are second attempts.
 constexpr double kMinLongestShare = 0.35;
-// With fewer requests, nothing is known of the route's callers yet.
+// With a lower count of requests, too little is known about the route's callers
+// for an estimate.
 constexpr double kMinRequests = 4.5;
-// After this many requests, a longest limit that few requests have is replaced.
+// Once this many requests are counted, a longest limit that too few of them
+// have (kMinLongestShare) is replaced by the current request's limit.
 constexpr double kReplaceAfter = 15.0;
-// Limit on the routes remembered; enough for configurations of several hundred
-// routes.
+// Maximum number of routes remembered; enough for configurations of several
+// hundred routes.
 constexpr std::size_t kMaxRoutes = 4'096;
 
 }  // namespace
--- a/src/policy/first_attempt_estimator.h
+++ b/src/policy/first_attempt_estimator.h
@@ -10,11 +10,11 @@
 
 /// @brief Estimates how long ago a request's caller made its first attempt.
 ///
-/// Each attempt is a separate request that carries only the time its caller
-/// still waits. If most callers of a route start with the same time limit, the
-/// difference between that limit and the remaining time is the time since the
-/// first attempt. It is needed because the latency of a request that was
-/// refused and retried is measured from its first attempt.
+/// The latency of a request that was refused and retried is measured from its
+/// first attempt, but each attempt is a separate request that states only how
+/// long its caller still waits. If most callers of a route start with the same
+/// time limit, the difference between that limit and the remaining time is the
+/// time since the first attempt.
 class FirstAttemptEstimator {
  public:
   /// @brief Records a request's time limit and estimates its caller's elapsed
@@ -27,7 +27,7 @@
  private:
   struct Route {
     std::int64_t longest_ms = 0;
-    /// Decaying count of requests with about the longest limit.
+    /// Decaying count of requests whose limit is about the longest one.
     double at_longest = 0.0;
     double total = 0.0;  ///< decaying count of requests
 
--- a/src/policy/fleet_state.cc
+++ b/src/policy/fleet_state.cc
@@ -9,8 +9,8 @@
 namespace meadowthread {
 namespace {
 
-// Load reports lag behind by up to this long and may still include streams that
-// have ended since.
+// Ended streams are kept for this long, because load reports lag behind by up
+// to this time and may still include them.
 constexpr std::int64_t kEndedRetentionMs = 5'000;
 // Engines added within this time of the first one belong to the initial fleet
 // and need no slow start.
@@ -145,8 +145,8 @@
     engine.preferred = true;
     return;
   }
-  // Rendezvous hashing: a host that joins or leaves changes the assignment of
-  // its own engines only.
+  // Rendezvous hashing: when a host joins or leaves, only the engines assigned
+  // to that host change.
   const std::uint64_t seed = HashOf(engine.view.engine);
   std::uint64_t best = 0;
   std::uint64_t best_host = 0;
@@ -251,8 +251,8 @@
   engine.streams.push_back(std::move(stream));
 }
 
-// Removes old ended streams here as well, since some engines never send a load
-// report.
+// Also removes ended streams that are too old to matter. Load reports remove
+// them too, but some engines never send one.
 std::unique_ptr<FleetState::Stream> FleetState::Detach(StreamLocation location,
                                                        std::int64_t now_ms) {
   Engine& engine = *this->engines[location.engine];
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -60,7 +60,7 @@
   /// @brief Adds or updates an engine from its entry in the host list.
   void SetEngine(const EngineListing& listing, std::int64_t now_ms);
 
-  /// @brief Marks an engine as gone that left the host list.
+  /// @brief Marks an engine that left the host list as gone.
   void RemoveEngine(std::string_view engine);
 
   /// @brief Applies a load report; ignored if older than the last one applied.
@@ -77,14 +77,14 @@
   /// @brief Sets the fraction of an engine's recent requests that failed.
   void SetFailureShare(std::string_view engine, double share);
 
-  /// @brief Marks an engine that could not be reached; it is used only as a
-  /// last resort until then.
+  /// @brief Marks an engine that could not be reached. Until `until_ms` it is
+  /// used only if no other engine is available.
   /// @param[in] until_ms Unix time
   void MarkUnreachable(std::string_view engine, std::int64_t until_ms);
 
   /// @brief Records that an engine refused a KV-cache copy, because it has no
-  /// memory for it or because it is leaving and has not yet announced it. The
-  /// engine is used only as a last resort for a short time.
+  /// memory for it or because it is leaving and has not yet announced that. For
+  /// a short time, the engine is used only if no other is available.
   void NoteNoRoom(std::string_view engine, std::int64_t now_ms);
 
   /// @brief Sets the hosts that share the engines. Each engine is preferred by
@@ -121,8 +121,9 @@
   void NoteMoved(std::string_view request, std::string_view engine,
                  std::int64_t now_ms);
 
-  /// @brief Sets how many KV-cache copies this host has on the engine's network
-  /// link. Peers are told, because a link carries one copy at a time.
+  /// @brief Sets how many KV-cache copies this host has in progress on the
+  /// engine's network link. The number is reported to peers, because a link
+  /// carries one copy at a time.
   void SetCopies(std::string_view engine, int copies);
 
   /// @brief Records that a stream ended.
@@ -139,9 +140,9 @@
   /// @brief Removes what a peer reported for an engine.
   void ForgetPeerLoad(std::string_view engine, std::string_view peer);
 
-  /// @brief The loads to report to the other hosts: one for each engine with
-  /// own streams and for each engine whose own streams ended since the last
-  /// call.
+  /// @brief The loads to report to the other hosts: one for each engine on
+  /// which this host has streams, and one for each engine on which its last
+  /// streams ended since the last call.
   std::vector<PeerLoad> OwnLoad(std::string_view self, std::int64_t now_ms);
 
   // ---------------------------------------------------------------- queries
@@ -152,8 +153,8 @@
   /// @brief Engines whose prefix cache may hold the work's prefix.
   std::span<const EngineIndex> EnginesWithPrefix(const WorkItem& work) const;
 
-  /// @brief Whether this host is the one that prefers the engine; true for all
-  /// engines while no other host is known.
+  /// @brief Whether this host is the one that prefers the engine; always true
+  /// while no other host is known.
   bool IsPreferred(EngineIndex index) const;
 
   /// @brief The engines that this host prefers; empty while no other host is
@@ -187,8 +188,8 @@
   std::vector<PeerLoad> PeersAt(std::string_view engine,
                                 std::int64_t now_ms) const;
 
-  /// @brief Whether this host or a peer has a KV-cache copy on the engine's
-  /// link.
+  /// @brief Whether this host or a peer has a KV-cache copy in progress on the
+  /// engine's link.
   bool IsLinkBusy(EngineIndex index, std::int64_t now_ms) const;
 
   /// @brief Estimated number of requests on the engine now.
@@ -212,8 +213,9 @@
     StreamProgress progress;
     std::int64_t sent_ms = 0;
     std::int64_t progress_ms = 0;
-    /// Prompt tokens to prefill before its first event, including its own; 0:
-    /// the first event has arrived, or the KV cache comes from a copy.
+    /// Prompt tokens that the engine has to prefill before the stream's first
+    /// event, including its own prompt; 0: the first event has arrived, or the
+    /// KV cache comes from a copy.
     std::int64_t tokens_before_first_event = 0;
   };
 
@@ -225,17 +227,19 @@
   struct Engine {
     EngineView view;
     std::vector<std::unique_ptr<Stream>> streams;
-    /// Recent ones, needed to interpret load reports.
+    /// Recently ended streams, which a delayed load report may still include.
     std::vector<EndedStream> ended;
     std::vector<PeerLoad> peers;
-    int others_running = 0;  ///< in the last report, without this host's own
+    int others_running =
+        0;  ///< streams in the last load report, without this host's own
     std::int64_t others_kv = 0;
-    // Either source may lag behind the other, so the engine counts as leaving
-    // if one of them says so.
+    // The host list or the load reports may be out of date, so the engine
+    // counts as leaving if either of them says so.
     bool listed_leaving = false;
     bool reported_leaving = false;
     bool reported_to_peers = false;
-    int copies = 0;  ///< of this host's runs, on the engine's link
+    int copies =
+        0;  ///< KV-cache copies of this host in progress on the engine's link
     bool preferred = true;
     mutable MemoryForecast forecast_cache;
     mutable std::int64_t forecast_cached_ms = -1;
--- a/src/policy/fleet_state_peers.cc
+++ b/src/policy/fleet_state_peers.cc
@@ -1,5 +1,6 @@
-// FleetState: what is known of engines other than from their load reports, such
-// as cache events, refused copies and the loads reported by peers.
+// Part of FleetState: what is known about engines from other sources than their
+// load reports, such as cache events, refused copies and the loads reported by
+// peers.
 #include <algorithm>
 #include <utility>
 
@@ -8,9 +9,10 @@
 namespace meadowthread {
 namespace {
 
-// An engine without memory for a copy regains some when one of its runs ends;
-// typically it has ten runs of about nine seconds each. An engine that is
-// leaving has announced it within this time.
+// After refusing a KV-cache copy, an engine is avoided for this long. If it had
+// no memory, it regains some when one of its runs ends; typically it has ten
+// runs of about nine seconds each. If it is leaving, it has announced that by
+// then.
 constexpr std::int64_t kCopyRefusedMs = 400;
 
 }  // namespace
--- a/src/policy/fleet_state_queries.cc
+++ b/src/policy/fleet_state_queries.cc
@@ -1,4 +1,4 @@
-// FleetState: the queries that choosers use.
+// Part of FleetState: the queries that choosers use.
 #include <algorithm>
 
 #include "policy/detail/fleet_state_helpers.h"
@@ -11,7 +11,8 @@
 // changes.
 constexpr std::int64_t kForecastCacheMs = 100;
 constexpr double kMinSlowStartShare = 0.1;
-// Assumed generated fraction of the tokens held by a stream of another host.
+// A stream of another host is assumed to have generated this fraction of the
+// tokens that it holds; the rest is its prompt.
 constexpr double kGeneratedFraction = 0.5;
 
 }  // namespace
@@ -90,8 +91,8 @@
   if (unattributed <= 0 || unattributed_kv <= 0) {
     return;
   }
-  // Streams that no peer reported: the report gives only their number and total
-  // tokens, so all of them are assumed to be of equal length.
+  // Streams that no peer reported. The load report gives only their number and
+  // total tokens, so all of them are assumed to hold equally many.
   const std::int64_t tokens_each =
       unattributed_kv / unattributed +
       detail::EstimateDecodedTokens(now_ms - engine.view.reported_unix_ms);
--- a/src/policy/length_model.cc
+++ b/src/policy/length_model.cc
@@ -3,8 +3,8 @@
 namespace meadowthread {
 namespace {
 
-// A curve is rebuilt after this many observations, or after an eighth of all
-// observations if that is fewer.
+// A curve is rebuilt after this many new observations, or earlier once the new
+// ones exceed an eighth of the total weight.
 constexpr std::uint32_t kRefreshEvery = 16;
 constexpr float kRefreshShare = 0.125F;
 // Models beyond this number share the overall histogram.
--- a/src/policy/length_model.h
+++ b/src/policy/length_model.h
@@ -42,15 +42,17 @@
 
 /// @brief Limits and learning rates of LearnedLengthModel.
 struct LengthModelOptions {
-  /// The least recently observed key is evicted first.
+  /// Beyond this number, the least recently observed key is evicted.
   std::size_t max_keys = 32'768;
-  double decay = 0.995;  ///< weight kept at each observation, to follow drift
+  double decay = 0.995;  ///< factor applied to old weights at each observation,
+                         ///< to follow changes
   double prior_weight = 12.0;  ///< weight of the prior, in observations
 };
 
-/// @brief Learns lengths with log-spaced, decaying histograms, one for each key
-/// of workspace, template and model. A key with few observations falls back on
-/// the histogram of its model as a prior, and a model on the overall histogram.
+/// @brief Learns lengths with decaying histograms over logarithmically spaced
+/// buckets, one for each key of workspace, template and model. The histogram of
+/// the model serves as the prior of a key with few observations, and the
+/// overall histogram as that of a model.
 class LearnedLengthModel final : public LengthModel {
  public:
   explicit LearnedLengthModel(LengthModelOptions options = {});
--- a/src/policy/length_survival_curve.cc
+++ b/src/policy/length_survival_curve.cc
@@ -6,7 +6,8 @@
 namespace meadowthread {
 namespace {
 
-// Below this survival probability, the curve has no data on longer outputs.
+// Where the survival probability is below this, too few outputs were that long
+// to tell how much longer they become.
 constexpr double kMinSurvival = 1e-6;
 
 double BucketPosition(double tokens) {
@@ -62,8 +63,8 @@
 double LengthSurvivalCurve::Tail::Survival(std::int64_t further) const {
   const double to = this->start + static_cast<double>(further);
   if (this->start_survival < kMinSurvival) {
-    // Longer than any output seen: assume a heavy tail. If that is wrong, it
-    // costs some unused memory instead of a preemption.
+    // The output is longer than any seen: assume a heavy tail. If that is
+    // wrong, some memory stays unused, which is better than a preemption.
     return (this->start + 1.0) / (to + 1.0);
   }
   return std::min(1.0, this->curve.Survival(to) / this->start_survival);
--- a/src/policy/length_survival_curve.h
+++ b/src/policy/length_survival_curve.h
@@ -8,8 +8,8 @@
 
 namespace meadowthread {
 
-/// @brief Length buckets are log-spaced, four to an octave, from one token to
-/// 65,536 tokens.
+/// @brief Length buckets are logarithmically spaced, four to an octave, from
+/// one token to 65,536 tokens.
 inline constexpr int kLengthBucketsPerOctave = 4;
 inline constexpr std::size_t kLengthBuckets = 64;
 
@@ -54,8 +54,8 @@
   /// @brief P(length > generated + further | length > generated).
   double SurvivalAfter(std::int64_t generated, std::int64_t further) const;
 
-  /// @brief The smallest `further` that the remaining length exceeds with at
-  /// most `probability`.
+  /// @brief The smallest number of further tokens that the output exceeds with
+  /// at most `probability`.
   std::int64_t TailQuantile(std::int64_t generated, double probability) const;
 
   /// @brief Expected number of tokens still to be generated.
@@ -65,7 +65,8 @@
                            std::int64_t max_output) const;
 
  private:
-  /// P(length >= start of bucket i); the last entry is the end of the range.
+  /// Entry i is P(length >= start of bucket i); the last entry stands for the
+  /// end of the last bucket.
   std::array<float, kLengthBuckets + 1> survival = {};
 };
 
--- a/src/policy/link_quality.cc
+++ b/src/policy/link_quality.cc
@@ -6,16 +6,17 @@
 namespace meadowthread {
 namespace {
 
-// Time constant for counting stalls. Links degrade for a few seconds at a time,
-// and ten streams over a link that loses 3% of its packets stall about ten
-// times in one second.
+// Time constant of the decaying count of stalls. It is short because links
+// degrade for a few seconds at a time, and it is enough because ten streams
+// over a link that loses 3% of its packets stall about ten times in one second.
 constexpr double kWindowMs = 1'500.0;
 constexpr double kMsPerSecond = 1'000.0;
-// A good link stays below this rate of stalls per second and stream in excess
-// of the own zone's.
+// Stalls per second and stream, in excess of the rate in the host's own zone,
+// that a good link stays below.
 constexpr double kNormalStallRate = 0.1;
-// Beyond the normal rate, this many stalls per second and stream mean that
-// nearly every long stream is late.
+// Stalls per second and stream, in excess of both the own zone's rate and
+// kNormalStallRate, at which a link counts as fully degraded: nearly every long
+// stream over it is late.
 constexpr double kDegradedStallRate = 0.25;
 // Limit on the zones remembered; a region has only a few.
 constexpr std::size_t kMaxZones = 64;
--- a/src/policy/link_quality.h
+++ b/src/policy/link_quality.h
@@ -11,10 +11,10 @@
 
 /// @brief Measures how often streams stall on the network path from each
 /// availability zone.
-///
 /// Guards against packet loss on the links between two zones: each lost packet
 /// stalls a stream until it is retransmitted, so that nearly every long stream
-/// over such a link is late. Engines in other zones are used in the meantime.
+/// over such a link is late. While a path is degraded, engines in other zones
+/// are preferred.
 class LinkQuality {
  public:
   /// @param[in] zone this host's own zone. Its stall rate is the baseline,
@@ -30,8 +30,8 @@
   double StallRate(std::string_view zone, int streams,
                    std::int64_t now_ms) const;
 
-  /// @brief How degraded the path from a zone is compared with the path from
-  /// the own zone, from 0 (good) to 1.
+  /// @brief How much worse the path from a zone is than the path within this
+  /// host's own zone, from 0 (not worse) to 1.
   /// @param[in] streams,own_streams numbers of this host's streams from the
   /// zone and from its own zone
   double Degradation(std::string_view zone, int streams, int own_streams,
--- a/src/policy/memory_aware_chooser.cc
+++ b/src/policy/memory_aware_chooser.cc
@@ -9,15 +9,17 @@
 
 constexpr std::size_t kMaxReportedCandidates = 4;
 constexpr std::int64_t kNoRoomRetryMs = 1'000;
-// Number of requests on an engine whose effect on the token gap costs one unit.
+// The cost of slower token generation is one unit, times its weight, for this
+// many requests on an engine.
 constexpr double kBatchUnitRequests = 64.0;
 // Engines whose costs differ by at most this count as equal. One of them is
 // picked at random, so that hosts with the same view do not all send to the
 // same engine.
 constexpr double kCostTolerance = 0.02;
-// Urgent work is short, so that a higher risk is acceptable.
+// The maximum risk of urgent work is higher by this factor, because urgent work
+// is short.
 constexpr double kUrgentRiskFactor = 10.0;
-// Missing tokens, summed over token steps, that cost as much as a certain
+// This many missing tokens, summed over token steps, cost as much as a certain
 // preemption: about one output of 1,500 tokens that is preempted for 270 steps.
 constexpr double kStallAreaUnit = 400'000.0;
 // The sum of the weights for which max_risk is specified.
@@ -92,7 +94,8 @@
   const bool urgent = work.urgency == Urgency::kUrgent;
   double reserved = urgent ? 0.0 : this->options.urgent_room;
   // If several hosts saw the same last free memory of an engine, each would
-  // fill it. So it is reserved for one host, and all hosts agree on which one.
+  // fill it. So it is reserved for the host that prefers the engine, and all
+  // hosts agree on which one that is.
   if (!fleet.IsPreferred(engine)) {
     reserved += this->options.shared_room;
   }
--- a/src/policy/memory_aware_chooser.h
+++ b/src/policy/memory_aware_chooser.h
@@ -9,9 +9,9 @@
 
 namespace meadowthread {
 
-/// @brief Weights of what a deployment wants to avoid. Greater weights of stall
-/// and preemption reduce both, but work queues for longer; the two usually add
-/// up to four.
+/// @brief Weights of the effects that a deployment wants to avoid. Greater
+/// weights of stalls and preemptions reduce both, but make work wait longer in
+/// the queue. The two usually add up to four.
 struct PolicyWeights {
   double stall = 2.0;  ///< time for which a started output makes no progress
   double preemption = 2.0;  ///< outputs preempted by their engine
@@ -21,12 +21,13 @@
 /// @brief Options of MemoryAwareChooser.
 struct MemoryAwareOptions {
   PolicyWeights weights;
-  double max_risk = 0.13;  ///< for work that is not urgent
+  double max_risk = 0.13;  ///< weighted risk of stalls and preemptions that is
+                           ///< accepted for work that is not urgent
   /// Fraction of the memory reserved for urgent work.
   double urgent_room = 0.05;
-  /// Cost of a completely full engine, for urgent work.
+  /// Cost that a completely full engine adds for urgent work.
   double urgent_fullness = 2.0;
-  /// Fraction reserved on engines that other hosts prefer.
+  /// Fraction of the memory reserved on engines that other hosts prefer.
   double shared_room = 0.15;
   /// Cost reduction if the engine may have the prefix cached.
   double prefix_bonus = 0.05;
@@ -37,7 +38,7 @@
 
 /// @brief Sends work only to engines whose memory will probably hold all their
 /// streams until these end, according to the learned output lengths. If there
-/// is no such engine, its decision names none.
+/// is no such engine, the decision names none.
 class MemoryAwareChooser final : public EngineChooser {
  public:
   explicit MemoryAwareChooser(MemoryAwareOptions options = {});
--- a/src/policy/memory_forecast.cc
+++ b/src/policy/memory_forecast.cc
@@ -7,13 +7,14 @@
 namespace meadowthread {
 namespace {
 
-// At this many standard deviations below the limit, the risk is negligible.
+// If the forecast mean is this many standard deviations below the limit, the
+// risk is negligible.
 constexpr double kNegligibleSigmas = 4.0;
-// Work whose mean is below this fraction of the limit has (almost certainly)
-// ended at that horizon.
+// Work counts as ended at a horizon if its mean memory there is at most this
+// fraction of the limit.
 constexpr double kEndedFraction = 0.02;
-// Work that still holds memory at this horizon, 256 tokens from now, counts as
-// long.
+// Work that still holds memory at the horizon with this index, 256 tokens from
+// now, counts as long.
 constexpr std::size_t kLastingHorizon = 2;
 
 }  // namespace
--- a/src/policy/memory_forecast.h
+++ b/src/policy/memory_forecast.h
@@ -9,8 +9,8 @@
 
 namespace meadowthread {
 
-/// @brief Points of the forecast: the number of tokens that each running stream
-/// has generated from now on.
+/// @brief The horizons of a forecast: numbers of tokens that each running
+/// stream generates from now on.
 inline constexpr std::array<std::int64_t, 16> kHorizons = {
     0,     128,   256,   384,   512,   768,   1'024, 1'536,
     2'048, 2'560, 3'072, 3'584, 4'096, 5'120, 6'144, 8'192};
@@ -27,7 +27,8 @@
 struct MemoryRisk {
   double overfill_chance = 0.0;  ///< probability of running out of memory, the
                                  ///< maximum over the horizons
-  double shortfall_area = 0.0;   ///< missing tokens, summed over token steps
+  double shortfall_area = 0.0;   ///< missing memory in tokens, summed over the
+                                 ///< token steps of the forecast
 };
 
 /// @brief Forecast of the memory held by a set of independent streams, as mean
@@ -36,12 +37,13 @@
   std::array<float, kHorizonCount> mean = {};
   std::array<float, kHorizonCount> variance = {};
 
-  /// @brief Adds one stream with the distribution of its length.
+  /// @brief Adds one stream whose output length follows the distribution
+  /// `curve`.
   void AddStream(const StreamProgress& stream,
                  const LengthSurvivalCurve& curve);
 
-  /// @brief Adds a constant amount of memory, for work of which nothing else is
-  /// known.
+  /// @brief Adds the same number of tokens at every horizon, for work of which
+  /// only the memory held now is known.
   void AddFlat(double tokens);
 
   /// @brief Adds another forecast multiplied by `scale`.
@@ -51,8 +53,8 @@
   MemoryRisk RiskOf(double capacity) const;
 
   /// @brief Whether the forecast, which already includes the new work, stays
-  /// within its limits. Short work has to fit only now, so that memory needed
-  /// later by other streams does not exclude it.
+  /// within its limits. Short work is compared only with the memory in use now,
+  /// so that memory that other streams need later does not exclude it.
   /// @param[in] added the forecast of the new work alone
   /// @param[in] limit tokens at every horizon, for long work
   /// @param[in] limit_now tokens at the first horizon, for short work
--- a/src/policy/peer_load.h
+++ b/src/policy/peer_load.h
@@ -8,18 +8,20 @@
 
 namespace meadowthread {
 
-/// @brief A KV-cache copy that began longer ago than this is over, or its host
-/// is gone. The longest copies, queued behind two others on both of their
-/// links, took 0.7 s.
+/// @brief A KV-cache copy that began longer ago than this is assumed to be
+/// over, or its host to be gone. The longest copies, each queued behind two
+/// others on both of its links, took 0.7 s.
 inline constexpr std::int64_t kMaxCopyMs = 900;
 
 /// @brief Cost of queueing a KV-cache copy behind another one, in the unit of
-/// PressureOptions: the delay is about as long as the extra time of a copy to
-/// another zone, and the run's last step may be delayed as well.
+/// PressureOptions. The delay is about as long as the time that a copy to
+/// another zone takes in addition, and the last step of the run's own copy may
+/// be delayed as well.
 inline constexpr double kBusyLinkCost = 0.5;
 
-/// @brief A host's report to the others of its work on one engine. If it is
-/// late, lost or duplicated, choices become worse but stay correct.
+/// @brief A host's report to the other hosts about its work on one engine. If a
+/// report is late, lost or duplicated, hosts choose worse engines, but nothing
+/// fails.
 struct PeerLoad {
   std::string peer;
   std::string engine;
@@ -32,7 +34,7 @@
   MemoryForecast forecast;
 };
 
-/// @brief A host's report to the others of a workspace's usage.
+/// @brief A host's report to the other hosts about its usage by one workspace.
 struct PeerWorkspaceUsage {
   std::string peer;
   std::string workspace;
--- a/src/policy/prefill_rate.cc
+++ b/src/policy/prefill_rate.cc
@@ -5,17 +5,18 @@
 namespace meadowthread {
 namespace {
 
-// Weight of one stream in the moving average. Engines change speed within
-// seconds, and a host sees several first events per second.
+// Weight of one stream in the moving average. High enough to follow engines
+// that change speed within seconds, as a host sees several first events per
+// second.
 constexpr double kSmoothing = 0.1;
-// With fewer tokens, connection setup and the first decode step take longer
-// than the prefill.
+// Streams with fewer tokens to prefill are ignored, because connection setup
+// and the first decode step take longer than the prefill.
 constexpr std::int64_t kMinTokens = 500;
 // Limits the effect of a single stream that was preempted or whose engine hung:
 // its rate counts as at most this multiple of the current average.
 constexpr double kMaxOutlierFactor = 3.0;
-// From an engine that prefills 50 tokens per millisecond to one that prefills
-// one.
+// Limits of the estimate: an engine that prefills 50 tokens per millisecond and
+// one that prefills one.
 constexpr double kMinMsPerToken = 0.02;
 constexpr double kMaxMsPerToken = 1.0;
 
--- a/src/policy/prefill_rate.h
+++ b/src/policy/prefill_rate.h
@@ -8,9 +8,9 @@
 /// @brief How fast engines prefill prompts, learned from the first events of
 /// streams.
 ///
-/// Used to predict, as soon as a request arrives, when its first event will
-/// come, so that requests that would be late can be recognized while prompts
-/// arrive faster than engines prefill them.
+/// Used to predict, when a request arrives, the time of its first event. While
+/// prompts arrive faster than engines prefill them, requests whose first event
+/// would be late are recognized that way.
 class PrefillRate {
  public:
   /// @brief Records a stream's first event.
@@ -29,7 +29,8 @@
 
  private:
   // Initial value: an engine that decodes a few streams prefills a prompt of
-  // 3,000 tokens in 0.4 s. About ten streams are enough to replace it.
+  // 3,000 tokens in 0.4 s. After about ten streams, the estimate depends mainly
+  // on measurements.
   double ms_per_token = 0.14;
 };
 
--- a/src/policy/prefix_hints.cc
+++ b/src/policy/prefix_hints.cc
@@ -37,7 +37,7 @@
   RemoveEngineFrom(&found->second, engine);
 }
 
-// An entry without engines is kept until it is the oldest, so that
+// An entry without engines is not erased until it is the oldest, so that
 // `insertion_order` and `entries` always hold the same prefixes.
 void PrefixHints::RemoveEngineFrom(Entry* entry, std::uint32_t engine) {
   auto* const end = entry->engines.begin() + entry->count;
--- a/src/policy/pressure_chooser.cc
+++ b/src/policy/pressure_chooser.cc
@@ -79,8 +79,8 @@
   if (view.unreachable_until_ms > now_ms) {
     scored.cost += this->options.last_resort_cost;
   }
-  // Without this cost, one run asked the same leaving engine 66 times in 0.7 s,
-  // until its own engine was gone.
+  // Without this cost, one run asked the same leaving engine for room 66 times
+  // in 0.7 s, until the run's own engine was gone.
   if (view.no_room_until_ms > now_ms) {
     scored.cost += this->options.last_resort_cost;
   }
@@ -96,8 +96,9 @@
   scored.prefill_tokens = prefill_tokens;
   scored.first_event_ms =
       fleet.Prefill().ExpectedMs(prefill_tokens + work.prompt_tokens);
-  // With nothing to prefill ahead, no engine could start the work sooner; and
-  // if the assumed prefill rate is too low, only sending work can correct it.
+  // If the engine has nothing to prefill, no other could start the work sooner.
+  // Besides, the assumed prefill rate may be too low, and it is corrected only
+  // if work is sent.
   const bool starts_in_time =
       work.first_event_within_ms <= 0 || prefill_tokens == 0 ||
       scored.first_event_ms <= static_cast<double>(work.first_event_within_ms);
@@ -113,8 +114,9 @@
                                std::vector<ScoredEngine>& scored,
                                std::uint64_t random) const {
   std::size_t near_best = detail::RankByCost(scored, this->options.near_equal);
-  // Hosts whose views of the engines are slightly out of date would all send to
-  // the same best engine before learning of each other's requests.
+  // Hosts whose views of the engines are slightly out of date would otherwise
+  // all send to the same best engine before they learn of each other's
+  // requests.
   const auto spread_over =
       static_cast<std::size_t>(std::lround(this->unseen_requests)) + 1;
   while (near_best < std::min(spread_over, scored.size()) &&
--- a/src/policy/pressure_chooser.h
+++ b/src/policy/pressure_chooser.h
@@ -22,44 +22,49 @@
   /// preempted with 0.95 and 17 with 0.8, while as many answers were in time
   /// (mean of four seeds).
   double memory_limit = 0.8;
-  /// Same limit on the memory in use now, for work that ends within a few
-  /// hundred tokens: it need not wait for memory that other streams use only
-  /// later.
+  /// Limit on the memory in use now, instead of `memory_limit`, for work that
+  /// ends within a few hundred tokens: such work need not wait because of
+  /// memory that other streams use only later.
   double short_work_limit = 0.9;
   /// Fraction of both limits available to work that will be late in any case.
   /// With the full limits, such work displaced first attempts: on a benchmark
   /// day with a burst of three times the load, the overall score was 0.68 with
   /// the full limits and 0.75 with this fraction (mean of four seeds).
   double late_work_part = 0.7;
-  /// Forecast memory use beyond this fraction costs `crowding_weight` more. An
-  /// engine that is taken away gives a second and a half of notice, in which
-  /// its link can copy about half of its memory to other engines.
+  /// Each unit of forecast memory use above this fraction costs an extra
+  /// `crowding_weight`. The fraction is just below half because an engine that
+  /// is taken away gives a second and a half of notice, in which its link can
+  /// copy about half of its memory to other engines.
   double crowding_threshold = 0.4;
   double crowding_weight = 1.5;
   /// Cost of each `prefill_unit_tokens` prompt tokens that the engine has yet
   /// to prefill, because new work waits behind them.
   double prefill_weight = 0.25;
   double prefill_unit_tokens = 3'000.0;
-  /// Cost of each running request, because it slows down the others' tokens.
+  /// Cost of each running request, because each one slows down the token
+  /// generation of the others.
   double request_weight = 0.01;
   /// Cost of an engine whose recent requests have all failed.
   double failure_weight = 1.5;
   /// Cost of an engine that recently could not be reached or refused a KV-cache
-  /// copy. An engine that is gone has no load, so that nothing else keeps
-  /// requests away from it. Exceeds all other costs together, so that such an
-  /// engine is chosen only if no other is left.
+  /// copy. An engine that is gone has no load, so its other costs would be the
+  /// lowest of all. Exceeds all other costs together, so that such an engine is
+  /// chosen only if no other is available.
   double last_resort_cost = 20.0;
   /// Cost of an engine that is still slow after its start.
   double cold_cost = 0.35;
   /// Cost of an engine in another availability zone.
   double zone_cost = 0.02;
-  /// Cost of an engine whose link is busy with another KV-cache copy; set for
-  /// work that is itself migrated by a copy.
+  /// Cost of an engine whose link is busy with another KV-cache copy; nonzero
+  /// only when a target is chosen for a migration, which needs the link for its
+  /// own copy.
   double busy_link_cost = 0.0;
-  /// Cost of a zone if nearly every long stream over its links stalls.
+  /// Cost of an engine in a zone whose links are so degraded that nearly every
+  /// long stream over them stalls.
   double degraded_link_cost = 1.0;
-  /// Picks at random among engines within this cost of the best, so that hosts
-  /// with the same view do not all send to the same engine.
+  /// Engines whose costs exceed the lowest one by at most this are chosen among
+  /// at random, so that hosts with the same view do not all send to the same
+  /// engine.
   double near_equal = 0.03;
   std::string zone;  ///< this host's availability zone
 };
@@ -72,9 +77,9 @@
   explicit PressureChooser(PressureOptions options)
       : options(std::move(options)) {}
 
-  /// @brief Sets how many requests other hosts have sent, on average, that this
-  /// host does not know of yet when it chooses. Its own requests are spread
-  /// over that many more of the best engines.
+  /// @brief Sets the average number of requests that other hosts have sent and
+  /// of which this host does not know yet when it chooses. The choice is made
+  /// among that many more of the best engines.
   void SetUnseen(double requests) { this->unseen_requests = requests; }
 
   /// @brief Adds the cost of degraded paths from other zones.
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -55,8 +55,8 @@
 };
 
 /// @brief Limits retries to a fraction of the first attempts, so that failures
-/// do not multiply the load. Whether a request is safe to repeat is decided
-/// elsewhere.
+/// do not multiply the load. The caller decides whether a request is safe to
+/// repeat.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options = {});
--- a/src/policy/server_rate_limiter.cc
+++ b/src/policy/server_rate_limiter.cc
@@ -8,8 +8,8 @@
 
 namespace meadowthread {
 
-// Rendezvous hashing: a host that joins or leaves changes the share of only one
-// other host.
+// Rendezvous hashing: when a host joins or leaves, the share of only one other
+// host changes.
 std::uint64_t ServerRateLimiter::RendezvousScore(std::string_view host,
                                                  std::string_view server) {
   const std::uint64_t seed = XXH64(server.data(), server.size(), 0);
@@ -84,7 +84,8 @@
   return found == this->servers.end() ? nullptr : &found->second;
 }
 
-// Empty if the rate is unlimited.
+// Number of requests that the host may send within the window; empty if the
+// rate is unlimited.
 std::optional<std::int64_t> ServerRateLimiter::ShareOf(
     std::string_view host, std::string_view server, std::int64_t now_ms) const {
   const Server* const entry = this->Find(server);
@@ -103,8 +104,8 @@
   return shares.base + (gets_extra ? 1 : 0);
 }
 
-// The window spans a change from warm to cold: requests sent while the server
-// was warm count against its cold limit.
+// Requests sent while the server was warm count against its cold limit for as
+// long as they are within the window.
 bool ServerRateLimiter::May(std::string_view server,
                             std::int64_t now_ms) const {
   const std::optional<std::int64_t> share =
--- a/src/policy/server_rate_limiter.h
+++ b/src/policy/server_rate_limiter.h
@@ -18,11 +18,11 @@
 /// @brief The rate of new requests that a server tolerates, in requests per
 /// second summed over all hosts.
 struct ServerRateLimit {
-  /// While the server is cold, that is, still warming up after its start; 0:
-  /// unlimited.
-  double cold_per_s = 0.0;
-  /// While the server is warm: it may turn cold before the hosts learn of it;
+  /// Limit while the server is cold, that is, still warming up after its start;
   /// 0: unlimited.
+  double cold_per_s = 0.0;
+  /// Limit while the server is warm. Needed because a warm server may turn cold
+  /// before the hosts learn of it; 0: unlimited.
   double warm_per_s = 0.0;
 
   friend bool operator==(const ServerRateLimit&,
--- a/src/policy/stop_plan.cc
+++ b/src/policy/stop_plan.cc
@@ -12,14 +12,15 @@
 // Requests accepted while stopping must end this long before the process is
 // killed.
 constexpr std::int64_t kCompletionMarginMs = 600;
-// The same limit as for keeping a stream whose caller does not read.
+// How long an exit is delayed by callers: the time for which a stream is kept
+// whose caller does not read.
 constexpr std::int64_t kMaxCallersWaitMs = 60'000;
-// Enough for a few attempts at a write to a store that is slow or loses
-// responses.
+// How long an exit is delayed by writes to the claim log: enough for a few
+// attempts at a write to a store that is slow or loses responses.
 constexpr std::int64_t kMaxClaimsWaitMs = 10'000;
-// Three times the time limit of a forwarded claim. Peers keep sending claims
-// while they consider this host live; they resolve unanswered ones with the
-// store.
+// How long an exit is delayed by peers: three times the time limit of a
+// forwarded claim. Peers forward claims to this host as long as they consider
+// it live; claims left unanswered they resolve with the store.
 constexpr std::int64_t kMaxPeersWaitMs = 900;
 
 }  // namespace
--- a/src/policy/stop_plan.h
+++ b/src/policy/stop_plan.h
@@ -20,8 +20,9 @@
 
 /// @brief Minimum and maximum duration of a stop, in milliseconds.
 struct StopBounds {
-  std::int64_t min_ms = 0;    ///< new connections may still arrive until then
-  std::int64_t grace_ms = 0;  ///< the process is killed after this time
+  std::int64_t min_ms =
+      0;  ///< new connections may still arrive during this time
+  std::int64_t grace_ms = 0;  ///< the process is killed at the end of this time
 };
 
 /// @brief Work left on a stopping host.
@@ -51,8 +52,8 @@
 /// it exits.
 ///
 /// Guards against losing responses when a host is stopped while long outputs
-/// run and callers read slowly: after a run has ended, its response may still
-/// be on its way to the caller.
+/// are generated and callers read slowly: after a request has ended, its
+/// response may still be on its way to the caller.
 class StopPlan {
  public:
   /// @param[in] begun_ms monotonic time of the request to stop
@@ -63,15 +64,16 @@
   /// @param[in] now_ms monotonic
   StopStep Next(std::int64_t now_ms, const StopWork& work) const;
 
-  /// @brief Requests not expected to end by this monotonic time are refused.
+  /// @brief Monotonic time by which requests must be expected to end; others
+  /// are refused.
   std::int64_t LastEndMs() const;
 
-  /// @brief The load balancer has noticed the stop by this monotonic time.
+  /// @brief Monotonic time by which the load balancer has noticed the stop.
   std::int64_t NoticedMs() const {
     return this->begun_ms + this->bounds.min_ms;
   }
 
-  /// @brief The process is killed at this monotonic time.
+  /// @brief Monotonic time at which the process is killed.
   std::int64_t ForcedMs() const {
     return this->begun_ms + this->bounds.grace_ms;
   }
--- a/src/policy/stop_retry_after.cc
+++ b/src/policy/stop_retry_after.cc
@@ -5,10 +5,11 @@
 namespace meadowthread {
 namespace {
 
-// Enough to open a new connection to another host.
+// Retry-After if another host accepts requests now: enough to open a new
+// connection to it.
 constexpr std::int64_t kOtherHostRetryMs = 20;
-// The load balancer checks a returning host within a second and soon acts on
-// the result.
+// Time until the load balancer sends requests to a host that is back: it checks
+// the host within a second and acts on the result soon after.
 constexpr std::int64_t kReturnNoticedMs = 1'300;
 
 // The time until at least half of the hosts accept requests; 0 if there are no
--- a/src/policy/stop_retry_after.h
+++ b/src/policy/stop_retry_after.h
@@ -8,8 +8,8 @@
 
 namespace meadowthread {
 
-/// @brief A host and when it accepts requests again, as known to a stopping
-/// host.
+/// @brief Zone of a host, and when it accepts requests again as far as a
+/// stopping host knows.
 struct HostAvailability {
   std::string zone;
   /// Time until it accepts requests; 0: it does now.
@@ -20,10 +20,10 @@
 /// milliseconds.
 ///
 /// Guards against repeated refusals during a rolling restart in which each host
-/// stops before the previous one is back: a caller that retries at once reaches
-/// the next stopping host and loses its only further attempt. The load balancer
-/// sends callers to the ready hosts of their zone, to all hosts of the zone if
-/// fewer than half are ready, and to other zones if none is.
+/// stops before the previous one is back: a caller that retries at once may
+/// reach the host that stops next, and has no attempt left after that. The load
+/// balancer sends callers to the ready hosts of their zone, to all hosts of the
+/// zone if fewer than half are ready, and to other zones if none is ready.
 /// @param[in] zone the stopping host's zone
 /// @param[in] hosts all hosts, including the stopping one
 /// @param[in] noticed_in_ms time until the load balancer has noticed the stop
--- a/src/policy/stream_admission.cc
+++ b/src/policy/stream_admission.cc
@@ -5,23 +5,27 @@
 namespace meadowthread {
 namespace {
 
-// The first event must be expected within this fraction of the target: nine in
-// ten come within 1.3 times the expected time.
+// A stream is sent only where its first event is expected within this fraction
+// of the target, because nine in ten first events come within 1.3 times the
+// expected time.
 constexpr double kInTimeFraction = 0.75;
 // With less than this fraction of the target left, no prompt can be prefilled
 // in time.
 constexpr double kMinRemainingFraction = 0.25;
-// Late streams are sent only where the wait is shorter than what other streams
-// accept, so that they use only the capacity left by them.
+// The same fraction for late streams. It is smaller, so that late streams use
+// only capacity that other streams leave free.
 constexpr double kLateFraction = 0.5;
-// Callers abandon a silent stream after four times its target, but not before
-// two seconds; the refusal has to reach them earlier.
+// How long a late stream may wait, as a multiple of its target and at least.
+// Callers abandon a stream without events after four times its target, but not
+// before two seconds; the refusal has to reach them earlier.
 constexpr double kPatienceInTargets = 3.5;
 constexpr std::int64_t kMinPatienceMs = 1'900;
-// Callers honor a Retry-After of up to a third of the time they still wait.
+// Callers honor a Retry-After time of up to a third of the time that they still
+// wait.
 constexpr double kHonoredFraction = 0.32;
-// A refused stream is late whenever it is retried. So the retry falls into the
-// later half of the honored time, after most bursts, and is spread so that the
+// Start of the range of retry times, as a fraction of the longest honored time.
+// A refused stream is late whenever it is retried, so the retry is put into the
+// later half, when most bursts are over, and is spread over it so that the
 // retries do not form the next burst.
 constexpr double kMinRetryFraction = 0.5;
 constexpr std::int64_t kShortRetryMs = 300;
--- a/src/policy/stream_admission.h
+++ b/src/policy/stream_admission.h
@@ -8,17 +8,17 @@
 /// @brief What is known about an arriving stream.
 struct StreamArrival {
   std::int64_t target_ms = 0;   ///< latency target of the first event; 0: none
-  std::int64_t elapsed_ms = 0;  ///< since its caller's first attempt
+  std::int64_t elapsed_ms = 0;  ///< time since its caller's first attempt
   std::int64_t left_ms = 0;     ///< how long its caller still waits
 };
 
 /// @brief How to treat an arriving stream.
 struct StreamAdmissionPlan {
-  /// Send it only to an engine whose first event is expected within this time;
-  /// 0: to any engine with room.
+  /// Send the stream only to an engine from which the first event is expected
+  /// within this time; 0: to any engine with room.
   std::int64_t first_event_within_ms = 0;
-  /// How long it waits for such an engine before it is refused; 0: it is
-  /// refused at once.
+  /// How long the stream waits for such an engine before it is refused; 0: it
+  /// is refused at once.
   std::int64_t may_wait_ms = 0;
   bool is_late = false;  ///< it can no longer meet its target
 };
@@ -28,11 +28,12 @@
   /// Refuse streams that are not expected to meet their target. If false, only
   /// memory limits admission.
   bool refuses_late = true;
-  /// Let streams that were refused before wait for room. If false, they are
-  /// refused like others.
+  /// Let streams that can no longer meet their target, usually because they
+  /// were refused before, wait for room. If false, they are refused like
+  /// others.
   bool lets_returned_wait = true;
-  /// Spread the retries over the time for which callers honor Retry-After. If
-  /// false, they come soon.
+  /// Spread the retries of refused streams over the longest Retry-After time
+  /// that callers honor. If false, all are retried after the same short time.
   bool spreads_returns = true;
 };
 
--- a/src/policy/tests/admission_test.cc
+++ b/src/policy/tests/admission_test.cc
@@ -121,14 +121,14 @@
   AdmissionQueue queue;
   FixedCapacity no_room(false);
   FixedCapacity has_room(true);
-  // Given a queue that is served once per second.
+  // The queue is served once per second.
   for (int i = 0; i < 30; ++i) {
     queue.Offer(Work("q" + std::to_string(i)), no_room, 0, 1);
   }
   for (int i = 1; i <= 10; ++i) {
     queue.Next(has_room, std::int64_t{1'000} * i);
   }
-  // When work arrives that must start within two seconds.
+  // The new work must start within two seconds.
   WorkItem work = Work("soon");
   work.deadline_ms = 12'000;
   cr_assert(queue.Offer(work, no_room, 10'000, 1).reason ==
--- a/src/policy/tests/chooser_test.cc
+++ b/src/policy/tests/chooser_test.cc
@@ -78,8 +78,9 @@
       cr_assert(decision.reason == DecisionReason::kNoneHasRoom);
     }
   }
-  // Two engines of 20,000 tokens hold four finished outputs of 4,100 tokens
-  // each. Lengths are learned to the precision of a bucket, about a fifth.
+  // Each of the two engines has 20,000 tokens of memory, enough for four
+  // finished outputs of 4,100 tokens each. Lengths are learned only to the
+  // precision of a bucket, about a fifth.
   cr_assert(sent >= 6 && sent <= 10);
 }
 
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -26,7 +26,7 @@
   cr_assert(fleet.state.Serving(work).size() == 2);
   work.version = "2";
   cr_assert(fleet.state.Serving(work).empty());
-  // When one engine loads another version in place of the first.
+  // The engine loads another version in place of the first.
   LoadReport report = ReportOf(0, 1);
   report.models = {{"m", "", "2"}};
   fleet.state.ApplyReport(report, 1);
@@ -52,8 +52,8 @@
   EngineListing next{"e0/2", "z", true, false};
   next.models = {{"m", "", "1"}};
   fleet.state.SetEngine(next, 20);
-  // A peer's load and a late load report still refer to the engine before its
-  // restart.
+  // A peer's load and a delayed load report still refer to the engine as it was
+  // before its restart.
   fleet.state.NotePeerLoad(peer, 21);
   LoadReport late = ReportOf(0, 22);
   late.running = 9;
@@ -69,7 +69,7 @@
   cr_assert(fleet.state.View(place).engine == "e0/2" &&
             !fleet.state.IsLinkBusy(place, 22) &&
             fleet.state.PrefillBacklog(place, 22) == 0);
-  // The stream on the engine before its restart ends there.
+  // The stream that was sent to the engine before its restart ends.
   fleet.state.NoteEnded("a", StreamEnd::kCut, 30);
   cr_assert(view.own_in_flight == 0);
 }
@@ -81,7 +81,8 @@
   fleet.state.NoteSent(work, "e0", 10);
   fleet.state.NoteEnded("a", StreamEnd::kComplete, 20);
   cr_assert(fleet.state.EnginesWithPrefix(work).size() == 1);
-  // Restarted under the same name, as its new incarnation shows.
+  // The new incarnation in the report shows that the engine was restarted under
+  // the same name.
   LoadReport report = ReportOf(0, 30);
   report.incarnation = "2";
   fleet.state.ApplyReport(report, 30);
@@ -148,11 +149,12 @@
   fleet.state.ApplyReport(report, 20);
   fleet.state.SetEngine({EngineName(0), "z", true, false}, 30);
   cr_assert(!fleet.state.View(0).Usable());
-  // The same if the host list says so before a delayed report does.
+  // It also counts as leaving if only the host list says so.
   fleet.state.SetEngine({EngineName(0), "z", true, true}, 40);
   fleet.state.ApplyReport(ReportOf(0, 45), 50);
   cr_assert(!fleet.state.View(0).Usable());
-  // Until both sources say that it stays.
+  // It is usable again only once the host list and the load report both say
+  // that it stays.
   fleet.state.SetEngine({EngineName(0), "z", true, false}, 60);
   cr_assert(fleet.state.View(0).Usable());
 }
@@ -258,7 +260,8 @@
   fleet.state.NoteSent(first, "e0", 0);
   fleet.state.NoteSent(second, "e0", 0);
   cr_assert(fleet.state.PrefillBacklog(0, 0) == 3'000);
-  // The second stream waited for both prompts: 900 ms for 3,000 tokens.
+  // The second stream's first event waited for both prompts: 900 ms for 3,000
+  // tokens.
   const double before = fleet.state.Prefill().MsPerToken();
   fleet.state.NoteTokens("r2", 4, 900);
   cr_assert(fleet.state.PrefillBacklog(0, 900) == 2'000);
@@ -269,8 +272,8 @@
             "only the first event is measured");
 }
 
-// A KV-cache copy that counted as a prompt to prefill kept new work away from
-// its target engine.
+// Guards against counting a KV-cache copy as a prompt to prefill, which kept
+// new work away from the copy's target engine.
 Test(a_kv_cache_copy, adds_no_prefill_backlog) {
   Fleet fleet(1);
   WorkItem copy = testing::Work("copy/r1");
@@ -281,8 +284,8 @@
   cr_assert(fleet.state.Find("e0")->own_kv == 4'000);
 }
 
-// A host that had its engine chosen by an allocator learns from the answer how
-// many prompt tokens are ahead of its own, and reports to the allocator how
+// If an allocator chose the engine, its answer tells the host how many prompt
+// tokens are ahead of the request's own. The host reports to the allocator how
 // long their prefill took.
 Test(a_first_event, measures_the_prefill_of_all_tokens_ahead) {
   testing::Fleet fleet(1);
--- a/src/policy/tests/pressure_chooser_test.cc
+++ b/src/policy/tests/pressure_chooser_test.cc
@@ -1,5 +1,5 @@
-// Choosing the engine under the least pressure: each part of the cost by
-// itself.
+// Choosing the engine under the least pressure; most tests check one part of
+// the cost.
 #include "policy/pressure_chooser.h"
 
 #include <criterion/criterion.h>
@@ -165,9 +165,9 @@
   cr_assert(fixture.Choose() == "e0");
 }
 
-// Work admitted beyond the limit, because it was urgent or had waited,
-// preempted runs that had started: 42 on a day of overload, 17 without such
-// work.
+// Guards against admitting work beyond the memory limit because it is urgent or
+// has waited: such work preempted runs that had started. 42 runs were preempted
+// on a day of overload, and 17 without such work.
 Test(work_without_room, waits_even_if_urgent) {
   PressureChooserFixture fixture;
   fixture.ReportPeerLoad("e0", kCapacity);
@@ -184,7 +184,8 @@
 
 Test(short_work, fits_beside_growing_streams_where_long_work_does_not) {
   PressureChooserFixture fixture;
-  // Both engines have 0.85 of their memory in use, between the two limits.
+  // Both engines have 0.85 of their memory in use, which is between the limits
+  // for long and for short work.
   fixture.ReportPeerLoad("e0", kCapacity * 85 / 100);
   fixture.ReportPeerLoad("e1", kCapacity * 85 / 100);
   cr_assert(!fixture.Choose(fixture.Item("short")).empty());
@@ -197,8 +198,8 @@
 }
 
 // Guards against retries that displace first attempts: when requests refused in
-// a burst were retried and got the same room as first attempts, they made these
-// late in turn.
+// a burst were retried and got the same room as first attempts, the first
+// attempts became late as well.
 Test(late_work, uses_only_capacity_that_others_leave) {
   PressureChooserFixture fixture;
   fixture.ReportPeerLoad("e0", kCapacity * 7 / 10);
@@ -229,8 +230,8 @@
 }
 
 // Guards against refusing all streams forever: if the target is shorter than
-// the initial estimate of the prefill rate allows, nothing is sent from which
-// the rate could be learned.
+// the prefill time predicted from the initial rate, nothing would be sent from
+// which the actual rate could be learned.
 Test(a_prompt_that_no_engine_prefills_in_time,
      goes_to_an_engine_without_prefill_backlog) {
   PressureChooserFixture fixture;
@@ -243,8 +244,8 @@
 }
 
 // Guards against asking the same engine again and again: while the object store
-// was down, a run asked an engine that was itself leaving, until its own engine
-// was gone.
+// was down, a run repeatedly asked for room on an engine that was itself
+// leaving, until the run's own engine was gone.
 Test(an_engine_that_refused_a_copy, is_avoided_for_a_while) {
   PressureChooserFixture fixture;
   fixture.ReportPeerLoad("e1", kCapacity / 2);
--- a/src/policy/tests/stop_plan_test.cc
+++ b/src/policy/tests/stop_plan_test.cc
@@ -30,7 +30,8 @@
 Test(a_stopping_host, aborts_requests_and_exits_before_it_is_killed) {
   cr_assert(After(7'749, {1, 1}) == StopStep::kWait);
   cr_assert(After(7'750, {1, 1}) == StopStep::kAbortRequests);
-  // Only callers are left, and the error responses are on their way to them.
+  // No request is in progress; only error responses are still on their way to
+  // callers.
   cr_assert(After(7'800, {0, 1}) == StopStep::kWait);
   cr_assert(After(7'820, kNothing) == StopStep::kExitDrained);
   cr_assert(After(7'950, {0, 1}) == StopStep::kExitBeforeKill);
--- a/src/policy/tests/stop_retry_after_test.cc
+++ b/src/policy/tests/stop_retry_after_test.cc
@@ -8,7 +8,8 @@
 
 constexpr std::int64_t kNoticedMs = 1'900;
 
-// The stopping host itself is in zone "a" and back in eight seconds.
+// The stopping host itself is in zone "a" and accepts requests again in eight
+// seconds.
 std::int64_t RetryAfter(std::vector<HostAvailability> others) {
   others.push_back({"a", 8'000});
   return RetryAfterStopMs("a", others, kNoticedMs);
--- a/src/policy/tests/stream_admission_test.cc
+++ b/src/policy/tests/stream_admission_test.cc
@@ -9,7 +9,8 @@
 namespace meadowthread {
 namespace {
 
-// A route with long outputs: the first event within 1.8 s, 39 s in all.
+// A route with long outputs: the first event is wanted within 1.8 s, and
+// callers wait 39 s in all.
 constexpr std::int64_t kTargetMs = 1'800;
 constexpr std::int64_t kAllowedMs = 39'000;
 
@@ -48,8 +49,8 @@
 }
 
 // Guards against retries that form the next burst: streams refused in a burst
-// of eight seconds are retried in the later half of the honored time, spread
-// over all of it.
+// of eight seconds are retried in the later half of the time for which callers
+// honor Retry-After, spread over that whole half.
 Test(refused_streams, are_retried_spread_over_the_honored_time) {
   std::int64_t earliest = kAllowedMs;
   std::int64_t latest = 0;
--- a/src/policy/work_item.h
+++ b/src/policy/work_item.h
@@ -32,18 +32,18 @@
   Urgency urgency = Urgency::kNormal;
   std::int64_t expected_tokens = 0;  ///< prompt and output; set by Dispatcher
   std::uint64_t prefix_hash = 0;     ///< 0: no known prefix
-  /// Migrated run that must be placed somewhere, even on an engine without
-  /// room.
+  /// A migrated run that must get an engine, even one without room for it.
   bool forced = false;
-  /// Time from sending within which its first event is wanted; 0: no limit.
+  /// Maximum time from sending the request to its first event; 0: no limit.
   std::int64_t first_event_within_ms = 0;
-  /// Will miss its target in any case; uses only capacity that other work
-  /// leaves.
+  /// The work will miss its latency target in any case, so it gets only
+  /// capacity that other work leaves free.
   bool is_late = false;
-  /// Prompt tokens to prefill ahead of it on its engine when it was sent; -1:
-  /// use what this host knows.
+  /// Prompt tokens that its engine had to prefill before its own when it was
+  /// sent; -1: not stated, estimated from this host's fleet state.
   std::int64_t prefill_ahead_tokens = -1;
-  /// Its KV cache is copied from another engine: no prompt to prefill.
+  /// Its KV cache is copied from another engine, so there is no prompt to
+  /// prefill.
   bool is_copy = false;
   AllowedRegions allowed_regions;  ///< regions in which it may run
 };
--- a/src/policy/workspace_limits.cc
+++ b/src/policy/workspace_limits.cc
@@ -7,15 +7,16 @@
 namespace {
 
 constexpr double kMsPerSecond = 1'000.0;
-// Time constant of the average of the offered load.
+// Time constant of the exponential average of the offered load.
 constexpr double kOfferedWindowMs = 10'000.0;
 // Peers' reports older than this are ignored.
 constexpr std::int64_t kMaxPeerAgeMs = 15'000;
-// A bucket holds this many seconds' worth of its rate, and at least one
-// request.
+// A token bucket holds as much as its rate yields in this many seconds, and at
+// least one request.
 constexpr double kBurstSeconds = 2.0;
-// Fraction of the rate divided evenly whatever the offered load, so that a host
-// that gets its first request of a workspace need not wait for peers' reports.
+// This fraction of a rate is divided evenly among the hosts whatever load they
+// are offered, so that a host that gets its first request of a workspace can
+// admit it without waiting for peers' reports.
 constexpr double kEvenFraction = 0.2;
 constexpr std::int64_t kConcurrentRetryMs = 1'000;
 constexpr std::int64_t kMaxRetryMs = 60'000;
@@ -78,8 +79,8 @@
     return {LimitReached::kRequests,
             WaitMs(state.requests, request_rate, random)};
   }
-  // A bucket above zero admits work of any size and may go negative: a long
-  // output need not fit into the burst, but delays later work.
+  // A token bucket above zero admits work of any size and may become negative:
+  // a long output may exceed the burst size, but delays later work.
   if (token_rate > 0.0 && state.tokens.level <= 0.0) {
     return {LimitReached::kTokens, WaitMs(state.tokens, token_rate, random)};
   }
@@ -160,8 +161,8 @@
   const double own = workspace.offered.requests *
                      Decay(workspace.offered.at_ms, now_ms) /
                      (kOfferedWindowMs / kMsPerSecond);
-  // Without any peer report, for instance if this host is cut off, an even
-  // share is safe.
+  // Without any peer report, for instance if this host is cut off from its
+  // peers, an even share keeps the sum over all hosts within the limit.
   if (!has_reports || own + peers <= 0.0) {
     return even_share;
   }
--- a/src/policy/workspace_limits.h
+++ b/src/policy/workspace_limits.h
@@ -34,8 +34,8 @@
 };
 
 /// @brief Enforces the limits of workspaces over all hosts without a remote
-/// call: each host allows its share, which follows from the load offered to it
-/// and, as its peers report, to them.
+/// call. Each host admits its share of a limit, in proportion to the load that
+/// callers offer to it and to its peers, which report theirs.
 class WorkspaceLimits {
  public:
   /// @brief Sets or changes a workspace's limits.
