--- a/src/allocation/allocation_messages.h
+++ b/src/allocation/allocation_messages.h
@@ -26,8 +26,8 @@
   std::string source;
   WorkItem work;
   std::vector<std::string> avoid;  ///< engines that the host can't use now
-  bool may_forward =
-      true;  ///< whether it may be sent on to another group's allocator
+  /// Whether it may be sent on to another group's allocator.
+  bool may_forward = true;
   bool is_forwarded = false;  ///< sent by another group's allocator
 };
 
@@ -46,12 +46,12 @@
   PlacementStatus status = PlacementStatus::kDeclined;
   std::string engine;  ///< the chosen one, or else the best candidate
   double cost = 0.0;   ///< placement cost, see PressureOptions
-  double memory_share =
-      0.0;            ///< fraction of the engine's memory expected to be used
-  int in_flight = 0;  ///< requests at the engine
+  /// Fraction of the engine's memory expected to be used.
+  double memory_share = 0.0;
+  int in_flight = 0;                ///< requests at the engine
   std::int64_t first_event_ms = 0;  ///< expected time to the first event
-  std::int64_t prefill_tokens_ahead =
-      0;  ///< prompt tokens that the engine prefills before this request's
+  /// Prompt tokens that the engine prefills before this request's.
+  std::int64_t prefill_tokens_ahead = 0;
   bool was_forwarded = false;  ///< sent by another group's allocator
 };
 
--- a/src/allocation/allocator.h
+++ b/src/allocation/allocator.h
@@ -109,8 +109,8 @@
     std::string name;  ///< the peer name under which the fleet state holds this
                        ///< reservation as a PeerLoad
     std::int64_t reserved_ms = 0;
-    std::int64_t requests_before =
-        0;  ///< requests of the host at the engine before this one
+    /// Requests of the host at the engine before this one.
+    std::int64_t requests_before = 0;
   };
   struct ReportedPressure {
     double cost = 0.0;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -62,8 +62,9 @@
   /// Largest fraction of a queue that one workspace may hold; applies once the
   /// queue is half full.
   double workspace_share = 0.5;
-  /// Times that the head of a workspace's queue may be skipped for lack of
-  /// room.
+  /// How often the first item of a workspace's queue may be skipped because no
+  /// engine has room for it. After that, other workspaces' work for the same
+  /// model waits until the item is removed.
   int max_bypass = 32;
 };
 
@@ -108,8 +109,8 @@
   struct Flow {  ///< queue of one workspace at one urgency
     std::string workspace;
     std::deque<WorkItem> items;
-    std::int64_t start_tag =
-        0;  ///< on the level's virtual clock, which counts tokens
+    /// Position on the level's virtual clock, which counts tokens.
+    std::int64_t start_tag = 0;
     int bypass_count = 0;
   };
 
--- a/src/policy/baseline_choosers.cc
+++ b/src/policy/baseline_choosers.cc
@@ -23,7 +23,8 @@
   const auto capacity = static_cast<double>(view.kv_capacity);
   const double used =
       capacity > 0 ? static_cast<double>(view.kv_used) / capacity : 0.0;
-  // Each request that waits at the engine weighs as much as its whole memory.
+  // Each request that waits at the engine counts as much as the whole memory of
+  // the engine.
   return used + view.waiting;
 }
 
--- a/src/policy/chooser.h
+++ b/src/policy/chooser.h
@@ -23,8 +23,10 @@
   kPrefixHint,   ///< as kMemoryFits, and the engine's cache may hold the
                  ///< prompt's prefix
   kNotServed,    ///< no engine has the model loaded
-  kNoneUsable,   ///< every engine with the model is dead, leaving or stalled
-  kNoneHasRoom,  ///< the work would probably overfill the memory of any engine
+  kNoneUsable,   ///< every engine with the model is dead, leaving, stalled or
+                 ///< excluded for this work, for instance by its region
+  kNoneHasRoom,  ///< every engine would probably run out of memory or begin the
+                 ///< work too late
 };
 
 /// @brief The reason's name in log lines.
@@ -33,9 +35,11 @@
 /// @brief An engine that was considered for a piece of work.
 struct Candidate {
   std::string engine;
-  double cost = 0.0;             ///< lower is better
-  double overfill_chance = 0.0;  ///< probability that the engine's memory
-                                 ///< overflows if the work is added
+  double cost = 0.0;  ///< lower is better
+  /// With MemoryAwareChooser, the probability that the engine's memory
+  /// overflows if the work is added; with PressureChooser, the fraction of the
+  /// memory that is expected to be in use then.
+  double overfill_chance = 0.0;
   int in_flight = 0;
   bool prefix_hint = false;
   /// Expected time from now to the first event; 0: not known.
@@ -80,8 +84,8 @@
 
 /// @brief Sorts engines best first: those that fit before those that do not,
 /// then by cost.
-/// @return the number of engines at the front that fit or not like the best one
-/// and whose cost exceeds its cost by at most `near_equal`
+/// @return the number of leading engines that count as equal to the best one:
+/// they fit if it fits, and cost at most `near_equal` more than it
 /// @complexity O(n log n)
 template <typename ScoredEngine>
 std::size_t RankByCost(std::vector<ScoredEngine>& scored, double near_equal) {
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -65,9 +65,12 @@
   int own_in_flight = 0;
   int own_since_report = 0;  ///< sent after `reported_unix_ms`
   std::int64_t own_kv = 0;   ///< KV-cache tokens held by own streams now
-  /// Unix ms; 0: no slow start in progress.
+  /// Unix ms; when the engine joined, returned or restarted, from which on this
+  /// host increases its load gradually; 0: no slow start.
   std::int64_t slow_start_began_ms = 0;
-  std::int64_t warm_at_ms = 0;  ///< unix ms; slow after its start until then
+  /// Unix ms, from the host list; until then the engine itself is slow after
+  /// its start.
+  std::int64_t warm_at_ms = 0;
   /// Fraction of its recent requests that failed, from 0 to 1.
   double failure_share = 0.0;
   /// Unix ms; avoided until then because it could not be reached.
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -88,7 +88,8 @@
   void NoteNoRoom(std::string_view engine, std::int64_t now_ms);
 
   /// @brief Sets the hosts that share the engines. Each engine is preferred by
-  /// exactly one host, and all hosts agree on which one.
+  /// exactly one host, and all hosts agree on which one. Choosers can reserve
+  /// memory of the engine for that host.
   /// @param[in] self this host's name
   /// @param[in] hosts the names of all hosts, including this one
   /// @complexity O(hosts * engines)
@@ -230,16 +231,16 @@
     /// Recently ended streams, which a delayed load report may still include.
     std::vector<EndedStream> ended;
     std::vector<PeerLoad> peers;
-    int others_running =
-        0;  ///< streams in the last load report, without this host's own
+    /// Streams in the last load report, without this host's own.
+    int others_running = 0;
     std::int64_t others_kv = 0;
     // The host list or the load reports may be out of date, so the engine
     // counts as leaving if either of them says so.
     bool listed_leaving = false;
     bool reported_leaving = false;
     bool reported_to_peers = false;
-    int copies =
-        0;  ///< KV-cache copies of this host in progress on the engine's link
+    /// KV-cache copies of this host in progress on the engine's link.
+    int copies = 0;
     bool preferred = true;
     mutable MemoryForecast forecast_cache;
     mutable std::int64_t forecast_cached_ms = -1;
--- a/src/policy/memory_aware_chooser.cc
+++ b/src/policy/memory_aware_chooser.cc
@@ -9,8 +9,8 @@
 
 constexpr std::size_t kMaxReportedCandidates = 4;
 constexpr std::int64_t kNoRoomRetryMs = 1'000;
-// The cost of slower token generation is one unit, times its weight, for this
-// many requests on an engine.
+// This many requests on an engine cost one unit of the weight `token_gap`,
+// because they slow down each other's token generation.
 constexpr double kBatchUnitRequests = 64.0;
 // Engines whose costs differ by at most this count as equal. One of them is
 // picked at random, so that hosts with the same view do not all send to the
--- a/src/policy/stop_plan.cc
+++ b/src/policy/stop_plan.cc
@@ -20,7 +20,7 @@
 constexpr std::int64_t kMaxClaimsWaitMs = 10'000;
 // How long an exit is delayed by peers: three times the time limit of a
 // forwarded claim. Peers forward claims to this host as long as they consider
-// it live; claims left unanswered they resolve with the store.
+// it live, and resolve unanswered claims with the store.
 constexpr std::int64_t kMaxPeersWaitMs = 900;
 
 }  // namespace
--- a/src/policy/stop_plan.h
+++ b/src/policy/stop_plan.h
@@ -20,8 +20,8 @@
 
 /// @brief Minimum and maximum duration of a stop, in milliseconds.
 struct StopBounds {
-  std::int64_t min_ms =
-      0;  ///< new connections may still arrive during this time
+  /// New connections may still arrive during this time.
+  std::int64_t min_ms = 0;
   std::int64_t grace_ms = 0;  ///< the process is killed at the end of this time
 };
 
--- a/src/policy/stream_admission.cc
+++ b/src/policy/stream_admission.cc
@@ -15,9 +15,9 @@
 // The same fraction for late streams. It is smaller, so that late streams use
 // only capacity that other streams leave free.
 constexpr double kLateFraction = 0.5;
-// How long a late stream may wait, as a multiple of its target and at least.
-// Callers abandon a stream without events after four times its target, but not
-// before two seconds; the refusal has to reach them earlier.
+// How long a late stream may wait: this multiple of its target, but at least
+// kMinPatienceMs. Callers abandon a stream without events after four times its
+// target, but not before two seconds; the refusal has to reach them earlier.
 constexpr double kPatienceInTargets = 3.5;
 constexpr std::int64_t kMinPatienceMs = 1'900;
 // Callers honor a Retry-After time of up to a third of the time that they still
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -87,7 +87,7 @@
   report.incarnation = "2";
   fleet.state.ApplyReport(report, 30);
   cr_assert(fleet.state.EnginesWithPrefix(work).empty());
-  // The same if another engine reuses its slot.
+  // The prefix is also forgotten when another engine reuses the slot.
   fleet.state.NoteSent(work, "e0", 40);
   fleet.state.NoteEnded("a", StreamEnd::kComplete, 50);
   fleet.state.RemoveEngine("e0");
