--- a/src/allocation/allocator_client.cc
+++ b/src/allocation/allocator_client.cc
@@ -81,8 +81,9 @@
          this->arrivals->HasShare(this->self.host, engine, now_ms);
 }
 
-// Engines that this host knows to be unusable; the allocator may not know it
-// yet.
+// Engines that this host cannot use now: it could not reach them, they refused
+// a KV-cache copy, or its share of their rate limit is used up. The allocator
+// may not know this.
 std::vector<std::string> AllocatorClient::LocallyUnusableEngines() const {
   const std::int64_t now_ms = this->clock.WallMs();
   std::vector<std::string> engines;
--- a/src/policy/engine_view.h
+++ b/src/policy/engine_view.h
@@ -65,8 +65,8 @@
   int own_in_flight = 0;
   int own_since_report = 0;  ///< sent after `reported_unix_ms`
   std::int64_t own_kv = 0;   ///< KV-cache tokens held by own streams now
-  /// Unix ms; when the engine joined, returned or restarted, from which on this
-  /// host increases its load gradually; 0: no slow start.
+  /// Unix ms at which the engine joined, returned or restarted. From then on
+  /// its usable memory increases gradually. 0: no slow start.
   std::int64_t slow_start_began_ms = 0;
   /// Unix ms, from the host list; until then the engine itself is slow after
   /// its start.
