--- a/src/allocation/allocator.cc
+++ b/src/allocation/allocator.cc
@@ -19,8 +19,8 @@
 // than this.
 constexpr std::int64_t kReservationMs = 300;
 // A group's pressure is ignored if it was received longer ago than this. It is
-// sent every quarter of a second, so three messages in a row may be lost. Queued
-// migrations that were not renewed for this long are dropped as well.
+// sent every quarter of a second, so three messages in a row may be lost.
+// Queued migrations that were not renewed for this long are dropped as well.
 constexpr std::int64_t kMaxPressureAgeMs = 1'000;
 // A request is forwarded to another group only if an engine there is cheaper by
 // more than this, about a third of an engine's memory: if that group is in
