--- a/src/quarantine/crash_gossip.cc
+++ b/src/quarantine/crash_gossip.cc
@@ -11,22 +11,24 @@
 
 using nlohmann::json;
 
-// With a fanout of four, gossip reaches all but 2 % of the hosts, in five
-// rounds if there are 350; digests reach the rest.
+// Number of hosts that a new record is forwarded to. With four, it reaches all
+// but 2 % of the hosts, within five rounds in a fleet of 350 hosts. The others
+// get it after an exchange of digests.
 constexpr std::size_t kFanout = 4;
 // A host that missed a record gets it after one or two digests; six are sent
-// within the three seconds in which hosts are to agree.
+// within the three seconds after which all hosts should have equal records.
 constexpr std::int64_t kDigestPeriodMs = 500;
 constexpr std::size_t kDigestFanout = 2;
-// At most once per period, a host whose digest differs is sent the newest
-// records and a random sample of all. That is about 6 KB each time, of the 29
-// KB/s that a host may use for control traffic.
+// A host whose digest differs is sent the newest records and a random sample of
+// all, at most once per period for all hosts together. Each time about 6 KB are
+// sent; a host may use 29 KB/s for control traffic.
 constexpr std::int64_t kRecordsPeriodMs = 500;
 constexpr std::size_t kNewestRecords = 16;
 constexpr std::size_t kSampledRecords = 8;
 // Two records with three crashes each fit in one packet on most networks.
 constexpr std::size_t kRecordsPerDatagram = 2;
-// Often enough, as records last for minutes.
+// Interval for dropping expired records; it can be this long because records
+// last for minutes.
 constexpr std::int64_t kExpirationPeriodMs = 5'000;
 constexpr std::size_t kDigestFields = 2;
 
--- a/src/quarantine/crash_gossip.h
+++ b/src/quarantine/crash_gossip.h
@@ -32,9 +32,10 @@
 
 /// @brief Spreads crash records between hosts by gossip.
 ///
-/// A host that gets a new record sends it on to some random hosts at once, so
-/// that it reaches nearly all hosts in a few rounds, however many there are.
-/// For lost messages there is anti-entropy: each host periodically sends a
+/// A host that receives a new or changed record forwards it at once to a few
+/// hosts chosen at random. The record thus reaches nearly all hosts after a few
+/// rounds of forwarding, even in a large fleet. Hosts that missed it because
+/// messages were lost get it by anti-entropy: each host periodically sends a
 /// digest of its records to others, and hosts whose digests differ exchange
 /// records.
 class CrashGossip {
@@ -51,8 +52,10 @@
   /// @brief Handles records that another host sent.
   void OnRecords(std::string_view host, const nlohmann::json& payload);
 
-  /// @brief Handles the digest of another host's records; if it differs from
-  /// this host's, sends records and, unless it was an answer, a digest.
+  /// @brief Handles the digest of another host's records. If this host's digest
+  /// differs, sends the other host a selection of records, at most once per
+  /// period for all hosts together, and also this host's digest unless the
+  /// received one was itself an answer.
   void OnDigest(std::string_view host, const nlohmann::json& payload);
 
   static constexpr char kRecordsTopic[] = "crashes";
@@ -69,8 +72,10 @@
   const Clock& clock;
   Scheduler& scheduler;
   std::mt19937_64 random;
-  std::vector<CrashRecordId> newest;  ///< latest change first
-  std::int64_t records_sent_ms = 0;   ///< monotonic; last time
+  /// Ids of the records that changed last, latest first.
+  std::vector<CrashRecordId> newest;
+  /// Monotonic time of the last answer with records.
+  std::int64_t records_sent_ms = 0;
   Lifetime life;
 };
 
--- a/src/quarantine/crash_messages.cc
+++ b/src/quarantine/crash_messages.cc
@@ -22,11 +22,14 @@
 constexpr char kServer[] = "server";
 constexpr char kBeforeAnyAnswer[] = "before_any_answer";
 constexpr char kAt[] = "at_unix_ms";
-// Longer than any id or route that a host writes.
+// Limit on each text of a received record: longer than any id or route that a
+// host writes.
 constexpr std::size_t kMaxTextBytes = 1'024;
-// Twice the number of crashes that a host keeps per content.
+// Limit on the crashes in a received record: twice the number that a host keeps
+// per content.
 constexpr std::size_t kMaxCrashes = 32;
-// In the year 2286: later than any clock that is merely wrong shows.
+// Latest time accepted in a received record. It is in the year 2286, later than
+// even a clock that is set wrong is likely to show.
 constexpr std::int64_t kMaxUnixMs = 10'000'000'000'000;
 
 absl::Status MalformedField(std::string_view field) {
--- a/src/quarantine/crash_messages.h
+++ b/src/quarantine/crash_messages.h
@@ -16,8 +16,8 @@
 /// @brief Decodes a record; an error names the invalid field.
 absl::StatusOr<CrashRecord> CrashRecordFrom(const nlohmann::json& value);
 
-/// @brief Kind of the records' objects in the object store; each object is
-/// named by its content key.
+/// @brief Kind under which crash records are kept in the object store. The name
+/// of each object is the record's content key.
 inline constexpr std::string_view kQuarantineKind = "quarantine";
 
 /// @brief Encodes a record as an object's value in the store.
--- a/src/quarantine/crash_record.cc
+++ b/src/quarantine/crash_record.cc
@@ -7,16 +7,18 @@
 
 // Three crashes before any output lead to quarantine, or four if there was
 // output before some of them. Two may be coincidence: if a sixth of the servers
-// end at once, a request that is retried meets two such ends in a row once in
-// forty times, and three once in two hundred.
+// stop at once again and again, two successive attempts at a request both lose
+// their server once in forty times, and three once in two hundred.
 constexpr int kQuarantinePoints = 12;
 constexpr int kPointsBeforeAnswer = 4;
 constexpr int kPointsAfterAnswer = 3;
-// A content that is retried comes again within minutes, as its callers wait for
-// the result. Crashes further apart do not count together.
+// Crashes of a content that are further apart than this are not counted
+// together. Callers wait for the result, so their retries arrive within
+// minutes.
 constexpr std::int64_t kSuspectMs = 600'000;
-// A new version that fixes the engine takes hours. But a request that was
-// quarantined by mistake must not be rejected for longer than this.
+// Length of the first quarantine. A new engine version that fixes the crash
+// takes hours, but a request that was quarantined by mistake must not be
+// rejected for longer than this.
 constexpr std::int64_t kFirstQuarantineMs = 600'000;
 // Each further quarantine is twice as long as the last, up to most of a day.
 constexpr int kMaxDoublings = 7;
@@ -30,7 +32,8 @@
   return kFirstQuarantineMs << std::min(strikes - 1, kMaxDoublings);
 }
 
-/// @brief Counts crashes in the order of their times.
+/// @brief Adds up the crashes of a content, which must be passed in the order
+/// of their times.
 struct Tally {
   int points = 0;
   int strikes = 0;
@@ -69,8 +72,9 @@
   }
 }
 
-// Several runs of the content may have been on the server: keeps the earliest
-// time, and whether any of the runs had no output.
+// Several runs of the content may have been on the server when it crashed,
+// which counts as one crash. Its time is the earliest one reported, and it
+// counts as before any output if that holds for any of the runs.
 void MergeCrash(const ServerCrash& crash, CrashRecord* record) {
   const auto known =
       std::find_if(record->crashes.begin(), record->crashes.end(),
@@ -99,8 +103,8 @@
   verdict.until_ms = tally.until_ms;
   verdict.forget_ms = tally.strikes > 0 ? tally.until_ms + kProbationMs
                                         : tally.last_ms + kSuspectMs;
-  // Until then hosts that have not received cleared_ms may still send the old
-  // crashes.
+  // Keeps a cleared record for kSuspectMs, because hosts that have not received
+  // cleared_ms yet may still send the old crashes.
   verdict.forget_ms =
       std::max(verdict.forget_ms, record.cleared_ms + kSuspectMs);
   verdict.in_quarantine = now_unix_ms < tally.until_ms;
--- a/src/quarantine/crash_record.h
+++ b/src/quarantine/crash_record.h
@@ -12,8 +12,8 @@
 /// request with a given content.
 struct ServerCrash {
   std::string server;  ///< key of the server process, see Backend::key
-  /// The run had produced no output yet. A run with output is less likely to be
-  /// the cause.
+  /// The run had produced no output when the server crashed. A run that had
+  /// produced output is less likely to have caused the crash.
   bool before_any_answer = false;
   std::int64_t unix_ms = 0;
 
@@ -30,20 +30,23 @@
   friend auto operator<=>(const CrashRecordId&, const CrashRecordId&) = default;
 };
 
-/// @brief What is known of a request content that servers crashed on.
+/// @brief The crashes of servers that ran requests with one content, and
+/// whether the content was cleared or is kept in quarantine.
 ///
 /// A conflict-free replicated data type: merging only adds crashes and advances
-/// times, so that hosts agree whatever the order in which updates arrive, also
-/// if they arrive late or twice.
+/// times. Hosts end up with equal records in whatever order updates arrive,
+/// even if some arrive late or twice.
 struct CrashRecord {
   CrashRecordId id;
-  std::string route;    ///< route or template of one try, for operators
-  std::string request;  ///< id of one try, for operators
+  /// Route or template of one of the requests, for operators.
+  std::string route;
+  std::string request;  ///< id of one of the requests, for operators
   std::vector<ServerCrash> crashes;  ///< crashes by time, one per server
-  /// When a run last completed, or an operator lifted the quarantine; crashes
-  /// up to then no longer count. Unix ms; 0: never.
+  /// Unix ms at which a run of the content last completed or an operator last
+  /// lifted its quarantine; 0: never. Crashes up to this time do not count.
   std::int64_t cleared_ms = 0;
-  /// Since when an operator keeps it in quarantine; Unix ms, 0: not at all.
+  /// Unix ms since which an operator keeps the content in quarantine; 0: not at
+  /// all. Has no effect unless later than cleared_ms.
   std::int64_t kept_ms = 0;
 
   friend bool operator==(const CrashRecord&, const CrashRecord&) = default;
@@ -66,7 +69,7 @@
 };
 
 /// @brief Computes the verdict on a record. It depends on the record and the
-/// time only, so that hosts with equal records agree.
+/// time only, so that hosts with equal records reach the same verdict.
 /// @complexity linear in the crashes
 CrashVerdict Judge(const CrashRecord& record, std::int64_t now_unix_ms);
 
--- a/src/quarantine/crash_record_table.cc
+++ b/src/quarantine/crash_record_table.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Records with the lowest rank are evicted first: suspects before contents in
-// quarantine, and among each of these the one that expires first.
+// quarantine, and within each of these groups the record that expires first.
 auto RetentionRank(const CrashRecord& record, std::int64_t now_unix_ms) {
   const CrashVerdict verdict = Judge(record, now_unix_ms);
   return std::make_tuple(verdict.in_quarantine, verdict.forget_ms);
@@ -90,8 +90,8 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-// If there are too many records in all, one of the workspace with the most is
-// evicted, so that a workspace can't evict the records of the others.
+// If the total is too high, evicts a record of the workspace that has the most,
+// so that no workspace can evict the records of the others.
 void CrashRecordTable::EvictIfFull(const CrashRecordId& exempt,
                                    std::int64_t now_unix_ms) {
   if (this->workspaces[exempt.workspace].size() > this->limits.per_workspace) {
--- a/src/quarantine/crash_record_table.h
+++ b/src/quarantine/crash_record_table.h
@@ -13,9 +13,10 @@
 
 namespace meadowthread {
 
-/// @brief Most records that a host keeps.
+/// @brief Maximum number of crash records that a host keeps.
 struct CrashRecordLimits {
-  /// Bounds each workspace, so that none can evict the records of the others.
+  /// Limit for each workspace, so that no workspace can evict the records of
+  /// the others.
   std::size_t per_workspace = 64;
   std::size_t total = 1'024;
 };
@@ -57,7 +58,7 @@
  private:
   using Records = std::map<std::string, CrashRecord, std::less<>>;
 
-  /// @param[in] exempt not evicted
+  /// @param[in] exempt the record that must not be evicted
   void EvictIfFull(const CrashRecordId& exempt, std::int64_t now_unix_ms);
   void EvictLeastImportant(std::string_view workspace,
                            const CrashRecordId& exempt,
--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -18,7 +18,8 @@
   std::string request;
 };
 
-/// @brief A server process that had not announced that it would stop.
+/// @brief Identifies a server process. Passed only for a process that had not
+/// announced a stop.
 struct ServerInstance {
   std::string key;      ///< of the server process, see Backend::key
   std::string address;  ///< IP:PORT
@@ -27,7 +28,8 @@
 /// @brief The quarantine as one request's session uses it: asks whether the
 /// request may be sent, and reports how its runs end.
 ///
-/// The content key is computed when it is first needed, which is rare.
+/// The content key is computed when it is first needed. Most requests never
+/// need it, and computing it takes time linear in the body.
 class GuardedRun {
  public:
   using KeyFunction = std::function<std::string()>;
@@ -48,17 +50,19 @@
   /// @brief Whether the request has this workspace and content.
   bool HasContent(const CrashRecordId& other);
 
-  /// @brief The connection to the server broke after the request was sent.
+  /// @brief Called when the connection to the server broke after the request
+  /// was sent.
   /// @param[in] server nullopt if the server had announced that it would stop,
   /// so that the request is not the cause
   /// @param[in] before_any_answer whether the run had produced no output yet
   void NoteCut(const std::optional<ServerInstance>& server,
                bool before_any_answer);
 
-  /// @brief The request timed out without any output of the server.
+  /// @brief Called when the request timed out before the server had sent any
+  /// output.
   void NoteSilent(const std::optional<ServerInstance>& server);
 
-  /// @brief A server completed the request.
+  /// @brief Called when a server has completed the request.
   void NoteCompleted();
 
   /// @brief The content key.
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -54,13 +54,15 @@
   std::optional<std::int64_t> RemainingQuarantineMs(
       const CrashRecordId& id) const;
 
-  /// @brief A run was interrupted at a server that had not announced a stop.
+  /// @brief Called when a run was interrupted at a server that had not
+  /// announced a stop.
   void NoteCut(const InterruptedRun& run) { this->detector.Add(run); }
 
-  /// @brief A server is gone that had not announced a stop.
+  /// @brief Called when a server has gone without having announced a stop.
   void NoteGone(std::string_view server) { this->detector.NoteGone(server); }
 
-  /// @brief A server completed a run: clears the content.
+  /// @brief Called when a server has completed a run: clears the content, so
+  /// that its earlier crashes no longer count.
   void NoteCompleted(const CrashRecordId& id);
 
   CrashRecordTable& RecordTable() { return this->table; }
@@ -75,15 +77,16 @@
   const Clock& clock;
   CrashRecordTable table;
   ServerCrashDetector detector;
-  /// Contents in quarantine that the listeners were called with, and the number
-  /// of strikes at that time.
+  /// For each content in quarantine, its number of strikes when the listeners
+  /// were last called with it.
   std::map<CrashRecordId, int> announced;
   std::vector<Listener> listeners;
   bool adding_own = false;  ///< during AddOwnRecord
 };
 
 /// @brief The error that a request in quarantine ends with.
-/// @param[in] lasts_ms how long the quarantine lasts: the time to retry after
+/// @param[in] lasts_ms remaining time of the quarantine; the caller is told to
+/// retry after it
 /// @param[in] may_have_run whether an earlier attempt may have run
 absl::Status QuarantinedError(std::int64_t lasts_ms, bool may_have_run);
 
--- a/src/quarantine/server_crash_detector.cc
+++ b/src/quarantine/server_crash_detector.cc
@@ -8,17 +8,19 @@
 namespace meadowthread {
 namespace {
 
-// The limit that other connections to servers have, within which a dead server
-// is noticed.
+// Time limit of a probe's connection attempt. It is the same as
+// kBackendConnectMs, within which requests notice a dead server.
 constexpr std::int64_t kProbeTimeoutMs = 250;
-// A server's entry expires after three missed heartbeats of 1.2 s, and the news
-// of it takes half a second. A server that disappears later than this did so
-// for another reason.
+// Time within which a server must disappear for an interruption to count as its
+// crash; if it disappears later, that has another cause. The entry of a crashed
+// server expires after three missed heartbeats of 1.2 s, and this host learns
+// of that within another half second.
 constexpr std::int64_t kMaxPendingMs = 5'000;
 // Callers choose request ids of any length; this much of one is enough to find
 // the request.
 constexpr std::size_t kMaxRequestIdBytes = 64;
-// A server has no more than a few dozen runs at a time.
+// Limit on the interrupted runs kept per server, which has no more than a few
+// dozen runs at a time.
 constexpr std::size_t kMaxRunsPerServer = 64;
 
 }  // namespace
@@ -53,12 +55,12 @@
       }));
 }
 
-// Only a refused connection shows a crash. Without a response the machine may
-// merely be unreachable from this host. An accepted connection may be that of a
-// proxy in front of a crashed server; the expiry of the server's entry shows
-// the crash then. If a connection is refused after one was accepted, the crash
-// came later than the interruption of the earlier runs, and is not counted for
-// them.
+// Only a refused connection shows a crash. If there is no response, the machine
+// may merely be unreachable from this host. If the connection is accepted, a
+// proxy in front of a crashed server may have accepted it; such a crash shows
+// when the server's entry expires. If a connection is refused after an earlier
+// one was accepted, the server crashed only after the runs before the accepted
+// one had been interrupted, so the crash is not counted for those runs.
 void ServerCrashDetector::OnProbed(const std::string& server,
                                    ListenProbeResult state) {
   this->probing.erase(server);
--- a/src/quarantine/server_crash_detector.h
+++ b/src/quarantine/server_crash_detector.h
@@ -30,9 +30,9 @@
   bool timed_out = false;
 };
 
-/// @brief Determines for interrupted runs whether the server crashed.
-/// Connections break for many reasons, most of which have nothing to do with
-/// the run.
+/// @brief Determines for interrupted runs whether the server crashed. A broken
+/// connection alone does not show a crash: connections break for many reasons,
+/// most of which have nothing to do with the run.
 class ServerCrashDetector {
  public:
   /// Called with a record for each run whose server crashed.
@@ -47,8 +47,8 @@
   /// @brief Starts to check the server of an interrupted run.
   void Add(const InterruptedRun& run);
 
-  /// @brief A server is gone, or was restarted under the same id, without
-  /// having announced a stop.
+  /// @brief Called when a server has gone, or was restarted under the same id,
+  /// without having announced a stop.
   void NoteGone(std::string_view server);
 
  private:
--- a/src/quarantine/tests/crash_gossip_test.cc
+++ b/src/quarantine/tests/crash_gossip_test.cc
@@ -134,7 +134,7 @@
   std::vector<std::unique_ptr<Host>> hosts;
 };
 
-// Hosts that are connected are to agree within this time.
+// Hosts that can reach each other must have equal records within this time.
 constexpr std::int64_t kConvergenceMs = 3'000;
 
 Test(crashes_seen_by_three_hosts, reach_all_in_time_despite_lost_messages) {
--- a/src/quarantine/tests/crash_record_test.cc
+++ b/src/quarantine/tests/crash_record_test.cc
@@ -14,7 +14,7 @@
 
 struct Fixture {
   /// @brief A server crashes while it runs the content.
-  /// @param[in] at_ms since kStart
+  /// @param[in] at_ms milliseconds since kStart
   void Crash(std::int64_t at_ms, bool before_any_answer = true) {
     CrashRecord crash = this->record;
     crash.crashes = {{"s-" + std::to_string(++this->servers), before_any_answer,
@@ -52,8 +52,8 @@
   cr_assert_not(fixture.IsQuarantined(10));
 }
 
-// Such a request was more likely running beside the one that crashed the
-// server.
+// A request that had already produced output was more likely running on the
+// same server as the request that crashed it.
 Test(a_content_with_output_before_the_crash, needs_one_crash_more) {
   Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
@@ -86,8 +86,8 @@
   cr_assert_not(fixture.IsQuarantined(12 * kMinute));
 }
 
-// The engine may have been fixed meanwhile. If not, each end of a quarantine
-// costs one crash, at intervals that double.
+// The engine may have been fixed during the quarantine. If it was not, one
+// server crashes at the end of each quarantine, at intervals that double.
 Test(a_quarantine, ends_and_returns_after_one_crash_for_twice_as_long) {
   Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400}) {
@@ -103,7 +103,8 @@
   cr_assert(fixture.RemainingQuarantineMs(over_ms + 500) == 2 * first_ms);
 }
 
-// Otherwise runs that had begun before the quarantine would prolong it.
+// Runs that had begun before the quarantine may still crash their servers
+// during it.
 Test(a_quarantine, is_not_prolonged_by_runs_that_had_begun_before_it) {
   Fixture fixture;
   for (const std::int64_t at_ms : {0, 700, 1'400, 1'500, 1'600}) {
--- a/src/quarantine/tests/fake_listen_check.h
+++ b/src/quarantine/tests/fake_listen_check.h
@@ -11,7 +11,7 @@
 
 namespace meadowthread::testing {
 
-/// @brief Connection attempts whose results the test gives.
+/// @brief A probe whose connection attempts get their results from the test.
 class FakeListenCheck final : public ListenProbe {
  public:
   void Ask(std::string_view address, std::int64_t /*limit_ms*/,
--- a/src/quarantine/tests/quarantine_false_positive_test.cc
+++ b/src/quarantine/tests/quarantine_false_positive_test.cc
@@ -1,5 +1,5 @@
-// How often a harmless request is quarantined by mistake: a sixth of the
-// servers at a time end unannounced, in waves, and interrupted requests are
+// How often a harmless request is quarantined by mistake if servers stop
+// unannounced in waves, a sixth of them at a time, and interrupted requests are
 // retried at once.
 #include <criterion/criterion.h>
 
@@ -17,9 +17,9 @@
 // As in the most loaded deployment: 22 of 128 engines every 3.3 s.
 constexpr double kWaveShare = 22.0 / 128.0;
 constexpr double kWavePeriodMs = 3'300.0;
-// From sending a request to the first event of its stream.
+// Time from sending a request to the first event of its stream.
 constexpr double kFirstEventMs = 500.0;
-// The longest generation of a report.
+// Duration of the longest kind of generation, one that writes a report.
 constexpr double kRunMs = 12'000.0;
 
 /// @brief A harmless request that is retried until it is completed or in
@@ -66,9 +66,10 @@
   int servers = 0;
 };
 
-// A false positive takes three or four waves in a row that each end the server
-// of the same request. A run of twelve seconds is hit by one with a probability
-// of 1 - (1 - 0.17)^3.6 = 0.49, so four in a row have 0.06; few callers retry
+// A false positive takes three or four successive attempts at a request that
+// each lose their server to a wave. A run of twelve seconds spans 3.6 waves and
+// loses its server with a probability of 1 - (1 - 0.17)^3.6 = 0.49. Four
+// successive runs lose theirs with a probability of 0.06; few callers retry
 // four times.
 Test(a_long_run_among_waves, is_quarantined_at_most_once_in_sixteen) {
   constexpr int kContents = 20'000;
--- a/src/quarantine/tests/server_crash_detector_test.cc
+++ b/src/quarantine/tests/server_crash_detector_test.cc
@@ -51,7 +51,8 @@
   cr_assert(fixture.reported[0].crashes[0].unix_ms == cut_ms);
 }
 
-// A malformed response, a lost connection, or a host that is unreachable.
+// The run was interrupted by a malformed response, a lost connection, or an
+// unreachable machine, not by a crash of its server.
 Test(an_interrupted_run, is_not_reported_if_the_server_accepts_or_is_silent) {
   for (const ListenProbeResult state :
        {ListenProbeResult::kListens, ListenProbeResult::kSilent}) {
@@ -78,8 +79,8 @@
   cr_assert(fixture.reported.size() == 1);
 }
 
-// A response was malformed, and seconds later another request crashes the same
-// server.
+// The first run is interrupted by a malformed response; two seconds later
+// another request crashes the same server.
 Test(an_interrupted_run, is_not_reported_for_a_later_crash) {
   Fixture fixture;
   fixture.detector.Add(Fixture::Run("c-1", "s-1"));
--- a/src/relay/active_routing_config.cc
+++ b/src/relay/active_routing_config.cc
@@ -9,8 +9,8 @@
 namespace meadowthread {
 namespace {
 
-// A host that has no configuration yet usually gets one within this: the store
-// answers within milliseconds.
+// Retry delay for callers while this host has no configuration. It usually gets
+// one within this time, as the store answers within milliseconds.
 constexpr std::int64_t kNoPlanRetryMs = 500;
 
 absl::Status Refused(ErrorId id, absl::StatusCode code, std::string_view step,
--- a/src/relay/active_routing_config.h
+++ b/src/relay/active_routing_config.h
@@ -28,8 +28,8 @@
   ActiveRoutingConfig& operator=(const ActiveRoutingConfig&) = delete;
 
   /// @brief Makes a configuration the active one.
-  /// @param[in] revision its store revision; ignored unless higher than the
-  /// last
+  /// @param[in] revision store revision of the configuration; the call has no
+  /// effect unless it is higher than that of the last one activated
   /// @return whether it is now active
   bool Activate(RoutingConfig config, std::int64_t revision);
 
--- a/src/relay/backend_health.cc
+++ b/src/relay/backend_health.cc
@@ -8,8 +8,8 @@
 namespace meadowthread {
 namespace {
 
-// Age at which an attempt's result counts half. Servers recover within seconds,
-// and the failure rate has to follow.
+// Age at which an attempt's result counts half. It is short because servers
+// recover within seconds, and the failure rate has to drop as quickly.
 constexpr double kHalfLifeMs = 4'000.0;
 // Prior of the failure rate: counts as this many requests with this many
 // failures.
@@ -40,8 +40,9 @@
   this->Apply({id, 0.0, 0, result, false}, now_ms);
 }
 
-// Several hosts may find a server unreachable at the same moment. Those reports
-// count as one failure, not as consecutive ones.
+// Several hosts may find a server unreachable at the same moment. Their reports
+// count as one failure, not as consecutive ones that would each double the
+// backoff.
 void BackendHealth::RecordPeerAttempt(std::string_view id, AttemptResult result,
                                       std::int64_t now_ms) {
   if (result == AttemptResult::kUnreachable && !this->IsUsable(id, now_ms)) {
--- a/src/relay/backend_health.h
+++ b/src/relay/backend_health.h
@@ -51,12 +51,12 @@
   void RecordPeerAttempt(std::string_view id, AttemptResult result,
                          std::int64_t now_ms);
 
-  /// @brief Whether requests may be sent to the server: it is not being avoided
-  /// after failed connections.
+  /// @brief Whether requests may be sent to the server; false during the
+  /// backoff after failed connections.
   bool IsUsable(std::string_view id, std::int64_t now_ms) const;
 
-  /// @brief Failure rate of recent requests, from 0 to 1. With few requests it
-  /// stays low.
+  /// @brief Failure rate of recent requests, from 0 to 1. It stays low while
+  /// there are few requests to judge by.
   double FailureRate(std::string_view id, std::int64_t now_ms) const;
 
   /// @brief Number of this host's attempts in progress at a server.
@@ -69,7 +69,7 @@
 
  private:
   struct Record {
-    double good = 0.0;  ///< counts that decay exponentially
+    double good = 0.0;  ///< successes; both counts decay exponentially
     double failed = 0.0;
     std::int64_t counted_ms = 0;
     int unreachable = 0;  ///< consecutive failed connections
--- a/src/relay/backend_list.cc
+++ b/src/relay/backend_list.cc
@@ -12,7 +12,7 @@
 // Removed servers stay known for longer than any generation that may still
 // finish there.
 constexpr std::int64_t kGoneRetentionMs = 60'000;
-// Stands in log lines for the start of a server that does not report it.
+// Logged as the start time of a server that does not report one.
 constexpr std::int64_t kUnknownStart = -1;
 
 std::string KeyOf(const BackendEntry& entry) {
@@ -54,9 +54,9 @@
 }
 
 // Listeners drop what they keep under the old key before the next start is
-// added. A later start proves that the previous one has ended. An earlier
-// start, accepted because the entry had been removed, proves nothing about what
-// still runs at the other one.
+// added. If the new entry has a later start, the previous one has ended. If it
+// has an earlier start, accepted because the known entry had been removed, runs
+// may still be in progress at the known start.
 void BackendList::ReplaceStart(const std::string& key,
                                const BackendEntry& next) {
   const auto found = this->backends.find(key);
@@ -189,10 +189,10 @@
   }
 }
 
-// The server's runs are not moved away: it is live as far as anybody knows, and
-// if it leaves, the removal of its entry or its own report tells so. If the
-// entry had expired, an invalid one in its place does not count as listing it
-// again.
+// The server's runs are not moved away: an invalid entry does not show that the
+// server leaves, unlike the removal of its entry or its own report. If the
+// previous entry had expired, an invalid one does not count as listing the
+// server again.
 void BackendList::MarkEntryInvalid(std::string_view id) {
   Backend* const found = this->FindMutable(id);
   if (found == nullptr || !std::exchange(found->entry_valid, false)) {
@@ -214,8 +214,8 @@
                                       : std::optional(found->second);
 }
 
-// An emptied zone without known servers may be misspelt, or its servers may be
-// listed later, so it is kept.
+// A zone without known servers is recorded as well: its name may be misspelt,
+// but its servers may also be listed later.
 void BackendList::SetZoneEmptied(std::string_view zone, bool is_emptied) {
   if (this->emptied.contains(zone) == is_emptied) {
     return;
--- a/src/relay/backend_list.h
+++ b/src/relay/backend_list.h
@@ -24,7 +24,8 @@
   std::string address;  ///< IP:PORT
   std::string zone;
   bool leaving = false;
-  /// The server stays cold for this long after the entry was read.
+  /// Time from reading the entry during which the server is still cold, i.e.
+  /// slow because it was started recently.
   std::int64_t slow_for_ms = 0;
   std::vector<std::string> models;
   /// Start time by the server's own clock as Unix ms, if stated. Only compared
@@ -43,18 +44,21 @@
   std::int64_t warm_at_ms = 0;  ///< the server is cold until then; monotonic
   bool listed = true;
   bool leaving = false;           ///< gets no new requests
-  bool reported_leaving = false;  ///< it reported itself that it leaves
-  bool started_again = false;     ///< removed, as its id has a later start now
-  /// Earlier start that was ignored, to log it once.
+  bool reported_leaving = false;  ///< the server itself reported that it leaves
+  bool started_again = false;     ///< removed because its id has a later start
+  /// Start time of the last entry that was ignored because it described an
+  /// earlier start. Used to log each such start only once.
   std::optional<std::int64_t> ignored_start_ms;
-  /// When its entry was removed, while it may still be listed again; monotonic.
+  /// Monotonic time at which its entry was removed. Set only during the grace
+  /// period that follows.
   std::optional<std::int64_t> vanished_ms;
   /// Whether its entry names a usable server. After the entry has been
   /// overwritten by an invalid one, the server gets no new requests and its
   /// runs go on.
   bool entry_valid = true;
-  /// When this host learned that an operator has emptied the server's
-  /// availability zone. It gets no new requests, and its runs go on. Monotonic.
+  /// Monotonic time at which this host learned that an operator has emptied the
+  /// server's availability zone. The server gets no new requests, and its runs
+  /// go on.
   std::optional<std::int64_t> emptied_ms;
 
   /// @brief Whether the server may get new requests.
@@ -69,8 +73,9 @@
            now_ms - *this->emptied_ms < kEmptiedZoneGraceMs;
   }
 
-  /// A move into an availability zone that was already in progress when the
-  /// host learned that the zone is emptied may complete within this time.
+  /// If a move into an availability zone was already in progress when this host
+  /// learned that the zone is emptied, the move may still complete within this
+  /// time.
   static constexpr std::int64_t kEmptiedZoneGraceMs = 1'000;
 };
 
@@ -117,8 +122,8 @@
   void Set(const BackendEntry& entry);
 
   /// @brief Handles the removal of an entry.
-  /// @return whether its server counts as live for now, as the entry may only
-  /// have expired
+  /// @return whether the server still counts as live, because its entry may
+  /// merely have expired during a store outage
   bool Remove(std::string_view id);
 
   /// @brief Marks that the entry under this id no longer describes a usable
@@ -148,8 +153,8 @@
   /// @brief Whether any removed entry is still in its grace period.
   bool HasEntryInGrace() const;
 
-  /// @brief Ends the grace periods that are over by now. To be called when more
-  /// is known about a store outage.
+  /// @brief Ends the grace periods that are over by now. To be called when new
+  /// information about a store outage has arrived, as it may change their ends.
   void ReviewGracePeriods();
 
   /// @brief The server, null if it is unknown or has started again.
@@ -158,7 +163,8 @@
   /// @brief Whether the server may get new requests.
   bool AcceptsNewRequests(std::string_view key) const;
 
-  /// @brief The known start of an id, null if there is none.
+  /// @brief The known server with an id, null if there is none. Only one start
+  /// of each id is known at a time.
   const Backend* FindById(std::string_view id) const;
 
   /// @brief The server last known at an address, null if there is none.
@@ -188,9 +194,9 @@
   Scheduler& scheduler;
   const EntryGracePeriod& grace;
   std::map<std::string, Backend, std::less<>> backends;  ///< by Backend::key
-  /// Key of the one known start of each id.
+  /// Backend::key of the known start of each id, by id.
   std::map<std::string, std::string, std::less<>> keys;
-  /// By availability zone.
+  /// Region of each availability zone, by zone.
   std::map<std::string, std::string, std::less<>> regions;
   /// When this host learned that a zone is emptied; monotonic, by zone.
   std::map<std::string, std::int64_t, std::less<>> emptied;
--- a/src/relay/backend_protocol.h
+++ b/src/relay/backend_protocol.h
@@ -36,7 +36,8 @@
 struct Continuation {
   std::string source;  ///< IP:PORT of the engine that made the copy
   std::string handle;
-  std::int64_t last_event = 0;  ///< last event that the caller has received
+  /// Number of the last event that the caller has received.
+  std::int64_t last_event = 0;
   std::string source_key = {};  ///< Backend::key of the source; the handle is
                                 ///< unknown to its other starts
 };
--- a/src/relay/call_session.cc
+++ b/src/relay/call_session.cc
@@ -23,10 +23,12 @@
 constexpr std::int64_t kMinRemainingMs = 5;
 // Idle connections are reused only this soon after their last use; older ones
 // may have been closed or forgotten by the peer. The limit is lower for
-// requests that may run only once.
+// requests that may run only once, since these can't be retried if a reused
+// connection breaks.
 constexpr std::int64_t kReuseIdleMs = 4'000;
 constexpr std::int64_t kReuseIdleAtMostOnceMs = 1'000;
-// Weights for the cost of a server, whose unit is one request in progress.
+// Weights in the cost by which a server is chosen. A server's cost rises by 1
+// for each request in progress there.
 constexpr double kFailureCost = 12.0;
 constexpr double kSlowCost = 1.0;
 // High enough that servers being avoided after failures are used only if there
@@ -89,7 +91,8 @@
 }
 
 // Returns the cheapest server that the call has not been sent to yet. Chooses
-// between equal costs at random, as several hosts see the same costs.
+// between equal costs at random, so that hosts that see the same costs don't
+// all choose the same server.
 const Backend* CallSession::ChooseBackend() const {
   const std::int64_t now_ms = this->deps.clock.MonotonicMs();
   const Backend* best = nullptr;
@@ -123,8 +126,8 @@
              this->terms.service, this->terms.allowed_regions);
 }
 
-// Uses the wall clock, since this host may have been paused after it claimed
-// the request.
+// Reads the wall clock at the time of sending, since this host may have been
+// paused after it claimed the request.
 bool CallSession::HasClaimExpired() const {
   return this->terms.send_until_unix_ms > 0 &&
          this->deps.clock.WallMs() >= this->terms.send_until_unix_ms;
@@ -246,8 +249,8 @@
       .Write();
   const AttemptVerdict verdict = JudgeAttempt({true, IsRejection(meaning)});
   if (verdict.may_try_elsewhere) {
-    // A server rejects when it is full, which is no failure. Another one may
-    // have room.
+    // A server that is full rejects requests. That does not count as a failure,
+    // and another server may have room.
     if (!this->SendAgain(true)) {
       this->EndOrWait(this->MakeProblem(ErrorId::kOverloaded, verdict.outcome,
                                         "send", "the backend server is full"));
@@ -313,8 +316,8 @@
     return;
   }
   ErrorDetail detail = DetailOf(end.status);
-  // An attempt that may have run stays reported as such, whatever the later
-  // ones did.
+  // Once an attempt may have run the request, its outcome is unknown, whatever
+  // later attempts did.
   detail.outcome = this->may_have_run ? Outcome::kUnknown : verdict.outcome;
   detail.peer = attempt.BackendId();
   detail.retry_after_ms =
--- a/src/relay/call_session_end.cc
+++ b/src/relay/call_session_end.cc
@@ -73,8 +73,8 @@
                                       std::string_view what) const {
   ErrorDetail detail;
   detail.id = id;
-  // An attempt that may have run stays reported as such, whatever the later
-  // ones did.
+  // Once an attempt may have run the request, its outcome is unknown, whatever
+  // later attempts did.
   detail.outcome = this->may_have_run ? Outcome::kUnknown : outcome;
   detail.step = std::string(step);
   detail.peer = this->tried.empty() ? this->terms.service : this->tried.back();
--- a/src/relay/engine_control.h
+++ b/src/relay/engine_control.h
@@ -16,8 +16,8 @@
   std::string source;  ///< IP:PORT of the engine that has the run
   std::string target;  ///< IP:PORT
   std::string run;     ///< request ID
-  bool stop = false;   ///< stop the run before the copy; otherwise it continues
-                       ///< meanwhile
+  /// Stop the run before the copy; if false, the run continues during the copy.
+  bool stop = false;
   std::int64_t limit_ms = 0;  ///< time limit of the copy
 };
 
@@ -66,8 +66,8 @@
   /// @param[in] source IP:PORT of the engine that made it
   virtual void DropCopy(std::string_view source, std::string_view handle) = 0;
 
-  /// @brief Asks an engine for its state. As the call loads the engine, it is
-  /// only for when no other source has the information.
+  /// @brief Asks an engine for its state. Each call adds load to the engine, so
+  /// it is only to be used if no other source has the information.
   /// @param[in] address IP:PORT
   virtual void ReadState(std::string_view address, const StateDone& done) = 0;
 };
--- a/src/relay/engine_drainer.cc
+++ b/src/relay/engine_drainer.cc
@@ -17,12 +17,13 @@
 constexpr std::int64_t kMaxDrainMs = 30'000;
 // All runs should have left the engine within this time, as engines that are
 // taken away stay for at least 1.5 s. A host that would not finish by then no
-// longer waits for the hosts before it.
+// longer waits for hosts whose names come before its own.
 constexpr double kDrainTargetMs = 1'300.0;
 // For links of unknown speed. At this rate the KV cache of a long generation
 // takes about 200 ms.
 constexpr double kDefaultTokensPerMs = 17.0;
-// Copies to another availability zone take twice as long on the link.
+// Cost that is added to targets in another availability zone: copies to there
+// take twice as long on the link.
 constexpr double kCrossZoneCost = 0.6;
 
 }  // namespace
@@ -45,8 +46,8 @@
   if (times.now_ms < times.latest_ms) {
     return !is_behind;
   }
-  // Drawn at random, as hosts that see the link free at the same moment would
-  // all begin.
+  // Drawn at random, because otherwise all hosts that see the link free at the
+  // same moment would begin.
   return random % (others + 1) == 0;
 }
 
@@ -157,8 +158,8 @@
 }
 
 // A run releases its turn once its first copy is done, although its short final
-// copy is still to come. That copy was ordered earlier, and links keep the
-// order.
+// copy is still to come: the final copy is ordered before copies of the next
+// turn, and links carry copies in the order in which they were ordered.
 void EngineDrainer::RequestTurns(Drain& drain,
                                  std::span<StreamSession* const> sessions) {
   std::erase_if(drain.held_turns, [this, &drain](const auto& entry) {
@@ -185,8 +186,8 @@
   }
 }
 
-// Without an answer the run is moved without a turn, as it would be cut off if
-// it stayed.
+// If the decision names no engine, the run is moved without a turn, as it would
+// be cut off if it stayed.
 void EngineDrainer::OnTurnGranted(const MigrationRequest& move,
                                   const Decision& granted) {
   const auto found = this->drains.find(move.source);
--- a/src/relay/engine_drainer.h
+++ b/src/relay/engine_drainer.h
@@ -21,7 +21,8 @@
 /// @brief Times that decide whether a host may start a copy from a leaving
 /// engine.
 struct CopyTurnTimes {
-  /// After this the host no longer waits for the hosts before it; monotonic.
+  /// Monotonic time after which the host no longer waits for hosts whose names
+  /// come before its own.
   std::int64_t latest_ms = 0;
   std::int64_t now_ms = 0;  ///< monotonic
   /// For comparison with the timestamps of peers.
@@ -33,12 +34,12 @@
 ///
 /// Handles the load pattern "an engine leaves with runs of many hosts". A link
 /// carries one copy after the other, and a run pauses if the final copy of its
-/// move has to wait behind another one. So no host starts while a copy of
-/// another host is in progress. Hosts go in the order of their names; one that
-/// would not finish in time starts between the copies of the others. When hosts
-/// that were short of time started regardless of copies in progress, 38 of 128
-/// moves under high load paused for more than 180 ms; with this rule it was 11
-/// of 126.
+/// move has to wait behind another copy. So no host starts a copy while one of
+/// another host is in progress. Hosts take their turns in the order of their
+/// names. A host that would not finish in time no longer waits for its turn,
+/// but still waits for the end of a copy in progress. When such hosts did not
+/// wait for that either, 38 of 128 moves under high load paused for more than
+/// 180 ms; with this rule, 11 of 126 did.
 /// @param[in] peers what the other hosts report about their work on the engine
 /// @param[in] random chooses between hosts that may start at the same moment
 bool MayStartCopy(std::string_view self, std::span<const PeerLoad> peers,
@@ -68,9 +69,12 @@
     std::string zone;
     std::int64_t begun_ms = 0;
     std::int64_t latest_ms = 0;  ///< see CopyTurnTimes
-    // By request id; used only if another host grants the turns:
-    std::set<std::string> requested_turns;               ///< waiting for a turn
-    std::map<std::string, MigrationRequest> held_turns;  ///< copy in progress
+    // By request id. A turn is the permission to copy a run over the engine's
+    // link. Both are empty unless another host grants the turns.
+    /// Requested, not granted yet.
+    std::set<std::string> requested_turns;
+    /// Granted; the copy is in progress.
+    std::map<std::string, MigrationRequest> held_turns;
   };
 
   void Plan(Drain* drain);
--- a/src/relay/entry_grace_period.h
+++ b/src/relay/entry_grace_period.h
@@ -9,13 +9,14 @@
 /// live.
 ///
 /// Entries of live servers expire while the store is unreachable, and these
-/// servers register again once it is back.
+/// servers register again once the store is back.
 class EntryGracePeriod {
  public:
   virtual ~EntryGracePeriod() = default;
 
   /// @brief End of the grace period of a removed entry as far as is known now,
-  /// in monotonic milliseconds. Not after `now_ms`: the server has left.
+  /// in monotonic milliseconds. If it is not after `now_ms`, the server has
+  /// left.
   /// @param[in] vanished_ms when this host learned of the removal
   virtual std::int64_t GraceEndsMs(std::int64_t vanished_ms,
                                    std::int64_t now_ms) const = 0;
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -18,8 +18,8 @@
 constexpr std::int64_t kStreamStartMs = 1'000;
 
 // A stream whose engine has started again ends once no data has arrived for
-// this long. Pauses caused by prefill of other prompts take a quarter of it,
-// and callers wait for two seconds.
+// this long. The prefill of other prompts makes streams pause for a quarter of
+// this time, and callers wait for two seconds.
 constexpr std::int64_t kSilenceTimeoutMs = 1'000;
 constexpr std::int64_t kSilencePollMs = 100;
 
@@ -259,8 +259,8 @@
   this->EndSilentStreams(before.key);
 }
 
-// Repeated until no stream is left there: each ends with its connection or
-// after its silence.
+// Repeats until no stream is left at the engine's previous start: each ends
+// when its connection does, or once no data has arrived for kSilenceTimeoutMs.
 void Relay::EndSilentStreams(const std::string& engine) {
   const std::vector<StreamSession*> remaining = this->StreamsAt(engine);
   for (StreamSession* const session : remaining) {
@@ -295,7 +295,8 @@
   }
 }
 
-// Ignores reports from another start of the engine.
+// Ignores a report that was sent by another start of the engine than the one
+// asked.
 void Relay::OnEngineState(const std::string& engine,
                           const absl::StatusOr<EngineState>& state) {
   const Backend* const backend = this->deps.backends.Find(engine);
@@ -319,8 +320,8 @@
   this->stop_view = &view;
 }
 
-// Copied, as sessions remove themselves from the maps when they end. Ended
-// sessions live until the next turn of the event loop.
+// Returns a copy, as sessions remove themselves from the maps when they end.
+// Ended sessions live until the next turn of the event loop.
 std::vector<CallSession*> Relay::AllCalls() const {
   std::vector<CallSession*> all;
   for (const auto& [number, call] : this->calls) {
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -32,7 +32,7 @@
  public:
   virtual ~StopView() = default;
 
-  /// @brief Retry delay for callers that it refuses.
+  /// @brief Retry delay for callers whose requests the stopping host refuses.
   virtual std::int64_t ReturnAfterMs() const = 0;
 };
 
@@ -69,12 +69,13 @@
   void EndQuarantined(const CrashRecordId& quarantined);
 
   /// @brief Asks the engines with streams of this host whether they are
-  /// leaving. To be called repeatedly while the store can't tell.
+  /// leaving. To be called repeatedly while the store can't provide this
+  /// information.
   /// @param[in] only_unnamed only engines that have no valid entry in the store
   void PollEngineStates(bool only_unnamed = false);
 
-  /// @brief Begins a planned shutdown: from now on only requests that will have
-  /// ended by `ends_ms` (monotonic) are accepted.
+  /// @brief Begins a planned shutdown: from now on only requests that are
+  /// expected to end by `ends_ms` (monotonic) are accepted.
   /// @param[in] view outlives the relay
   void BeginStop(std::int64_t ends_ms, const StopView& view);
 
--- a/src/relay/relay_dependencies.h
+++ b/src/relay/relay_dependencies.h
@@ -27,8 +27,8 @@
 namespace meadowthread {
 
 /// @brief Connection timeout for backend servers. A dead server is noticed only
-/// by its silence. Within a region connections take a few milliseconds, and the
-/// timeout leaves time to retransmit one lost packet.
+/// because it does not answer. Within a region connections take a few
+/// milliseconds, and the timeout leaves time to retransmit one lost packet.
 inline constexpr std::int64_t kBackendConnectMs = 250;
 
 /// @brief Largest number of consecutive unreachable backend servers that one
--- a/src/relay/relay_request.h
+++ b/src/relay/relay_request.h
@@ -62,8 +62,9 @@
   bool resumable = false;          ///< callers may resume a broken stream
   std::string version;             ///< of the configuration, for logs
   AllowedRegions allowed_regions;  ///< the only regions it may run in
-  /// Unix time after which no byte of the request may be sent; 0: no limit. A
-  /// host that takes over the request's claim relies on this.
+  /// Unix time after which no byte of the request may be sent; 0: no limit.
+  /// After this time another host may take over the request's claim and send
+  /// the request itself, so this host must not.
   std::int64_t send_until_unix_ms = 0;
 };
 
--- a/src/relay/retry_budgets.h
+++ b/src/relay/retry_budgets.h
@@ -11,7 +11,8 @@
 /// @brief Limits on retries, for all hosts together.
 struct FleetRetryLimits {
   double per_request = 0.1;  ///< retries earned by each first attempt
-  double extra = 10.0;  ///< retries saved up for bursts, summed over all hosts
+  /// Retries that may be saved up for bursts, summed over all hosts.
+  double extra = 10.0;
 };
 
 /// @brief This host's share of the fleet-wide retry limits, with one budget per
--- a/src/relay/routing_config.h
+++ b/src/relay/routing_config.h
@@ -30,14 +30,14 @@
   bool is_public = false;  ///< no API key is needed
   bool resumable = false;  ///< callers may resume a broken stream
   std::vector<WeightedService> services;
-  /// The only regions it runs in; empty: any.
+  /// The only regions in which its requests may run; empty: any.
   std::vector<std::string> home_regions;
 };
 
 /// @brief Properties of the model engines of a service.
 struct EngineTraits {
   std::int64_t memory_tokens = 0;  ///< KV cache capacity of one engine
-  /// KV cache size of one token, copied when a run moves.
+  /// Bytes of KV cache per token; they are copied when a run moves.
   std::int64_t token_bytes = 0;
   double link_mbps = 0.0;   ///< bandwidth of the link for KV cache copies
   bool moves_runs = false;  ///< engines can hand a run over to another engine
@@ -48,7 +48,7 @@
 /// @brief Properties that all backend servers of one service share.
 struct ServiceRule {
   std::string name;
-  /// Per backend server, over all callers; 0: no limit.
+  /// Limit for each backend server, over all callers; 0: no limit.
   int max_connections = 0;
   std::optional<EngineTraits> engine;
   /// Requests per second that a cold server can take; 0: no limit.
@@ -60,7 +60,8 @@
   std::string name;
   std::vector<std::string> keys;
   std::optional<int> urgency;  ///< overrides the urgency of the routes
-  /// Applied in addition to those of the route.
+  /// The only regions in which the workspace's requests may run; empty: any.
+  /// The limits of the route apply as well.
   std::vector<std::string> home_regions = {};
 };
 
@@ -78,7 +79,8 @@
   std::vector<RouteRule> routes;
   std::vector<ServiceRule> services;
   std::vector<WorkspaceRule> workspaces;
-  /// Requests need an API key: workspaces are configured, even if none is left.
+  /// Requests need an API key. True if the configuration has a list of
+  /// workspaces, even an empty one.
   bool needs_keys = false;
   CallerLimits bounds;
 };
--- a/src/relay/run_move.cc
+++ b/src/relay/run_move.cc
@@ -8,9 +8,9 @@
 namespace meadowthread {
 namespace {
 
-// Longer than it takes to copy the KV cache of a long generation to another
-// availability zone behind several other copies. A leaving engine is gone by
-// then.
+// Time limit of a copy: longer than it takes to copy the KV cache of a long
+// generation to another availability zone behind several other copies. A
+// leaving engine is gone by then.
 constexpr std::int64_t kCopyTimeoutMs = 4'000;
 
 }  // namespace
@@ -37,7 +37,8 @@
 
 RunMove::~RunMove() { this->FreeCopy(); }
 
-// After a restart of the source the handle may belong to another run there.
+// Does not send the handle to a restarted source, where it may belong to
+// another run.
 void RunMove::FreeCopy() {
   if (!this->handle.empty() && !this->source_restarted) {
     this->control.DropCopy(this->plan.source_address, this->handle);
@@ -161,8 +162,8 @@
       this->EndWith(MoveEnd::kNotMoved);
       return;
     case MoveResult::kUnknown:
-      // Whether the run was stopped shows in its stream. If the stream ends,
-      // the first copy is the best state available.
+      // The result of the stop is unknown; if the run was stopped, its stream
+      // ends. Then the first copy is the best state available.
       this->step = MoveStep::kStopped;
       this->ReportWhenReady();
       return;
--- a/src/relay/run_move.h
+++ b/src/relay/run_move.h
@@ -16,7 +16,9 @@
 enum class MoveStep {
   kCopying,   ///< the run continues while its KV cache is copied
   kStopping,  ///< the run is being stopped and the rest is copied
-  kStopped,   ///< the copy is complete; the source's stream has not ended yet
+  /// No copy is in progress any more, whether or not one succeeded; waiting for
+  /// the source's stream to end.
+  kStopped,
   kOver,
 };
 
@@ -80,15 +82,17 @@
            this->step == MoveStep::kStopped;
   }
 
-  /// @brief The source's stream has ended before the run was complete.
+  /// @brief Called when the source's stream has ended before the run was
+  /// complete.
   void NoteStreamEnded();
 
-  /// @brief An engine has started again and has lost the run and the copy.
+  /// @brief Called when an engine has started again and has lost the run or the
+  /// copy that it held.
   /// @param[in] engine the key of its previous start
   void NoteStartedAgain(std::string_view engine);
 
-  /// @brief Forgets the copy without freeing it, as it is in use elsewhere or
-  /// of no use.
+  /// @brief Forgets the copy without freeing it. To be called if the copy is in
+  /// use elsewhere or is of no use any more.
   void Forget() { this->handle.clear(); }
 
   const MovePlan& Plan() const { return this->plan; }
--- a/src/relay/store_outage_tracker.cc
+++ b/src/relay/store_outage_tracker.cc
@@ -11,8 +11,9 @@
   return gap_ms < StoreOutageTracker::kOutageMs;
 }
 
-// Intervals that are too close for an outage between them become one: what one
-// host could not read, another one did. Otherwise the later one counts.
+// Two intervals with less than kOutageMs between them become one: while one
+// host got no answer, another one did. Otherwise only the later interval
+// counts.
 StoreUptime Merged(const StoreUptime& one, const StoreUptime& other) {
   if (AreContiguous(one, other)) {
     return {std::min(one.from_ms, other.from_ms),
--- a/src/relay/store_outage_tracker.h
+++ b/src/relay/store_outage_tracker.h
@@ -19,17 +19,17 @@
 /// from it whether a removed entry may have expired although its server is
 /// live.
 ///
-/// Handles the load pattern "entries disappear shortly after a store outage":
-/// the entries of live servers expire during the outage and are registered
-/// again, while those of servers that left are not. Only an outage of the store
-/// itself counts. A host that had a bad connection to the store, or that does
-/// not read it, relies on the reports of the hosts that do.
+/// Handles the failure scenario "entries disappear shortly after a store
+/// outage": the entries of live servers expire during the outage and are
+/// registered again, while those of servers that left are not. Only an outage
+/// of the store itself counts. A host that had a bad connection to the store,
+/// or that does not read it, relies on the reports of the hosts that do.
 class StoreOutageTracker final : public EntryGracePeriod {
  public:
   /// @brief Entries may expire once the store has not answered for this long.
-  /// They expire after three heartbeats of 1.2 s, the last of which may have
-  /// been sent one heartbeat before the outage, and answers are noticed up to
-  /// 0.3 s late.
+  /// An entry expires three heartbeat intervals of 1.2 s after the server's
+  /// last heartbeat. That heartbeat may have been sent one interval before the
+  /// outage, and answers are noticed up to 0.3 s late, which leaves 2.1 s.
   static constexpr std::int64_t kOutageMs = 2'100;
   /// @brief Grace period after the end of an outage. Live servers register
   /// again within about two seconds; a server whose entry is still missing
--- a/src/relay/stream_session.h
+++ b/src/relay/stream_session.h
@@ -86,7 +86,7 @@
   /// @brief Key of the engine that has the run, empty if none.
   const std::string& Engine() const { return this->engine; }
   bool IsMoving() const { return this->move != nullptr; }
-  /// @brief Whether its KV cache is being copied while the run continues.
+  /// @brief Whether the run's KV cache is being copied while the run continues.
   bool IsCopying() const {
     return this->IsMoving() && this->move->Step() == MoveStep::kCopying;
   }
@@ -163,7 +163,7 @@
   StreamPhase phase = StreamPhase::kQueued;
   std::string engine;
   HttpCallId call = 0;
-  /// The fleet state counts it as running on an engine.
+  /// The fleet state counts this stream as running on an engine.
   bool in_fleet_state = false;
   bool is_event_stream = false;
   AnswerMeaning meaning = AnswerMeaning::kRan;
@@ -171,20 +171,23 @@
   bool head_sent = false;
   std::string whole_body;  ///< of an answer that is not an event stream
   SseEventSplitter splitter;
-  std::int64_t events = 0;         ///< forwarded
-  std::int64_t events_before = 0;  ///< forwarded before the last attempt
-  std::int64_t last_id = -1;       ///< of the last event forwarded
+  std::int64_t events = 0;  ///< forwarded
+  /// Forwarded before the latest attempt began.
+  std::int64_t events_before = 0;
+  std::int64_t last_id = -1;  ///< of the last event forwarded
   int attempts = 0;
   int moves = 0;    ///< moves after which events arrived
   int resumes = 0;  ///< attempts after the first, for any reason
   std::optional<Continuation> resumed_from;
   std::unique_ptr<RunMove> move;
   std::vector<std::unique_ptr<RunMove>> old_moves;
-  /// End of a stream that a move may have stopped.
+  /// How the engine's stream ended, if a move may have stopped it; handled once
+  /// the move is over.
   std::optional<HttpCallResult> deferred_end;
   std::int64_t deadline_ms;
   std::int64_t begun_ms;
-  /// When it stops waiting for room; -1: it has not waited.
+  /// Time until which the request waits for an engine with room; -1: it has not
+  /// waited.
   std::int64_t queue_until_ms = -1;
   /// Time from the caller's first attempt to this one.
   std::int64_t since_first_try_ms = 0;
--- a/src/relay/stream_session_move.cc
+++ b/src/relay/stream_session_move.cc
@@ -12,10 +12,11 @@
 namespace meadowthread {
 namespace {
 
-// Engines may leave every few seconds and a long generation lasts ten, so a run
-// that needs more resumes than this can't be kept alive.
+// Engines may leave every few seconds, and a long generation lasts ten seconds,
+// so a run that needs more resumes than this can't be kept alive.
 constexpr int kMaxResumes = 12;
-// A source that can take no request at the moment can take one within a second.
+// Time limit for waiting until the source's arrival limit permits a request,
+// which it does within a second.
 constexpr std::int64_t kMaxPermitWaitMs = 1'200;
 constexpr std::int64_t kPermitPollMs = 20;
 
@@ -54,8 +55,8 @@
   return true;
 }
 
-// The reservations are no longer needed: a resumed request counts from the
-// moment it is sent.
+// The reservations are no longer needed: a resumed request is counted at its
+// engine from the moment it is sent.
 void StreamSession::ReleaseMoveReservations() {
   this->ReleaseCopyReservation();
   this->deps.arrivals.Release(this->move->Plan().target);
@@ -116,8 +117,8 @@
   this->Send(holder, from);
 }
 
-// The source's arrival limit applies to resumed runs as well. It keeps the KV
-// cache for longer than the limit can delay the request.
+// The source's arrival limit applies to resumed runs as well. The source keeps
+// the KV cache for longer than this limit can delay the request.
 void StreamSession::ResumeWhenPermitted(const std::string& holder,
                                         const Continuation& from,
                                         std::int64_t until_ms) {
@@ -174,8 +175,8 @@
 }
 
 // Data that the engine sent before it started again may still arrive, and a
-// caller that reads slowly delays it. A request without any answer yet may have
-// reached the new start, so only its connection can tell.
+// caller that reads slowly delays it. A request that has no answer yet may have
+// reached the new start, so its stream is ended only when its connection ends.
 bool StreamSession::EndIfSilent(std::int64_t silent_ms) {
   const bool is_waiting = this->phase == StreamPhase::kStreaming &&
                           this->call != 0 && !this->paused;
@@ -213,8 +214,8 @@
                                     this->deps.clock.WallMs());
 }
 
-// The engine that should have continued the run did not. The source has stopped
-// the run and keeps its KV cache for some seconds.
+// Called when the engine that was to continue the run has not done so. The
+// source has stopped the run and keeps its KV cache for some seconds.
 void StreamSession::OnResumeFailed(const HttpCallResult& end,
                                    AnswerMeaning read) {
   const AttemptVerdict verdict = JudgeAttempt(
--- a/src/relay/stream_session_placement.cc
+++ b/src/relay/stream_session_placement.cc
@@ -27,8 +27,9 @@
                       : (urgency == 1 ? Urgency::kNormal : Urgency::kBatch);
 }
 
-// The best candidates, each as engine, cost, requests in flight, probability
-// that this request overfills its memory, expected time to the first event.
+// Lists the best candidates for the log, each as engine, cost, requests in
+// flight, probability that this request overfills the engine's memory, and
+// expected time to the first event.
 std::string CandidatesText(const Decision& decision) {
   std::string text;
   for (const Candidate& one : decision.considered) {
@@ -111,8 +112,8 @@
   return lasts_ms.has_value();
 }
 
-// By now the caller may have disconnected and the engine may have left, as
-// another host may have chosen it by older information.
+// By now the caller may have disconnected. The engine may have left, as another
+// host may have chosen it by older information.
 void StreamSession::OnPlacement(const StreamAdmissionPlan& arrival,
                                 WorkItem work, const Decision& decision) {
   if (this->phase != StreamPhase::kQueued) {
@@ -191,8 +192,9 @@
          this->begun_ms;
 }
 
-// Engines without room have some when the load peak is over. If no engine is
-// usable at all, one may be listed shortly.
+// The retry delay depends on the reason: engines without room have some when
+// the load peak is over, and if no engine is usable at all, one may be listed
+// shortly.
 void StreamSession::RefuseQueued(DecisionReason why) {
   this->stream_deps.dispatcher.Cancel(this->request.id);
   if (why != DecisionReason::kNoneHasRoom) {
@@ -215,8 +217,9 @@
          this->deps.arrivals.May(key, this->deps.clock.MonotonicMs());
 }
 
-// Cases in which waiting does not help: nobody knows when an availability zone
-// is put back into use.
+// Refuses the request at once in cases in which waiting does not help, e.g. if
+// all engines are in emptied availability zones: nobody knows when these are
+// put back into use.
 bool StreamSession::RefuseUnservable() {
   if (this->terms.allowed_regions.has_value() &&
       !this->deps.backends.HasServerInHomeRegions(
--- a/src/relay/tests/backend_list_test.cc
+++ b/src/relay/tests/backend_list_test.cc
@@ -1,4 +1,5 @@
-// The list of backend servers while entries, zones and starts change.
+// Changes of entries, availability zones and starts in the list of backend
+// servers.
 #include "relay/backend_list.h"
 
 #include <criterion/criterion.h>
--- a/src/relay/tests/engine_drainer_test.cc
+++ b/src/relay/tests/engine_drainer_test.cc
@@ -1,6 +1,6 @@
 // Moving runs between engines: every failure listed in
-// docs/design/moving-runs.md, the turns of hosts at a shared link, and the
-// splitting of event streams.
+// docs/design/moving-runs.md, hosts taking turns to copy over an engine's link,
+// and the splitting of event streams.
 #include "relay/engine_drainer.h"
 
 #include <criterion/criterion.h>
@@ -45,7 +45,8 @@
   cr_assert(f.control.orders.size() == 2 && f.control.orders[1].stop);
   cr_assert(f.move->MayHaveStopped());
   f.control.Answer(MoveResult::kCopied, "h2");
-  // two engines must never work on one run: its stream has to end first
+  // Two engines must never work on one run, so the source's stream has to end
+  // first.
   cr_assert(f.owner.ready.empty());
   f.move->NoteStreamEnded();
   cr_assert(f.owner.ready.size() == 1 && f.owner.targets[0] == "target");
@@ -129,7 +130,8 @@
 }
 
 Test(a_move, whose_source_starts_again_goes_on_from_the_copy) {
-  // Learned from the list of servers, or from the answer of the new start.
+  // The host learns of the restart from the list of servers, or from the new
+  // start's answer to the order.
   for (const bool listed : {true, false}) {
     Fixture f;
     f.control.Answer(MoveResult::kCopied, "h1", 5'000);
@@ -190,7 +192,8 @@
   return load;
 }
 
-// Well before the host is short of time; the reports of peers are fresh.
+// Long before the host stops waiting for its turn; the reports of peers are
+// fresh.
 constexpr CopyTurnTimes kEarly{1'000, 0, 0};
 
 Test(turns_at_a_leaving_engine, follow_the_order_of_host_names) {
@@ -223,9 +226,9 @@
       !MayStartCopy("a", std::vector<PeerLoad>{At("b", 3'500, 1)}, kEarly, 0));
 }
 
-// Load pattern: an engine leaves under load. Hosts that were short of time
-// started behind copies of other hosts, and each final copy waited for a whole
-// other one.
+// Scenario: an engine leaves under load. Guards against hosts that are short of
+// time starting a copy behind that of another host: each final copy then waited
+// for a whole copy of another run.
 Test(turns_at_a_leaving_engine, wait_for_a_copy_even_if_time_is_short) {
   const std::vector<PeerLoad> copies = {At("a", 7'000, 1)};
   cr_assert(!MayStartCopy("b", copies, {1'000, 1'200, 100}, 0));
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -1,5 +1,5 @@
-// Requests that crash the servers running them, and requests that run beside
-// these: what the sessions of a host send and report.
+// What a host's sessions send and report for requests that crash their servers,
+// and for other requests that run on the same servers.
 #include "quarantine/guarded_run.h"
 
 // Criterion's macros break Abseil's headers if those are included after it.
--- a/src/relay/tests/relay_fixture.h
+++ b/src/relay/tests/relay_fixture.h
@@ -76,7 +76,8 @@
     this->Head(n, 503, {{std::string(kNotRunHeader), "full"}});
     this->End(n, Whole(503));
   }
-  /// @param[in] left whether bytes of the request may have been sent before
+  /// @param[in] left whether bytes of the request may have been sent before the
+  /// connection broke
   void Break(std::size_t n, bool left) {
     HttpCallResult end;
     ErrorDetail detail;
@@ -101,7 +102,8 @@
   std::vector<HttpHandler*> handlers;
 };
 
-/// @brief A protocol that exposes the sessions' decisions as headers.
+/// @brief A backend protocol that puts the terms of each attempt into request
+/// headers, for tests to check.
 class FakeBackendWire final : public BackendProtocol {
  public:
   HttpRequest RequestFor(const RelayRequest& request,
@@ -130,7 +132,8 @@
   }
 };
 
-/// @brief Answers with the real problem documents.
+/// @brief A caller protocol that answers with the same problem documents as the
+/// host.
 class FakeCallerWire final : public CallerProtocol {
  public:
   absl::StatusOr<RelayRequest> Read(const ServerRequest&) const override {
--- a/src/relay/tests/retry_budgets_test.cc
+++ b/src/relay/tests/retry_budgets_test.cc
@@ -1,4 +1,4 @@
-// Backend servers as their entries and starts change, their health, and the
+// Changes of the entries and starts of backend servers, their health, and the
 // budgets for retries.
 #include "relay/retry_budgets.h"
 
@@ -59,7 +59,7 @@
   f.Set("a", true);
   cr_assert(f.Usable() == 1 && f.list.Find("a") != nullptr);
   cr_assert(f.changes.back() == BackendChange::kLeaving);
-  // setting it as leaving again is no further change
+  // Another update of the entry as leaving is not reported as a change.
   const std::size_t changes_before = f.changes.size();
   f.Set("a", true);
   f.list.Remove("a");
@@ -74,7 +74,7 @@
   f.list.Remove("a");
   cr_assert(f.Usable() == 0);
   cr_assert(f.changes.back() == BackendChange::kLeaving);
-  // it is forgotten only after its runs must have ended
+  // The server is forgotten only after its runs must have ended.
   f.Advance(60'001);
   cr_assert(f.list.Find("a") == nullptr);
   cr_assert(f.changes.back() == BackendChange::kGone);
@@ -110,7 +110,7 @@
   f.list.NoteLeaving("a");
   cr_assert(f.Usable() == 0);
   cr_assert(f.changes.back() == BackendChange::kLeaving);
-  // its entry, written before the report, does not revert that
+  // An entry that was written before the server's report does not revert it.
   f.Set("a");
   cr_assert(f.Usable() == 0);
 }
@@ -127,9 +127,9 @@
   cr_assert(f.changes[last] == BackendChange::kAdded);
   cr_assert(f.about[last].key == "a/6000" && !f.about[last].reported_leaving);
   cr_assert(f.list.Find("a/5000") == nullptr && f.Usable() == 1);
-  // The report of leaving concerned the previous start only.
+  // The report that the server leaves applied to the previous start only.
   cr_assert(f.list.Usable("pool")[0]->key == "a/6000");
-  // A removal concerns the new start.
+  // A removal of the entry applies to the new start.
   f.list.Remove("a");
   cr_assert(f.about.back().key == "a/6000" && f.Usable() == 0);
 }
@@ -143,8 +143,8 @@
   cr_assert(f.list.Find("a/5000") == nullptr);
 }
 
-// The server's clock may have been set back permanently. The removal of its
-// entry makes the earlier start acceptable.
+// The server's clock may have been set back permanently. Once its entry has
+// been removed, an entry with an earlier start is accepted.
 Test(a_server_that_starts_again,
      with_an_earlier_time_counts_once_its_entry_is_removed) {
   Fixture f;
@@ -155,11 +155,13 @@
   f.SetStart("a", 5'000);
   cr_assert(f.Usable() == 1 && f.list.Usable("pool")[0]->key == "a/5000");
   cr_assert(f.list.Find("a/6000") == nullptr);
-  // An earlier start does not prove that the runs of the other one have ended.
+  // An entry with an earlier start does not prove that the runs of the
+  // previously known start have ended.
   const std::size_t gone = f.changes.size() - 2;
   cr_assert(f.changes[gone] == BackendChange::kGone);
   cr_assert(f.about[gone].key == "a/6000" && !f.about[gone].started_again);
-  // The scheduled removal of the replaced start affects no other one.
+  // The scheduled removal of the replaced start does not affect the current
+  // one.
   f.Advance(60'001);
   cr_assert(f.Usable() == 1);
 }
@@ -185,7 +187,8 @@
   cr_assert(f.list.Find("a")->entry.started_ms == 5'000);
   cr_assert(std::count(f.changes.begin(), f.changes.end(),
                        BackendChange::kGone) == 0);
-  // The known start is kept, so a later one counts as a different start.
+  // The known start time is kept, so a later start time counts as another
+  // start.
   f.SetStart("a", 6'000);
   cr_assert(f.list.Find("a") == nullptr && f.Usable() == 1);
 }
@@ -224,7 +227,7 @@
   cr_assert(!health.IsUsable("a", 399) && health.IsUsable("a", 400));
   health.RecordAttempt("a", AttemptResult::kUnreachable, 400);
   cr_assert(!health.IsUsable("a", 1'199) && health.IsUsable("a", 1'200));
-  // any answer, even an error, shows that the server is reachable
+  // Any answer, even an error, shows that the server is reachable.
   health.RecordAttempt("a", AttemptResult::kFailed, 1'200);
   health.RecordAttempt("a", AttemptResult::kUnreachable, 1'300);
   cr_assert(health.IsUsable("a", 1'700));
--- a/src/relay/tests/store_outage_tracker_test.cc
+++ b/src/relay/tests/store_outage_tracker_test.cc
@@ -45,7 +45,8 @@
   std::size_t Usable() const { return this->list.Usable("app").size(); }
 };
 
-// Load pattern: nothing changes, and each watch returns only at its timeout.
+// Scenario: nothing in the store changes, and each watch returns only at its
+// timeout.
 Test(a_store_without_changes, is_never_taken_for_an_outage) {
   OutageFixture fixture;
   for (int watch = 0; watch < 20; ++watch) {
@@ -57,8 +58,8 @@
   cr_assert(!fixture.list.Remove("a") && fixture.Usable() == 1, "it has left");
 }
 
-// Load pattern: entries expire during an outage, and live servers are listed
-// again within two seconds.
+// Scenario: entries expire during an outage, and live servers are listed again
+// within two seconds.
 Test(a_store_after_an_outage, keeps_live_servers_in_use) {
   OutageFixture fixture;
   fixture.Advance(6'000);
@@ -71,9 +72,10 @@
   cr_assert(fixture.Usable() == 1, "one was not listed again");
 }
 
-// Guards against keeping servers that left: the first answer to the host's own
-// watch is the removal itself, three seconds after the end of the outage,
-// although other hosts were answered earlier.
+// Guards against keeping servers that left. The first answer that this host's
+// own watch gets after the outage is the removal itself, three seconds after
+// the end of the outage. The grace period has to start when the first of the
+// other hosts was answered.
 Test(a_store_after_an_outage, is_back_from_the_first_answer_to_any_host) {
   OutageFixture fixture;
   fixture.Advance(9'000);
@@ -88,8 +90,8 @@
   cr_assert(!fixture.list.Remove("b"), "the longest reported uptime counts");
 }
 
-// Load pattern: the connections of one host are reset or cut, while other hosts
-// can read the store.
+// Scenario: the connections of one host are reset or cut, while other hosts can
+// read the store.
 Test(a_store_that_others_read, had_no_outage_for_an_unconnected_host) {
   OutageFixture fixture;
   fixture.Advance(10'000);
@@ -99,8 +101,8 @@
   cr_assert(fixture.Usable() == 1, "no entry expired, so it has left");
 }
 
-// Load pattern: most hosts don't read the store and learn of changes from
-// others.
+// Scenario: most hosts don't read the store and learn of its changes from other
+// hosts.
 Test(a_host_that_does_not_read, relies_on_the_reports_of_others) {
   OutageFixture fixture;
   fixture.Advance(60'000);
@@ -117,8 +119,8 @@
   cr_assert(fixture.Usable() == 0);
 }
 
-// Load pattern: the store refuses the hosts that watch it, and the hosts that
-// take over have no earlier answer of their own.
+// Scenario: the store refuses the hosts that watch it, and the hosts that begin
+// to watch it instead have had no recent answer of their own.
 Test(a_host_that_begins_to_read, continues_the_uptime_seen_by_others) {
   OutageFixture fixture;
   fixture.Advance(60'000);
@@ -139,8 +141,8 @@
   cr_assert(fixture.Usable() == 1);
 }
 
-// Without any report about the store, requests to a server that has left are
-// still limited in time.
+// If no host reports about the store, a removed server still gets requests for
+// a limited time only.
 Test(a_host_that_does_not_read, keeps_a_missing_entry_for_a_limited_time) {
   OutageFixture fixture;
   fixture.Advance(60'000);
@@ -149,7 +151,8 @@
   cr_assert(fixture.Usable() == 1);
 }
 
-// Repeated outages must not keep servers alive that have left.
+// Servers that have left must not count as live longer because of a second
+// outage.
 Test(repeated_outages, do_not_extend_the_grace_period) {
   OutageFixture fixture;
   fixture.Advance(6'000);
--- a/src/relay/tests/stream_session_test.cc
+++ b/src/relay/tests/stream_session_test.cc
@@ -55,8 +55,8 @@
                        {"Content-Type", "text/event-stream"}});
   }
 
-  /// @brief Moves the run: its KV cache is copied, it is stopped and its stream
-  /// ends.
+  /// @brief Moves the run: its KV cache is copied, the run is stopped and its
+  /// stream ends.
   void Move(const std::string& target) {
     cr_assert(this->session->MoveTo(target));
     this->control.Answer(MoveResult::kCopied, "h1");
@@ -88,7 +88,7 @@
   bool IsWhole() const { return this->caller.Got().ends_with("0\r\n\r\n"); }
   std::string Outcome() const { return this->observer.ends.at(0).outcome; }
   /// @brief Puts an engine into an availability zone of its own and empties
-  /// that.
+  /// that zone.
   void EmptyZoneOf(const std::string& engine) {
     BackendEntry entry = this->backends.Find(engine)->entry;
     entry.zone = "zone-of-" + engine;
@@ -99,7 +99,7 @@
     return this->session->Engine() == "s-1" ? "s-2" : "s-1";
   }
 
-  /// @brief Another host reports that many prompt tokens in prefill at an
+  /// @brief Another host reports this many prompt tokens in prefill at an
   /// engine.
   void SetPeerPrefill(const std::string& engine, std::int64_t tokens) {
     PeerLoad load;
@@ -109,7 +109,8 @@
     load.reading = tokens;
     this->fleet.NotePeerLoad(load, this->clock.WallMs());
   }
-  /// @brief Makes ten seconds the usual initial timeout of the route's callers.
+  /// @brief Records requests from which the host learns that the route's
+  /// callers usually set a timeout of ten seconds on their first attempt.
   void LearnInitialTimeouts() {
     for (int i = 0; i < 10; ++i) {
       this->first_tries.Elapsed(this->terms.route, 10'000);
@@ -204,8 +205,8 @@
   cr_assert(fixture.Got("Retry-After: 1") || fixture.Got("Retry-After: 0.4"));
 }
 
-// Load pattern: a load peak. When streams were forced onto engines without
-// room, all of them were late.
+// Scenario: a load peak. When streams were sent to engines without room instead
+// of being refused, all streams of these engines were late.
 Test(a_stream_that_cannot_begin_in_time, is_refused_at_once) {
   StreamSessionFixture fixture(1);
   fixture.SetPeerPrefill("s-1", 20'000);
@@ -383,8 +384,8 @@
             fixture.Outcome() == "interrupted");
 }
 
-// After a rejection by the target a run returns to its source only if that is
-// not in an emptied zone.
+// After the target has rejected a run, it is resumed at its source only if the
+// source is not in an emptied zone.
 Test(a_moved_stream, does_not_go_back_to_an_emptied_zone) {
   StreamSessionFixture fixture(2);
   fixture.BeginWithEvent();
@@ -441,8 +442,8 @@
   cr_assert(fixture.ended == 1 && fixture.caller.IsBroken());
 }
 
-// The target may be running it, so sending it back to the source could run it
-// twice.
+// The target may still be working on the run. If the source resumed it, two
+// engines could run it at the same time.
 Test(a_moved_stream, that_breaks_at_its_target_does_not_go_back) {
   StreamSessionFixture fixture(2);
   fixture.BeginWithEvent();
@@ -465,7 +466,7 @@
   cr_assert(fixture.session->EndIfSilent(1'000));
   cr_assert(fixture.ended == 1 && fixture.caller.IsBroken());
   cr_assert(fixture.client.sent.size() == 1, "it is not run again");
-  // Its attempts are attributed to the previous start only.
+  // The lost attempt counts as a failure of the previous start only.
   cr_assert(fixture.health.FailureRate(next, 0) == 0.0);
 }
 
@@ -597,7 +598,8 @@
   cr_assert(streaming.client.cancelled == 1);
 }
 
-/// @brief Shared allocation that chooses engines by outdated information.
+/// @brief Allocation by another host, which may choose engines by outdated
+/// information.
 class StaleAllocation final : public EngineAllocation {
  public:
   void Choose(const WorkItem&, const Chosen& chosen) override {
@@ -619,7 +621,8 @@
   std::vector<Chosen> asked;
 };
 
-// The host that allocated the engine had not learned of the removal yet.
+// The host that allocated the engine had not learned yet that the engine had
+// been removed.
 Test(an_engine_that_left, gets_no_stream_placed_there_by_another_host) {
   StreamSessionFixture fixture(2);
   StaleAllocation allocation;
