--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -58,8 +58,8 @@
   void NoteCut(const std::optional<ServerInstance>& server,
                bool before_any_answer);
 
-  /// @brief Called when the request timed out before the server had sent any
-  /// output.
+  /// @brief Called when the request timed out before any part of the answer was
+  /// forwarded to the caller. The run counts as one without output.
   void NoteSilent(const std::optional<ServerInstance>& server);
 
   /// @brief Called when a server has completed the request.
