--- a/src/answer/stream_assembler.cc
+++ b/src/answer/stream_assembler.cc
@@ -5,8 +5,9 @@
 namespace meadowthread {
 namespace {
 
-// With more tokens than this waiting for a missing one, the missing one counts
-// as lost. Small, as the caller waits in the meantime.
+// If more tokens than this wait for a missing earlier token, that token counts
+// as lost and the stream is resumed. The limit is small, as the caller gets no
+// tokens in the meantime.
 constexpr std::size_t kMaxOutOfOrder = 16;
 
 }  // namespace
@@ -59,8 +60,8 @@
   if (!this->IsPinned() || finish.generation != this->generation) {
     return AssemblerAction::kOtherGeneration;
   }
-  // A finish event with fewer tokens than were delivered, or with another count
-  // than an earlier finish event, cannot belong to this generation.
+  // A finish event with fewer tokens than were delivered, or with a different
+  // count than an earlier finish event, cannot belong to this generation.
   const bool contradicts =
       finish.count < this->next_index ||
       (this->total_tokens >= 0 && this->total_tokens != finish.count);
@@ -74,8 +75,9 @@
 }
 
 // Drops the out-of-order tokens, as the resumed stream sends them again. If
-// kept, they would count towards kMaxOutOfOrder on the next connection, where
-// the first token out of order would then make the missing one count as lost.
+// they were kept, they would count towards kMaxOutOfOrder on the next
+// connection, where the first token out of order would then make the missing
+// one count as lost.
 AssemblerAction StreamAssembler::RequestResume() {
   this->out_of_order.clear();
   return AssemblerAction::kResume;
--- a/src/answer/stream_assembler.h
+++ b/src/answer/stream_assembler.h
@@ -22,16 +22,16 @@
 
 /// @brief Puts the events of one generation in order, each token exactly once.
 ///
-/// It is pinned to the first generation that it sees a start event of, and
-/// rejects tokens of any other, even if they come from the same engine address.
+/// The first start event sets the generation. Tokens of any other generation
+/// are rejected, even if they come from the same engine address.
 class StreamAssembler {
  public:
   /// @param[in] first_index index of the first token that the caller lacks
   explicit StreamAssembler(std::int64_t first_index = 0)
       : next_index(first_index) {}
 
-  /// @brief Handles a start event: pins the generation, which later start
-  /// events must repeat.
+  /// @brief Handles a start event: the first one sets the generation, which
+  /// later ones must repeat.
   AssemblerAction OnStarted(std::string_view generation);
 
   /// @brief Handles a token, which may be a duplicate or out of order.
@@ -59,7 +59,7 @@
   std::string finish_reason;
   std::int64_t next_index;
   std::int64_t total_tokens = -1;  ///< of the whole generation; -1: not known
-  /// Tokens that arrived before an earlier one, by index.
+  /// Tokens that arrived before one with a lower index, by index.
   std::map<std::int64_t, TokenEvent> out_of_order;
   std::vector<TokenEvent> ready;
 };
--- a/src/answer/tests/stream_assembler_test.cc
+++ b/src/answer/tests/stream_assembler_test.cc
@@ -60,10 +60,10 @@
   cr_assert(assembler.NextIndex() == 0);
 }
 
-// Out-of-order tokens kept from a dropped connection counted towards the limit
-// on the next one. Its first token out of order then triggered another resume:
-// with busy processes on the machine, five times in a row, which failed a
-// streamed answer.
+// Guards against out-of-order tokens of a dropped connection that count towards
+// the limit on the next connection. The first out-of-order token of that
+// connection then triggers another resume. On a busy machine this happened five
+// times in a row, which failed a streamed answer.
 Test(a_stream_assembler, drops_out_of_order_tokens_on_a_resume) {
   StreamAssembler assembler;
   assembler.OnStarted("g1");
--- a/src/claims/claim_entry.cc
+++ b/src/claims/claim_entry.cc
@@ -133,7 +133,8 @@
                       {"sealed", segment.sealed},
                       {"oldest", segment.oldest},
                       {"dropped_ms", segment.dropped_ms}};
-  // The list of entries is inserted before the frame's closing brace.
+  // The list of entries is inserted before the closing brace of the JSON
+  // object.
   std::string text = frame.dump();
   text.pop_back();
   text += ",\"entries\":[";
--- a/src/claims/claim_entry.h
+++ b/src/claims/claim_entry.h
@@ -22,14 +22,14 @@
   Hash256 body_digest{};
   ClaimNonce nonce{};
   std::string host;  ///< the host that wrote it
-  /// Never below the previous entry's timestamp and, for a timed key, never
-  /// below the key's time minus the clock skew margin.
+  /// Timestamp: never below that of the previous entry and, for a timed key,
+  /// never below the key's time minus the clock skew margin.
   std::int64_t unix_ms = 0;
   /// The result is in the object `results/<nonce>`, not in this entry.
   bool result_stored_separately = false;
   ClaimResult result;  ///< of a kResult entry that holds its result
-  /// The entry's JSON, or empty. Cached, as a head is rewritten often while its
-  /// entries do not change.
+  /// The entry's JSON, or empty. Cached, as every update rewrites the whole
+  /// head although its existing entries do not change.
   std::string encoded;
 };
 
--- a/src/claims/claim_errors.cc
+++ b/src/claims/claim_errors.cc
@@ -12,8 +12,8 @@
 };
 
 // Outcome::kNotRun refers to this submission only: it was not sent and never
-// will be. Whether an earlier submission with the same key ran is known from
-// the log alone, so when the log cannot be read the message tells the caller to
+// will be. Only the log tells whether an earlier submission with the same key
+// ran. When the log cannot be read, the message therefore tells the caller to
 // retry with the same key.
 ErrorTemplate ErrorTemplateFor(ErrorId id) {
   switch (id) {
--- a/src/claims/claim_index.cc
+++ b/src/claims/claim_index.cc
@@ -9,8 +9,9 @@
     const ClaimEntry& entry = segment.entries[i];
     std::vector<IndexedEntry>& key_entries =
         this->entries_by_key[entry.key_hash];
-    // Archived segments are read newest first, so an entry may belong before
-    // those already indexed; entries of one segment keep their order.
+    // Archived segments are read newest first, so the position of an entry may
+    // be before entries that are already indexed. Entries of one segment keep
+    // their order.
     const auto position = std::ranges::upper_bound(key_entries, segment.number,
                                                    {}, &IndexedEntry::segment);
     key_entries.insert(position, IndexedEntry{entry.nonce, entry.body_digest,
@@ -46,8 +47,8 @@
   for (auto entry = key_entries.begin(); entry != key_entries.end(); ++entry) {
     const bool is_holder = state.nonce == entry->nonce;
     if (entry->kind == EntryKind::kClaim && state.status == KeyStatus::kFree) {
-      // A nonce is used once: a late duplicate of a claim that was released
-      // must not hold the key again.
+      // A nonce is valid for one claim only: a late duplicate of a claim that
+      // was released must not hold the key again.
       const bool released = std::any_of(
           key_entries.begin(), entry, [entry](const IndexedEntry& earlier) {
             return earlier.kind == EntryKind::kRelease &&
@@ -63,7 +64,7 @@
     } else if (entry->kind == EntryKind::kResult &&
                state.status != KeyStatus::kDone &&
                (is_holder || state.status == KeyStatus::kFree)) {
-      // For a free key, this is a result whose claim is in a dropped segment.
+      // A result for a free key is valid: its claim is in a dropped segment.
       state = {KeyStatus::kDone, entry->nonce, entry->body_digest,
                entry->segment};
     }
--- a/src/claims/claim_key.cc
+++ b/src/claims/claim_key.cc
@@ -12,8 +12,8 @@
 namespace meadowthread {
 namespace {
 
-// Ten digits of seconds reach the year 2286. The bound keeps the conversion to
-// milliseconds from overflowing.
+// Unix times in seconds have ten digits until the year 2286. The limit keeps
+// the conversion to milliseconds from overflowing.
 constexpr std::size_t kMaxTimestampDigits = 11;
 constexpr std::int64_t kMsPerSecond = 1000;
 
--- a/src/claims/claim_router.cc
+++ b/src/claims/claim_router.cc
@@ -60,7 +60,7 @@
 }
 
 // Whether the answer is independent of the host that gave it. Failures to read
-// or write the log are not: this host may succeed.
+// or write the log are not, as this host may succeed where the other failed.
 bool ClaimRouter::IsFinal(const absl::StatusOr<ForwardedAnswer>& answer) {
   if (!answer.ok() || !answer->recorded.ok()) {
     return false;
@@ -87,7 +87,8 @@
   }
 }
 
-// A grant that arrives after the deadline is released, as nothing was sent.
+// A grant that arrives after the deadline is released, as its request was not
+// sent.
 void ClaimRouter::CompleteClaim(const std::shared_ptr<ForwardAttempt>& attempt,
                                 const absl::StatusOr<ClaimAnswer>& answer) {
   const std::int64_t now_ms = this->dependencies.clock->WallMs();
@@ -106,8 +107,8 @@
 }
 
 // The preferred host may have written the operation or may still write it. Both
-// hosts use the same nonce, so reading the log shows whether it was written. To
-// give up a claim, a release has to be written.
+// hosts use the same nonce, so reading the log shows whether it was written. A
+// claim can be given up only by writing a release.
 void ClaimRouter::FallBackToLocalWrite(
     const std::shared_ptr<ForwardAttempt>& attempt) {
   attempt->finished = true;
--- a/src/claims/claim_service.h
+++ b/src/claims/claim_service.h
@@ -36,8 +36,8 @@
                             const Done& done) = 0;
 
   /// @brief Releases the claim, so that the key can be claimed again. Only for
-  /// a request that will not be sent any more, and of which either no byte was
-  /// sent or which the backend server definitely rejected.
+  /// a request that will not be sent any more, and only if no byte of it was
+  /// sent or the backend server definitely rejected it.
   virtual void Release(const ClaimGrant& grant, const Done& done) = 0;
 
   /// @brief The guarantee for keys of this form, as text for operators.
--- a/src/claims/claim_types.h
+++ b/src/claims/claim_types.h
@@ -70,7 +70,8 @@
   /// How long the first queued operation waits for others to share its write.
   std::int64_t batch_window_ms = 5;
   /// Least time between two updates of a shard by one host. With one writer per
-  /// shard, it bounds the update rate to shards / interval at any load.
+  /// shard, it limits the update rate of all shards to shards / interval at any
+  /// load.
   std::int64_t write_interval_ms = 20;
   std::int64_t retry_ms = 50;       ///< delay before the first retry
   std::int64_t max_retry_ms = 500;  ///< upper bound of the exponential backoff
--- a/src/claims/shard_log.cc
+++ b/src/claims/shard_log.cc
@@ -47,8 +47,8 @@
 }
 
 // Rejects a new claim immediately if the queue is full, or if the object API is
-// failing while an earlier operation is being retried; that retry finds out
-// when the object API has recovered.
+// failing while an earlier operation is being retried; that retry shows when
+// the object API has recovered.
 bool ShardLog::RejectImmediately(const OpPtr& op) {
   if (op->entry.kind != EntryKind::kClaim || op->withdrawn) {
     return false;
@@ -180,8 +180,8 @@
   this->queued_ops.remove(op);
 }
 
-// The object API is failing: rejects the claims that were certainly not
-// written.
+// Called when the object API fails. Rejects the claims that this host has
+// certainly not written.
 void ShardLog::RejectQueuedClaims(ErrorId id) {
   const std::list<OpPtr> waiting = this->queued_ops;
   for (const OpPtr& op : waiting) {
@@ -196,7 +196,8 @@
 
 // Answers a claim from the last known view, without reading the log. A recorded
 // result is final, so it is replayed. A claim on a held key is rejected with
-// kClaimHeld, as the holder's request may have run. Others get `id`.
+// kClaimHeld, as the holder's request may have run. Other claims are rejected
+// with `id`.
 void ShardLog::RejectWithoutRead(const OpPtr& op, ErrorId id) {
   const KeyState state = this->view.Index().Find(op->entry.key_hash);
   const bool same_body = state.body_digest == op->entry.body_digest;
@@ -205,8 +206,8 @@
     this->queued_ops.remove(op);
     return;
   }
-  // An entry with this claim's own nonce is a copy of it and not another
-  // holder; that copy is resolved separately (see Withdraw).
+  // An entry with this claim's own nonce is a copy of this claim, not another
+  // holder's. That copy is resolved separately (see Withdraw).
   const bool held =
       state.status != KeyStatus::kFree && state.nonce != op->entry.nonce;
   this->Reject(op, held ? ErrorId::kClaimHeld : id);
@@ -230,7 +231,8 @@
 }
 
 void ShardLog::RunCallbacks() {
-  // A callback may submit the next request, which adds to the list.
+  // The list is taken out first: a callback may submit the next request, which
+  // can add to the list.
   const std::vector<std::function<void()>> ready =
       std::exchange(this->pending_callbacks, {});
   for (const std::function<void()>& answer : ready) {
@@ -289,8 +291,8 @@
   } else if (head.sealed && this->expiry_checked_segment != head.number) {
     this->ReadOldestSegment();
   } else if (const std::int64_t delay_ms = this->WriteDelayMs(); delay_ms > 0) {
-    // Waiting makes fewer and fuller updates: the number of shards bounds the
-    // write rate at any load.
+    // Waiting lets more operations share an update. With one update per shard
+    // and interval, the write rate is limited at any load.
     this->ScheduleNextStep(delay_ms);
   } else {
     this->WriteHead(batch);
@@ -328,8 +330,8 @@
         *op->unresolved_version < this->view.Version()) {
       op->unresolved_version.reset();
     }
-    // Only one operation per key and update: the first one's entry changes the
-    // view that a second one has to be decided on.
+    // At most one operation per key goes into an update: a second one has to be
+    // decided on a view that includes the first one's entry.
     if (batched_keys.contains(op->entry.key_hash)) {
       continue;
     }
--- a/src/claims/shard_log.h
+++ b/src/claims/shard_log.h
@@ -35,8 +35,8 @@
 ///
 /// Objects: `claims/<shard>.head`, which is never deleted, and
 /// `claims/<shard>.<n>`, the archived segments. A full head is sealed, then
-/// archived, and only then replaced by the next segment, so that no entry is
-/// lost (docs/design/claims.md).
+/// archived, and only then replaced by the next segment (a roll), so that no
+/// entry is lost (docs/design/claims.md).
 class ShardLog final : public std::enable_shared_from_this<ShardLog> {
  public:
   ShardLog(const ClaimDependencies& dependencies, std::uint32_t shard);
@@ -45,7 +45,7 @@
   void Enqueue(ShardOp op);
 
  private:
-  /// Long enough ago that the first write is not delayed.
+  /// A time so long ago that the first write is not delayed.
   static constexpr std::int64_t kNever = -1'000'000;
 
   using OpPtr = std::shared_ptr<ShardOp>;
@@ -105,7 +105,7 @@
   std::list<OpPtr> queued_ops;
   std::vector<std::function<void()>> pending_callbacks;
   std::uint64_t store_calls = 0;  ///< number of store calls made so far
-  /// Number of the last call that showed the view to be current.
+  /// Number of the last store call that showed the view to be current.
   std::uint64_t view_confirmed_call = 0;
   bool busy = false;            ///< a store call is in flight
   bool step_scheduled = false;  ///< RunNextStep is scheduled
--- a/src/claims/shard_log_io.cc
+++ b/src/claims/shard_log_io.cc
@@ -15,8 +15,9 @@
 // Size allowed for a segment's JSON without its entries.
 constexpr std::size_t kSegmentFrameBytes = 120;
 
-// A roll may drop more segments than the one that it adds, so that a backlog of
-// expired segments shrinks.
+// A roll replaces the sealed head by a new segment and drops expired ones. It
+// may drop more than the one segment that it adds, so that a backlog of expired
+// segments shrinks.
 constexpr std::size_t kMaxExpiredSegmentsPerRoll = 4;
 
 std::size_t EncodedSize(const ClaimSegment& segment) {
@@ -80,8 +81,9 @@
                *op->unresolved_version >= version;
       });
   if (unresolved) {
-    // The unresolved write may still be applied to this version. Wait for it,
-    // then write on the same version: only one of the two writes can succeed.
+    // The unresolved write may still be applied to this version. Waits for it,
+    // and then writes with the same version as condition: only one of the two
+    // writes can succeed.
     this->ScheduleNextStep(this->dependencies.settings.retry_ms);
     return;
   }
@@ -106,8 +108,8 @@
 void ShardLog::OnArchiveRead(const absl::StatusOr<StoredObject>& answer,
                              std::int64_t number) {
   if (!answer.ok()) {
-    // If it is missing, it was dropped after the head was read, and a newer
-    // head says so.
+    // A missing segment was dropped after the head was read. The head is read
+    // again, as a newer one no longer lists the segment.
     this->must_read_head = true;
     this->OnStoreFailure(ErrorId::kStoreUnavailable);
     return;
@@ -128,7 +130,8 @@
     entry.kind = EntryKind::kRelease;
   }
   // Timestamps never decrease along the log, even if the hosts' clocks differ,
-  // and a claim's is never below the start of its key's search range.
+  // and the timestamp of a claim is never below the start of its key's search
+  // range.
   entry.unix_ms =
       std::max({this->dependencies.clock->WallMs(), last_ms,
                 op.search_range.forgettable ? 0 : op.search_range.earliest_ms});
@@ -218,7 +221,7 @@
 }
 
 // A sealed head never changes, so every host archives the same content, and a
-// conflict means that the archive exists.
+// conflict means that another write has already created the archive.
 void ShardLog::WriteArchive() {
   this->busy = true;
   ++this->store_calls;
@@ -292,8 +295,9 @@
       });
 }
 
-// Deletes segments and large results that the head no longer lists. Nobody
-// reads them any more, so one that a lost reply leaves behind only takes space.
+// Deletes segments and large results that the head no longer lists. Nothing
+// reads these objects any more. One that is left behind because a store call
+// failed only takes up space.
 void ShardLog::DeleteExpiredSegments() {
   const std::vector<ClaimSegment> dropped =
       std::exchange(this->expired_segments, {});
@@ -326,7 +330,7 @@
   this->store_failing = true;
   this->must_read_head = true;
   this->RejectQueuedClaims(id);
-  // Exponential backoff, to spare an object API that is down.
+  // Exponential backoff, so as not to overload an object API that is failing.
   const ClaimSettings& settings = this->dependencies.settings;
   this->backoff_ms = std::clamp(2 * this->backoff_ms, settings.retry_ms,
                                 settings.max_retry_ms);
@@ -336,7 +340,8 @@
 }
 
 // Answers a retry with the recorded result: from the head or an archived
-// segment, and for a large result from its own object.
+// segment, and for a large result from its own object. If one of them cannot be
+// read, the answer is kClaimHeld.
 void ShardLog::ReplayResult(const OpPtr& op) {
   const KeyState state = this->view.Index().Find(op->entry.key_hash);
   const std::string peer = this->HeadName();
--- a/src/claims/shard_op.cc
+++ b/src/claims/shard_op.cc
@@ -11,22 +11,24 @@
   if (IsHolder(op, view.Index().Find(op.entry.key_hash))) {
     return OpDecision::kRelease;
   }
-  // The preferred host may still write the claim. A release that precedes it in
-  // the log makes it void.
+  // The preferred host may still write the claim. If a release precedes the
+  // claim in the log, the claim does not take the key.
   const bool released =
       view.Index().Has(op.entry.key_hash, op.entry.nonce, EntryKind::kRelease);
   if (op.forwarded && !released) {
     return OpDecision::kRelease;
   }
   // The unresolved write can be applied as long as the head has the version
-  // that it is conditioned on. Any other write on that version rules it out.
+  // that it is conditioned on. Any other write that succeeds on that version
+  // makes it fail.
   return op.unresolved_version.has_value() ? OpDecision::kFence
                                            : OpDecision::kResolved;
 }
 
 OpDecision DecideClaim(const ShardOp& op, const ShardView& view,
                        bool is_fresh) {
-  // The host that forwarded this claim has given it up in the meantime.
+  // A release with the claim's nonce: the host that forwarded this claim has
+  // given it up in the meantime.
   if (view.Index().Has(op.entry.key_hash, op.entry.nonce,
                        EntryKind::kRelease)) {
     return OpDecision::kAlreadyReleased;
--- a/src/claims/shard_op.h
+++ b/src/claims/shard_op.h
@@ -15,13 +15,14 @@
 struct ShardOp {
   ClaimEntry entry;
   KeySearchRange search_range;
-  std::int64_t limit_ms = 0;       ///< wall time at which it times out
-  std::int64_t deadline_ms = 0;    ///< of the request, for a claim
-  std::uint64_t arrival_call = 0;  ///< store calls made before it was queued
+  std::int64_t limit_ms = 0;     ///< wall time at which it times out
+  std::int64_t deadline_ms = 0;  ///< of the request, for a claim
+  /// Number of store calls made before it was queued.
+  std::uint64_t arrival_call = 0;
   /// Head version that a write with this entry was conditioned on, while it is
   /// unknown whether that write succeeded.
   std::optional<std::int64_t> unresolved_version;
-  bool in_flight = false;  ///< part of the head update in progress
+  bool in_flight = false;  ///< its entry is in the head update in progress
   bool forwarded = false;  ///< the preferred host may write it too
   /// Forwarded by another host. Only that host knows whether the request was
   /// sent, so this host never releases the claim.
@@ -42,15 +43,15 @@
 /// @brief What to do with an operation, given the current view.
 enum class OpDecision {
   kAppend,   ///< add its entry to the next update
-  kRelease,  ///< add a release of it to the next update
+  kRelease,  ///< add a release of the claim to the next update
   kFence,    ///< update the head, so that an unresolved write cannot be applied
   kRefresh,  ///< read the head first: the view is older than the operation
-  kGranted,  ///< the log shows that it holds the key
+  kGranted,  ///< the log shows that this claim holds the key
   kHeld,     ///< another claim holds the key
   kReused,   ///< the key belongs to a request with another body
   kReplay,   ///< answer with the recorded result
   kExpired,  ///< a claim of the key may be in a dropped segment
-  kAlreadyReleased,  ///< the log has a release with its nonce
+  kAlreadyReleased,  ///< the log has a release of this claim
   kResolved,         ///< its entry is in the log, or can no longer get there
 };
 
--- a/src/claims/shard_view.cc
+++ b/src/claims/shard_view.cc
@@ -3,8 +3,9 @@
 namespace meadowthread {
 namespace {
 
-// If other hosts have filled more segments than this, dropping the index and
-// starting from the new head is cheaper than reading all of them.
+// If other hosts have filled more segments than this since the head was last
+// read, dropping the index and starting from the new head is cheaper than
+// reading all of these segments.
 constexpr std::int64_t kMaxGapSegments = 16;
 
 }  // namespace
@@ -61,7 +62,7 @@
   if (this->first_indexed <= this->head.oldest) {
     return std::nullopt;
   }
-  // Timestamps never decrease along the log. If the last one before
+  // Timestamps never decrease along the log. If the last timestamp before
   // `first_indexed` is below the key's range, so are all earlier ones.
   if (!search_range.forgettable &&
       this->first_indexed_prior_ms < search_range.earliest_ms) {
@@ -85,9 +86,9 @@
     return;
   }
   this->index.EvictBelow(middle);
-  // The last timestamp before `middle` is not stored. The one before the head
-  // is used instead: it is never smaller, so at worst one segment too many is
-  // read again.
+  // The last timestamp before `middle` is not stored. The last timestamp before
+  // the head is used instead. It is never smaller, so at worst segments are
+  // read again that need not be.
   this->first_indexed = middle;
   this->first_indexed_prior_ms = this->head.prior_ms;
 }
--- a/src/claims/shard_view.h
+++ b/src/claims/shard_view.h
@@ -13,7 +13,8 @@
 struct KeySearchRange {
   /// No claim of the key has a timestamp below this; unused for opaque keys.
   std::int64_t earliest_ms = 0;
-  /// An opaque key: its claims may be dropped after the retention period.
+  /// True for opaque keys: their claims may be dropped after the retention
+  /// period.
   bool forgettable = false;
 };
 
@@ -42,7 +43,8 @@
   /// @brief Whether a claim of the key may have been in a dropped segment.
   bool MayHaveBeenDropped(const KeySearchRange& search_range) const;
 
-  /// @brief Evicts the older half of the indexed segments.
+  /// @brief Evicts the older half of the indexed segments. Does nothing while
+  /// there are segments to read in the gap (see gap_next).
   void EvictOlderHalf();
 
   /// @brief The version of the head; 0 if no head exists yet.
@@ -60,8 +62,9 @@
   /// Segments first_indexed..head are in the index, except those in the gap.
   std::int64_t first_indexed = 0;
   std::int64_t first_indexed_prior_ms = -1;
-  /// Segments gap_next..gap_end-1 have still to be read. The first
-  /// gap_known_entries entries of gap_next are already indexed.
+  /// The gap: segments gap_next..gap_end-1, in which other hosts have added
+  /// entries since this host last read the head, have still to be read. The
+  /// first gap_known_entries entries of gap_next are already indexed.
   std::int64_t gap_next = 0;
   std::int64_t gap_end = 0;
   std::size_t gap_known_entries = 0;
--- a/src/claims/store_claim_service.cc
+++ b/src/claims/store_claim_service.cc
@@ -39,8 +39,8 @@
 void StoreClaimService::ReceiveForwardedOp(
     const ForwardedOp& op, const ClaimForwarder::ForwardDone& done) {
   if (op.shard >= this->router->Shards()) {
-    // The sender is configured with more shards than this host. On this error
-    // it writes the log itself.
+    // The sender is configured with more shards than this host. When it gets
+    // this error, the sender writes the log itself.
     this->FailLater(
         [done](const absl::StatusOr<ClaimAnswer>& end) { done(end.status()); },
         ClaimError(ErrorId::kStoreMalformed, "", -1));
--- a/src/claims/store_claim_service.h
+++ b/src/claims/store_claim_service.h
@@ -43,7 +43,7 @@
 
   ClaimDependencies dependencies;
   std::shared_ptr<ClaimRouter> router;
-  /// Lives as long as the service. Callbacks hold a weak pointer to it, to
+  /// Lives as long as the service. Callbacks hold a weak pointer to `alive`, to
   /// detect that the service was destroyed.
   std::shared_ptr<int> alive;
 };
--- a/src/claims/tests/claim_faults_test.cc
+++ b/src/claims/tests/claim_faults_test.cc
@@ -139,8 +139,9 @@
   const std::string key = fixture.Key("note");
   const auto mine = fixture.Claim(0, key, "body", 1'000);
   fixture.RunTimersOnly(5);
-  fixture.store.Step();          // the head is read; the write goes out
-  fixture.clock.Advance(1'500);  // paused; the reply is handled before timers
+  fixture.store.Step();  // the head is read; the write goes out
+  // The host is paused, and handles the reply before its timers.
+  fixture.clock.Advance(1'500);
   fixture.store.Settle();
   { cr_assert(mine->Rejected(ErrorId::kDeadlinePassed, Outcome::kNotRun)); }
   fixture.Run(100);
--- a/src/claims/tests/claim_forward_test.cc
+++ b/src/claims/tests/claim_forward_test.cc
@@ -143,7 +143,8 @@
   cr_assert(mine->Rejected(ErrorId::kStoreUnavailable, Outcome::kNotRun));
   fixture.store.SetDown(false);
   fixture.Run(1'000);
-  // then: its release is in the log, so a copy that arrives now holds nothing
+  // then: the release is in the log, so a copy of the claim that arrives now
+  // does not take the key
   const int writes = fixture.store.WriteCalls();
   cr_assert(writes >= 1);
   ErrorId answer_id = ErrorId::kInternal;
--- a/src/claims/tests/claim_random_test.cc
+++ b/src/claims/tests/claim_random_test.cc
@@ -72,7 +72,7 @@
 /// @brief What the test has seen for one key.
 struct KeyRecord {
   std::string text;
-  int holders = 0;  ///< grants whose request was sent or may still be
+  int holders = 0;  ///< grants whose request was or may still be sent
   /// A release was requested and is not known to be stored.
   bool may_stay_held = false;
   std::optional<ClaimResult> result;
@@ -202,7 +202,8 @@
     ClaimService* const service =
         this->fixture.hosts[static_cast<std::size_t>(host)].get();
     if (next_action == 0) {
-      // Not sent, so released. If the release is lost, the key stays held.
+      // The request is not sent, so its claim is released. If the release is
+      // lost, the key stays held.
       record.may_stay_held = true;
       service->Release(grant, [&record](const absl::Status& status) {
         record.may_stay_held = !status.ok() && record.may_stay_held;
--- a/src/hosts/host_list.h
+++ b/src/hosts/host_list.h
@@ -42,8 +42,9 @@
 struct HostList {
   std::int64_t as_of_unix_ms = 0;
   std::vector<HostEntry> hosts;
-  int skipped_entries = 0;       ///< number of invalid entries, left out
-  std::string first_error = {};  ///< for the first of them; names the field
+  int skipped_entries = 0;  ///< number of invalid entries, left out
+  /// Error of the first invalid entry; names the field.
+  std::string first_error = {};
 };
 
 /// @brief Decodes the platform's JSON answer; an error names the invalid field.
--- a/src/hosts/host_list_poller.cc
+++ b/src/hosts/host_list_poller.cc
@@ -36,8 +36,8 @@
         });
 }
 
-// If the list cannot be read, the last one stays in use. It may be out of date
-// anyway, and hosts are asked directly for what it lacks.
+// If the list cannot be read, the last one stays in use. Any list may be out of
+// date, so hosts are asked directly for what the list lacks.
 void HostListPoller::OnFetched(const FetchResult& fetched) {
   absl::Status status = fetched.end.status;
   if (status.ok() && fetched.response.http_status != http_code::kOk) {
@@ -61,7 +61,8 @@
   }
 }
 
-// Logs only when the number changes, because the list is read repeatedly.
+// Logs only when the number of skipped entries changes, because the list is
+// read repeatedly.
 void HostListPoller::LogSkippedEntries(const HostList& list) {
   if (std::exchange(this->skipped_entries, list.skipped_entries) !=
       list.skipped_entries) {
--- a/src/hosts/host_list_poller.h
+++ b/src/hosts/host_list_poller.h
@@ -14,7 +14,7 @@
 class HostListPoller {
  public:
   /// @param[in] client,scheduler,directory outlive the poller
-  /// @param[in] period_ms from an answer to the next request
+  /// @param[in] period_ms time from an answer to the next request
   HostListPoller(HttpClient& client, Scheduler& scheduler,
                  HostDirectory& directory, std::string_view url,
                  std::int64_t period_ms);
@@ -33,7 +33,7 @@
   std::string url;
   std::int64_t period_ms;
   bool failing = false;     ///< the last read failed
-  int skipped_entries = 0;  ///< of the last list that was read
+  int skipped_entries = 0;  ///< in the last list that was read
 };
 
 }  // namespace meadowthread
--- a/src/placement/controller.h
+++ b/src/placement/controller.h
@@ -36,7 +36,8 @@
   /// expire.
   void Stop();
 
-  /// @brief Lists the leases if that is due, and ticks every group.
+  /// @brief Lists the leases if the list interval has passed and this host
+  /// lacks a lease, and ticks every group.
   void Tick();
 
   /// @brief The leases that this host holds now.
@@ -52,7 +53,8 @@
   PlacementContext context;
   Scheduler& scheduler;
   std::vector<std::unique_ptr<GroupController>> groups;
-  std::int64_t revision = 0;  ///< of the last lease listing; 0: none yet
+  /// Store revision of the last lease listing; 0: none yet.
+  std::int64_t revision = 0;
   std::int64_t next_list_ms = 0;
   bool listing = false;
   bool running = false;
--- a/src/placement/drain_tracker.h
+++ b/src/placement/drain_tracker.h
@@ -17,8 +17,8 @@
 /// object and has no work of its workspace or engine in flight.
 struct DrainConfirmation {
   std::string object;  ///< the ownership object's name
-  /// The object's version, as its epoch is ambiguous: a move that is cancelled
-  /// and started again has the same epoch as the first.
+  /// The object's version. Its epoch would be ambiguous: a move that is
+  /// cancelled and started again has the same epoch as the first attempt.
   std::int64_t version = 0;
 
   friend bool operator==(const DrainConfirmation&,
@@ -27,7 +27,7 @@
 
 /// @brief The field `ownership` of a host's status object.
 struct DrainReport {
-  std::string deployment;  ///< of the host; the field `half` in JSON
+  std::string deployment;  ///< the host's deployment; `half` in JSON
   std::vector<DrainConfirmation> drained;
 
   friend bool operator==(const DrainReport&, const DrainReport&) = default;
@@ -40,14 +40,15 @@
 absl::StatusOr<DrainReport> ParseDrainReport(std::string_view status_text);
 
 /// @brief Counts a host's work in flight for each workspace and engine, to tell
-/// when one that is moving to another deployment has drained.
+/// when a workspace or engine that is moving to another deployment has no work
+/// left.
 class DrainTracker {
  public:
   /// @param[in] view outlives the tracker
   explicit DrainTracker(const OwnershipView& view) : view(view) {}
 
   /// @brief Checks that work may start and counts it. Both happen in one step,
-  /// so that Report cannot confirm a drain in between.
+  /// so that Report cannot confirm a drain between the check and the count.
   /// @return OK, or the error of OwnershipView::MayStart
   absl::Status Begin(const OwnedId& id);
 
--- a/src/placement/engine_table.cc
+++ b/src/placement/engine_table.cc
@@ -110,9 +110,10 @@
                                               : EngineLiveness::kLive;
 }
 
-// An engine that keeps refusing orders as stale gets none for a while. It may
-// have recorded a fencing token that no holder can reach. As each refusal makes
-// the holder step down, this one engine would block the whole group.
+// An engine that keeps refusing orders as stale is sent no orders for
+// `refusal_backoff_ms`. It may have recorded a fencing token so high that no
+// holder will reach it. Each refusal can make the holder step down, so this one
+// engine would block the whole group.
 bool EngineTable::IsRefusing(const Record& record) const {
   const std::int64_t since_ms =
       this->clock.MonotonicMs() - record.last_refusal_ms;
@@ -216,8 +217,8 @@
   PendingOrder& pending = *record.pending;
   pending.in_flight = false;
   pending.applied = pending.applied || applied;
-  // Resent whatever the outcome, until the engine reports the desired state.
-  // That is safe because an order names the complete state.
+  // The order is resent whatever the outcome, until the engine reports the
+  // desired state. Resending is safe because an order names the complete state.
   const std::int64_t wait_ms =
       std::max(this->settings.resend_interval_ms, result.retry_after_ms);
   pending.next_send_ms = this->clock.MonotonicMs() + wait_ms;
--- a/src/placement/engine_table.h
+++ b/src/placement/engine_table.h
@@ -20,16 +20,21 @@
 
 /// @brief Time limits for engines and their orders, in milliseconds.
 struct EngineTableSettings {
-  /// An engine without a newer report becomes kSilent and then kGone.
+  /// Time without a newer report after which an engine is kSilent or kGone.
   std::int64_t silent_after_ms = 6'000;
   std::int64_t gone_after_ms = 20'000;
-  std::int64_t gone_jitter_ms = 5'000;  ///< kGone up to this later, per engine
-  std::int64_t change_cooldown_ms = 30'000;  ///< between changes of an engine
-  std::int64_t resend_interval_ms = 5'000;   ///< of an order until it completes
-  /// Between reads of an engine's load while it has a pending order.
+  /// A fixed part of this, by the hash of the engine's name, is added to
+  /// gone_after_ms.
+  std::int64_t gone_jitter_ms = 5'000;
+  /// Least time between the end of an engine's last order and its next change.
+  std::int64_t change_cooldown_ms = 30'000;
+  /// Least time from the result of sending an order to its next sending, until
+  /// the order completes.
+  std::int64_t resend_interval_ms = 5'000;
+  /// Interval between reads of an engine's load while it has a pending order.
   std::int64_t read_interval_ms = 1'000;
-  std::int64_t load_timeout_ms = 120'000;  ///< then an order is abandoned
-  /// Pause of orders to an engine that repeatedly refused them as stale.
+  std::int64_t load_timeout_ms = 120'000;  ///< age at which an order is dropped
+  /// How long an engine that repeatedly refused orders as stale gets none.
   std::int64_t refusal_backoff_ms = 600'000;
 };
 
@@ -89,8 +94,10 @@
     ListedEngine listed;
     bool is_listed = false;
     std::optional<LoadReport> report;
-    std::optional<std::string> previous_incarnation;  ///< before a restart
-    /// When the last newer report arrived; without one, when first listed.
+    /// The engine's incarnation before its last restart.
+    std::optional<std::string> previous_incarnation;
+    /// When the last report that was newer than its predecessor arrived; before
+    /// the first report, when the engine was first listed.
     std::int64_t last_report_ms = 0;
     std::optional<std::int64_t> last_change_ms;
     std::optional<PendingOrder> pending;
--- a/src/placement/group_assignment.cc
+++ b/src/placement/group_assignment.cc
@@ -22,9 +22,10 @@
 
 }  // namespace
 
-// The name includes the number of groups. While hosts are configured with
-// different numbers, an engine may belong to the groups of two holders; it then
-// obeys the one with the newer fencing token.
+// The name includes the number of groups. While a change of that number is
+// rolled out, hosts use different numbers, and an engine may belong to the
+// groups of two lease holders. It then obeys the holder with the newer fencing
+// token.
 std::string PlacementLeaseName(std::string_view deployment, int groups,
                                int group) {
   return absl::StrCat("placement.", std::string(deployment), ".", groups, ".",
--- a/src/placement/group_assignment.h
+++ b/src/placement/group_assignment.h
@@ -17,8 +17,10 @@
 int GroupOfEngine(std::string_view engine, int groups);
 
 /// @brief How long a host waits before it tries to acquire a free lease, so
-/// that few hosts try at once and the leases spread over the hosts.
-/// @param[in] hosts those believed live; a wrong list only delays the takeover
+/// that few hosts try at once and the leases are spread over the hosts. The
+/// order of the hosts differs from lease to lease.
+/// @param[in] hosts names of the hosts believed live; a wrong list only changes
+/// the delay
 /// @return milliseconds
 std::int64_t TakeoverDelayMs(std::string_view host, std::string_view lease,
                              std::span<const std::string> hosts);
--- a/src/placement/group_controller.cc
+++ b/src/placement/group_controller.cc
@@ -7,8 +7,8 @@
 namespace meadowthread {
 namespace {
 
-// The rate is divided evenly. A group cannot use what another leaves unused,
-// but in return holders need not coordinate.
+// Divides the load rate evenly among the groups. A group cannot use what
+// another group leaves unused, but the lease holders need not coordinate.
 LoadBudgetSettings GroupShare(const PlacementControllerSettings& settings) {
   LoadBudgetSettings share = settings.budget;
   share.loads_per_second /= settings.groups;
@@ -105,7 +105,7 @@
     this->budget.Take(change.load.has_value() ? 1 : 0);
     this->table.Order(change);
   }
-  // Logs only changes: a plan is made every second.
+  // Logs shortages only when they change, as a plan is made every second.
   if (plan.shortages != this->shortages) {
     for (const Shortage& shortage : plan.shortages) {
       LogShortage(this->lease.Name(), this->lease.Fence(), shortage);
@@ -131,8 +131,8 @@
   }
 }
 
-// The pause is jittered, so that the groups do not all return to the weight
-// store at once.
+// The pause is jittered, so that the groups do not all resume loads from the
+// weight store at once.
 void GroupController::BackOffLoads(std::int64_t retry_after_ms) {
   const std::int64_t pause_ms =
       retry_after_ms >= 0 ? retry_after_ms : this->settings.load_backoff_ms;
--- a/src/placement/group_controller.h
+++ b/src/placement/group_controller.h
@@ -21,7 +21,7 @@
 /// @brief Settings of placement; they must be the same on every host of a
 /// deployment.
 struct PlacementControllerSettings {
-  int groups = 1;  ///< the engines are divided among them by hash
+  int groups = 1;  ///< number of groups; engines are assigned by hash
   LeaseSettings lease;
   PlannerSettings planner;
   /// `loads_per_second` is the rate of all groups together.
@@ -30,11 +30,12 @@
   std::int64_t tick_ms = 250;
   std::int64_t list_interval_ms = 5'000;  ///< between listings of the leases
   std::int64_t plan_interval_ms = 1'000;
-  /// Delay from acquiring the lease to the first plan. Engines report a load
-  /// only when it has completed, so those that the previous holder ordered may
-  /// not be visible at first.
+  /// Delay from acquiring the lease to the first plan. Engines report a model
+  /// only when it is loaded, so loads that the previous holder ordered may not
+  /// be visible at first.
   std::int64_t first_plan_delay_ms = 5'000;
-  /// Pause of loads after a timed-out load or an overload without Retry-After.
+  /// How long no loads are ordered after a load has timed out, or after an
+  /// engine answered that it is overloaded without a Retry-After.
   std::int64_t load_backoff_ms = 10'000;
 };
 
--- a/src/placement/json_field_reader.h
+++ b/src/placement/json_field_reader.h
@@ -15,7 +15,7 @@
                                std::string_view reason);
 
 /// @brief Reads the fields of a JSON object and keeps the first error, so that
-/// the caller checks once at the end.
+/// the caller checks for errors once, after reading all fields.
 class JsonFieldReader {
  public:
   /// @param[in] object outlives the reader
--- a/src/placement/lease.cc
+++ b/src/placement/lease.cc
@@ -39,7 +39,8 @@
     this->ConfirmWrite(object.version, document->sequence);
     return;
   }
-  // A version older than our own is a stale read.
+  // A version that is not newer than the one that this tenure started from, or
+  // than our last confirmed write, comes from a stale read.
   if (this->tenure.has_value()) {
     const std::int64_t newest =
         std::max(this->tenure->base_version, this->tenure->version);
@@ -53,8 +54,8 @@
 
 void Lease::ObserveAbsent() {
   if (this->tenure.has_value()) {
-    // Either the listing is older than the first write, or the object was
-    // removed. The condition of the next write shows which.
+    // Either the listing is older than this tenure's first write, or the object
+    // was removed. The next conditional write shows which.
     return;
   }
   const std::int64_t wait_ms =
@@ -66,8 +67,8 @@
   if (this->observed.has_value() && this->observed->version == version) {
     return;
   }
-  // The wait starts when the listing arrives. This is safe: the holder counts
-  // its lease from before it sent the write, which was earlier.
+  // The wait starts when the listing arrives. This is safe, as the holder
+  // counts its lease from before it sent the write and so from an earlier time.
   this->observed = ObservedLease{version, this->clock.MonotonicMs(), wait_ms};
 }
 
@@ -144,8 +145,9 @@
   const std::int64_t sequence = now.next_sequence;
   const std::string text =
       EncodeLease(this->MakeDocument(this->settings.ttl_ms));
-  // The lease counts from before the write is sent. A pause between here and
-  // the answer then shortens our lease, never the wait of a successor.
+  // The lifetime counts from before the write is sent. A pause of this process
+  // between here and the answer then shortens our lease, but never the time
+  // that a successor waits.
   now.last_sent_ms = this->clock.MonotonicMs();
   now.sent.push_back({sequence, now.last_sent_ms, this->clock.WallMs()});
   ++now.next_sequence;
@@ -174,7 +176,8 @@
   if (HasErrorId(answer.status(), ErrorId::kStoreUnavailable)) {
     return;  // not applied; the next tick tries again
   }
-  // A conflict may be with a delayed earlier write of our own.
+  // The write may have been applied, and a conflict may be with a delayed
+  // earlier write of our own, so the object is read back.
   this->tenure->write_unconfirmed = true;
   this->ReadBack();
 }
@@ -291,8 +294,9 @@
   if (!this->tenure.has_value() || this->tenure->version == 0) {
     return 0;
   }
-  // A suspended machine may stop its monotonic clock, so the wall clock is
-  // checked as well. If that steps forward, the lease just ends early.
+  // The monotonic clock may stop while the machine is suspended, so the wall
+  // clock is checked as well. If the wall clock steps forward, the lease just
+  // ends early.
   const std::int64_t by_monotonic =
       this->tenure->expires_monotonic_ms - this->clock.MonotonicMs();
   const std::int64_t by_wall =
--- a/src/placement/lease.h
+++ b/src/placement/lease.h
@@ -21,8 +21,10 @@
   std::string incarnation;  ///< of this process, new with every start
   std::int64_t ttl_ms = 15'000;
   std::int64_t renew_every_ms = 5'000;
-  std::int64_t order_window_ms = 3'000;  ///< from sending an order to deadline
-  /// The most that two clocks drift apart over `ttl_ms` + `order_window_ms`.
+  /// Longest time from sending an order to its deadline.
+  std::int64_t order_window_ms = 3'000;
+  /// The most that the clocks of two hosts drift apart within `ttl_ms` +
+  /// `order_window_ms`.
   std::int64_t drift_margin_ms = 500;
 };
 
@@ -42,8 +44,8 @@
 
   // 1. Results of listings.
 
-  /// @brief Applies the lease's object as it was listed. A stale version is
-  /// harmless.
+  /// @brief Applies the lease's object as it was listed. An out-of-date listing
+  /// is harmless.
   void Observe(const StoredObject& object);
 
   /// @brief Applies a listing without the lease's object.
@@ -68,12 +70,13 @@
   void StepDown(std::string_view reason);
 
   /// @brief Gives the lease up and writes a lifetime of 0, so that a successor
-  /// waits for the order window only.
+  /// waits for the order window and the drift margin only. Nothing is written
+  /// if the lease is not held or a store call is in flight.
   void Release();
 
   // 3. State.
 
-  /// @brief Whether this host holds the lease, by its own clocks.
+  /// @brief Whether this host holds the lease according to its own clocks.
   bool Held() const;
 
   /// @brief The fencing token: the last confirmed version; 0 if not held.
@@ -99,15 +102,15 @@
   /// up or another host's write is seen.
   struct Tenure {
     std::string nonce;
-    std::int64_t base_version = 0;   ///< before the first attempt
-    std::int64_t first_version = 0;  ///< first confirmed; 0: none
-    std::int64_t version = 0;        ///< last confirmed; 0: none
+    std::int64_t base_version = 0;   ///< version before the first attempt
+    std::int64_t first_version = 0;  ///< first confirmed version; 0: none
+    std::int64_t version = 0;        ///< last confirmed version; 0: none
     std::int64_t next_sequence = 0;
     std::int64_t expires_monotonic_ms = 0;
     std::int64_t expires_wall_ms = 0;
     std::int64_t last_sent_ms = 0;
     bool renew_soon = false;
-    bool write_unconfirmed = false;  ///< to be read back
+    bool write_unconfirmed = false;  ///< read the object back before writing
     std::vector<SentWrite> sent;
   };
   /// A version that another host wrote, or the object's absence (version 0),
--- a/src/placement/lease_document.h
+++ b/src/placement/lease_document.h
@@ -19,10 +19,10 @@
 struct LeaseDocument {
   std::string holder;
   std::string incarnation;
-  std::string tenure;         ///< random id of the acquisition
-  std::int64_t sequence = 0;  ///< of the write in its tenure, from 0
-  /// Lifetime from the write on; 0: released. A successor measures it on its
-  /// own clock.
+  std::string tenure;         ///< random id, new with each acquisition
+  std::int64_t sequence = 0;  ///< number of the write in its tenure, from 0
+  /// Lifetime from the write on; 0: released. A successor measures it with its
+  /// own clock from when it first sees the write.
   std::int64_t ttl_ms = 0;
   /// The longest time from sending an order to its deadline.
   std::int64_t order_window_ms = 0;
--- a/src/placement/load_budget.cc
+++ b/src/placement/load_budget.cc
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-// Starts with the urgent reserve only. When many holders start together, they
-// would otherwise each spend a full burst at the same time.
+// The bucket starts with the urgent reserve only. With a full bucket, many
+// holders that start together would each order a full burst of loads at the
+// same time.
 LoadBudget::LoadBudget(const LoadBudgetSettings& settings, const Clock& clock)
     : settings(settings),
       clock(clock),
@@ -31,7 +32,7 @@
 void LoadBudget::Refill() {
   const std::int64_t now_ms = this->clock.MonotonicMs();
   if (now_ms <= this->refilled_ms) {
-    return;  // within a pause
+    return;  // refill is paused
   }
   const double elapsed_ms = static_cast<double>(now_ms - this->refilled_ms);
   this->tokens =
--- a/src/placement/load_budget.h
+++ b/src/placement/load_budget.h
@@ -11,15 +11,15 @@
 struct LoadBudgetSettings {
   double loads_per_second = 0.5;  ///< total rate / number of groups
   double burst = 2;               ///< capacity of the token bucket
-  double urgent_reserve = 1;      ///< tokens kept for urgent loads
+  double urgent_reserve = 1;      ///< tokens that only urgent loads may use
   double min_rate = 0.02;         ///< lower limit of the rate
 };
 
 /// @brief A token bucket for model loads that slows down when the weight store
 /// is overloaded.
 ///
-/// The rate halves when the store refuses a load or a load times out, and rises
-/// by a tenth of the full rate with each load that completes.
+/// The rate halves when a load is refused or times out, and rises by a tenth of
+/// the full rate with each load that completes.
 class LoadBudget {
  public:
   /// @param[in] clock outlives the budget
@@ -28,8 +28,9 @@
   /// @brief The number of loads that may be ordered now.
   int Available();
 
-  /// @brief The number of urgent loads that may be ordered now, which may use
-  /// the reserve.
+  /// @brief The number of urgent loads that may be ordered now. Urgent loads
+  /// are those of models that have fewer copies than they must; they may also
+  /// use `urgent_reserve`.
   int UrgentAvailable();
 
   /// @brief Takes the tokens of loads that are ordered.
--- a/src/placement/order_messages.h
+++ b/src/placement/order_messages.h
@@ -13,9 +13,10 @@
 
 /// @brief The outcome of sending an order to an engine.
 enum class OrderOutcome {
-  kApplied,         ///< accepted; the engine may still be loading
-  kStaleFence,      ///< not applied: the engine saw a newer fencing token
-  kSuperseded,      ///< not applied: a newer order of our own tenure was
+  kApplied,     ///< accepted; the engine may still be loading
+  kStaleFence,  ///< not applied: the engine saw a newer fencing token
+  kSuperseded,  ///< not applied: the engine saw a newer fencing token of this
+                ///< host's current tenure
   kDeadlinePassed,  ///< not applied: it arrived after its deadline
   kThrottled,       ///< not applied: the engine or the weight store is busy
   kRejected,        ///< not applied for another reason
@@ -38,7 +39,7 @@
 /// @brief The outcome of an order with details from the engine's answer.
 struct OrderResult {
   OrderOutcome outcome = OrderOutcome::kUnknown;
-  std::int64_t peer_fence = 0;       ///< newest one the engine saw; 0: unknown
+  std::int64_t peer_fence = 0;       ///< newest that the engine saw; 0: unknown
   std::int64_t retry_after_ms = -1;  ///< when throttled; -1: not given
   absl::Status status;
 };
--- a/src/placement/order_sender.cc
+++ b/src/placement/order_sender.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t kMaxAnswerBytes = 65'536;
-// With less of the lease left, the order would hardly arrive before its
-// deadline.
+// No order is sent when less of the lease is left, as the order would probably
+// arrive after its deadline.
 constexpr std::int64_t kMinRemainingMs = 100;
 
 absl::Status NotSentError(ErrorId id, std::string_view engine,
@@ -56,9 +56,9 @@
     return NotSentError(ErrorId::kOwnedElsewhere, order.engine,
                         OwnershipVerdictName(owned.verdict));
   }
-  // The previous owner's fencing tokens are older than the change of owner.
-  // Ours must be newer than it, or a late order of the previous owner could
-  // count as newer than ours.
+  // The previous owner's fencing tokens are lower than the version that changed
+  // the owner. Ours must be higher than that version, or the engine could take
+  // a late order of the previous owner for newer than ours.
   if (this->lease.Fence() <= owned.version) {
     return NotSentError(ErrorId::kOrderStale, order.engine,
                         "the fence is older than the engine's change of owner");
@@ -82,11 +82,12 @@
   request.url = order.base_url + "/v1/orders";
   request.headers = {{"Content-Type", "application/json"}};
   request.body = EncodeOrder(message);
-  // 0 would mean no timeout.
+  // At least 1, as 0 would mean no timeout.
   request.total_timeout_ms = std::max<std::int64_t>(1, window_ms);
   request.connect_timeout_ms =
       std::min(request.connect_timeout_ms, request.total_timeout_ms);
-  // An automatic retry by the HTTP client would bypass the checks.
+  // An automatic retry by the HTTP client would bypass the checks of
+  // CheckMaySend.
   request.send_once = true;
   request.reuse_idle_ms = 0;
   return request;
@@ -125,8 +126,8 @@
   if (this->lease.IsOwnFence(answer.peer_fence)) {
     result.outcome = OrderOutcome::kSuperseded;
   } else if (this->lease.IsOwnFence(fence)) {
-    // Another holder has sent orders to this engine, so this host does not hold
-    // the lease alone, whatever its clock says.
+    // Another holder has sent orders to this engine, so this host may no longer
+    // count as the holder, even if its own clocks say that its lease is valid.
     this->lease.StepDown("stale_fence");
   }
   return result;
--- a/src/placement/order_sender.h
+++ b/src/placement/order_sender.h
@@ -39,7 +39,8 @@
               const Clock& clock)
       : client(client), lease(lease), ownership(ownership), clock(clock) {}
 
-  /// @brief Sends one order; `done` may be called before Send returns.
+  /// @brief Sends one order; `done` gets the outcome, possibly before Send
+  /// returns.
   void Send(const EngineOrder& order, const Done& done);
 
  private:
--- a/src/placement/ownership.h
+++ b/src/placement/ownership.h
@@ -42,8 +42,8 @@
 /// @brief The content of an ownership object, `ownership/{kind}.{name}`.
 struct OwnershipDocument {
   std::string owner;       ///< a deployment's name
-  std::string address;     ///< URL for callers of the owner
-  std::int64_t epoch = 1;  ///< one more with every change of owner
+  std::string address;     ///< URL at which callers reach the owner
+  std::int64_t epoch = 1;  ///< incremented with every change of owner
   OwnershipState state = OwnershipState::kOwned;
   std::string next_owner;  ///< set while draining
   std::string next_address;
--- a/src/placement/ownership_mover.cc
+++ b/src/placement/ownership_mover.cc
@@ -89,8 +89,8 @@
 void OwnershipMover::OnDraining(const OwnershipDocument& document,
                                 std::int64_t version) {
   this->progress.phase = OwnershipMovePhase::kDraining;
-  // The hosts are listed only after the draining mark has been read back. A
-  // host that registers later reads the mark before it starts any work.
+  // The hosts are listed only after the draining state has been read back. A
+  // host that registers later reads that state before it starts any work.
   this->call_in_flight = true;
   this->store.List(
       kStatusKind, 0,
@@ -125,7 +125,7 @@
                                std::int64_t version) const {
   const absl::StatusOr<DrainReport> report = ParseDrainReport(status.value);
   if (!report.ok()) {
-    return false;  // it may be a host of the owner with work in flight
+    return false;  // may be a host of the owner with work in flight
   }
   if (report->deployment != deployment) {
     return true;
--- a/src/placement/ownership_mover.h
+++ b/src/placement/ownership_mover.h
@@ -21,12 +21,13 @@
   std::string next_owner;
   std::string next_address;
   std::string operation;  ///< id of the move, written to the object
-  /// Hosts that an operator declares dead for good: not waited for.
+  /// Hosts that an operator declares permanently dead. The move does not wait
+  /// for them.
   std::vector<std::string> dead_hosts;
 };
 
-/// @brief The owner of anything without an ownership object; the same as on the
-/// hosts.
+/// @brief The owner of every workspace and engine without an ownership object;
+/// must be the same as in the settings of the hosts.
 struct OwnershipMoverSettings {
   std::string default_owner;
   std::string default_address;
@@ -34,8 +35,8 @@
 
 /// @brief The phases of a move.
 enum class OwnershipMovePhase {
-  kStarting,  ///< the draining mark was not read back yet
-  kDraining,  ///< waits for the owner's hosts
+  kStarting,  ///< state kDraining was not read back yet
+  kDraining,  ///< waits for the owner's hosts to drain
   kDone,      ///< the next deployment is the owner
   kConflict   ///< ended: the object is invalid or was changed by someone else
 };
@@ -53,8 +54,8 @@
 /// Marks the ownership object as draining, waits until every host of the owner
 /// has confirmed that it has no work in flight, and then writes the new owner.
 /// All state is in the object: after a crash at any step, a new mover with the
-/// same request continues, and two at once do no harm. A lost answer needs no
-/// special handling, as every step starts by reading the object.
+/// same request continues, and two movers at once do no harm. A lost answer
+/// needs no special handling, as every step starts by reading the object.
 class OwnershipMover {
  public:
   /// @param[in] store outlives the mover
--- a/src/placement/ownership_view.cc
+++ b/src/placement/ownership_view.cc
@@ -84,8 +84,8 @@
   }
 }
 
-// Strictly later, because a read sent in the same millisecond may have been
-// sent before the status object was written.
+// The read must be strictly later than the registration: one sent in the same
+// millisecond may have been sent before the status object was written.
 bool OwnershipView::HasReadSinceRegistered() const {
   return this->confirmed_ms.has_value() && this->registered_ms.has_value() &&
          *this->confirmed_ms > *this->registered_ms;
@@ -120,8 +120,8 @@
   answer.address = draining ? document.next_address : document.address;
   answer.verdict =
       readable ? this->VerdictFor(document) : OwnershipVerdict::kUnreadable;
-  // A refusal needs no fresh view; only permission depends on the registration
-  // and the read after it.
+  // Work may be refused from an old view. Only permission depends on the
+  // registration and the read after it.
   if (answer.verdict != OwnershipVerdict::kOurs ||
       !this->settings.has_other_deployment) {
     return answer;
--- a/src/placement/ownership_view.h
+++ b/src/placement/ownership_view.h
@@ -18,7 +18,7 @@
 /// @brief The deployment of this host, and the default owner.
 struct OwnershipSettings {
   std::string deployment;     ///< the name of this deployment
-  std::string default_owner;  ///< owns anything without an object
+  std::string default_owner;  ///< owner without an ownership object
   std::string default_address;
   /// Whether another deployment shares the object store. If not, a host may
   /// start work without having registered or read the ownership objects.
@@ -30,9 +30,9 @@
   kOurs,          ///< yes: this deployment owns it
   kDraining,      ///< no: it is being moved to another deployment
   kElsewhere,     ///< no: another deployment owns it
-  kUnreadable,    ///< no: its object is invalid, so no deployment may
+  kUnreadable,    ///< no: its ownership object is invalid
   kUnregistered,  ///< not yet: this host's status object is not written
-  kUnread,        ///< not yet: the objects were not read since registration
+  kUnread,        ///< not yet: objects not read since registration
 };
 
 /// @brief The name of a verdict in log lines.
@@ -65,10 +65,11 @@
   /// versions are ignored.
   void Apply(const StoredObject& object);
 
-  /// @brief States that everything has been applied that the object store held
-  /// at some time not before `since_ms`.
+  /// @brief States that Apply has been called for all objects that the object
+  /// store held at some time at or after `since_ms`.
   /// @param[in] since_ms monotonic time at which the read was *sent*; if a peer
-  /// did the read: when the peer was asked, minus the age that it answered
+  /// did the read: when the peer was asked, minus the age of its read according
+  /// to its answer
   void ConfirmReadSince(std::int64_t since_ms);
 
   /// @brief Called when the write of this host's status object has succeeded:
@@ -102,7 +103,7 @@
   };
 
   /// @brief Whether the objects were read after this host registered, so that
-  /// any earlier draining mark is known.
+  /// an object that was set to draining before the registration is known.
   bool HasReadSinceRegistered() const;
   OwnershipVerdict VerdictFor(const OwnershipDocument& document) const;
 
--- a/src/placement/placement_source.h
+++ b/src/placement/placement_source.h
@@ -17,7 +17,7 @@
   std::string base_url;
   std::string zone;
   bool leaving = false;
-  int capacity = 1;  ///< models it can have loaded at once
+  int capacity = 1;  ///< models that it can have loaded at once
   std::optional<LoadReport> report;
 };
 
--- a/src/placement/placement_state.h
+++ b/src/placement/placement_state.h
@@ -30,11 +30,11 @@
 
 /// @brief The numbers of copies of a needed model.
 struct ModelCopyCounts {
-  double quota = 0;          ///< copies that its share of the demand calls for
-  int min_copies = 0;        ///< copies that it must have
+  double quota = 0;          ///< copies by its share of the demand
+  int min_copies = 0;        ///< required number of copies
   int copies = 0;            ///< loaded or ordered, on live and silent engines
   int confirmed_copies = 0;  ///< loaded on live engines, with no unload ordered
-  std::vector<int> by_zone;  ///< as `copies`, for each zone index
+  std::vector<int> by_zone;  ///< `copies` for each zone index
 
   /// @brief Copies above the quota; negative if below.
   double Excess() const { return this->copies - this->quota; }
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -42,7 +42,7 @@
   EnginePlacement* engine = nullptr;
   SlotCost cost = SlotCost::kNone;
   int victim = kNoModel;
-  bool zone_held = false;  ///< its zone already has a copy
+  bool zone_held = false;  ///< a copy is already in its zone
   double zone_share = 0;
   double victim_excess = 0;
 
@@ -219,9 +219,10 @@
            (victim.Excess() > 0 && this->ExceedsHysteresis(need));
   }
 
-  // For demand, another model's copy is evicted only if the shortfall is at
-  // least one copy and reaches the hysteresis. Each such change lowers the sum
-  // of the squared excesses, so that planning converges.
+  // For kDemand, another model's copy is evicted only if the shortfall is at
+  // least one copy and reaches the hysteresis. Each such eviction lowers the
+  // sum of the squared excesses over all models, so repeated planning
+  // converges.
   bool ExceedsHysteresis(const Need& need) const {
     if (need.reason == ChangeReason::kOneZone) {
       return true;
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -23,7 +23,8 @@
   kLive,
   kSilent,   ///< no recent report: gets no orders, is not replaced yet
   kLeaving,  ///< to be removed: gets no orders, is replaced
-  kGone,     ///< no report for long, as after being reclaimed: is replaced
+  kGone,  ///< no report for long, such as after the machine was reclaimed: is
+          ///< replaced
 };
 
 /// @brief The complete state that an engine shall have, so that sending it
@@ -42,10 +43,10 @@
   EngineLiveness state = EngineLiveness::kLive;
   /// Known for certain to be owned by this deployment, and not refusing orders.
   bool owned = true;
-  bool cooled_down = true;              ///< its last change is long enough ago
-  int capacity = 1;                     ///< models it can have loaded at once
-  double utilization = 0;               ///< of its KV cache; 0: empty, 1: full
-  DesiredState reported;                ///< in its last load report
+  bool cooled_down = true;  ///< its last change is at least the cooldown ago
+  int capacity = 1;         ///< models it can have loaded at once
+  double utilization = 0;   ///< of its KV cache; 0: empty, 1: full
+  DesiredState reported;    ///< in its last load report
   std::optional<DesiredState> ordered;  ///< pending order
 };
 
@@ -57,12 +58,16 @@
 
 /// @brief Rules for the planner.
 struct PlannerSettings {
-  int min_copies = 2;  ///< of each needed model, on different engines
+  /// Least number of copies of each needed model, on different engines.
+  int min_copies = 2;
   /// A copy of another model is evicted for demand only if the shortfall is at
   /// least this share of the model's quota, and at least one copy.
   double hysteresis = 0.1;
-  double max_changing_share = 0.25;  ///< engines with pending orders, of all
-  std::vector<RoleShare> roles;      ///< empty: the planner changes no roles
+  /// Upper limit for the share of the owned engines, live or silent, that have
+  /// a pending order or a planned change. One engine may always change, and a
+  /// load of a model without any copy ignores the limit.
+  double max_changing_share = 0.25;
+  std::vector<RoleShare> roles;  ///< empty: the planner changes no roles
 };
 
 /// @brief Everything that a plan depends on besides the settings.
@@ -106,7 +111,8 @@
   friend bool operator==(const Shortage&, const Shortage&) = default;
 };
 
-/// @brief The next changes, the most important first, and what stays short.
+/// @brief The next changes, the most important first, and the shortages that
+/// remain.
 struct Plan {
   std::vector<EngineChange> changes;
   std::vector<Shortage> shortages;
--- a/src/placement/role_plan.h
+++ b/src/placement/role_plan.h
@@ -8,7 +8,8 @@
 
 /// @brief Adds at most one change of an engine's role to the plan: to the role
 /// that is furthest below its share, by at least one engine, from a role that
-/// is above its share by at least half an engine.
+/// has no configured share, or has more than one engine and is above its share
+/// by at least half an engine.
 void PlanRoles(const PlannerSettings& settings, PlacementState& placement,
                Plan& plan);
 
--- a/src/placement/tests/controller_fixture.h
+++ b/src/placement/tests/controller_fixture.h
@@ -98,8 +98,9 @@
     this->source.needed = {{{"a", "", "1"}}, {{"b", "", "1"}}};
   }
 
-  /// @brief Completes the loads that are due, and updates the load reports of
-  /// the engines that are not dead. The reports thus lag by up to one tick.
+  /// @brief Completes the engines' loads that are due, and updates the load
+  /// reports of the engines that are not dead. The reports lag behind the
+  /// engines by up to one tick.
   void Report() {
     for (ListedEngine& listed : this->source.listed) {
       FakePlacementEngine& engine = this->fleet.engines[listed.name];
--- a/src/placement/tests/controller_test.cc
+++ b/src/placement/tests/controller_test.cc
@@ -85,7 +85,7 @@
   const int early = testbed.one.client.orders_sent;
   testbed.Run(300'000, {&testbed.one});
   // Each order is resent every 5 s until it times out. New orders are limited
-  // by the budget, which stays near its minimum rate.
+  // by the load budget, whose rate stays near its minimum.
   cr_assert(early <= 6 * 60);
   cr_assert(testbed.EnginesWith("a") == 0);
   for (auto& [name, engine] : testbed.fleet.engines) {
@@ -99,7 +99,7 @@
 
 // Host "one" sends orders and is paused before they arrive. Host "two" takes
 // over and has the engines load another model. Then the old orders arrive.
-// Returns whether "two" had taken over by then.
+// Returns whether "two" had taken over before they arrived.
 bool PauseAndTakeOver(PlacementTestbed& testbed) {
   while (testbed.one.client.PendingOrders() == 0) {
     testbed.clock.Advance(kTickMs);
--- a/src/placement/tests/lease_test.cc
+++ b/src/placement/tests/lease_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::int64_t kTtlMs = 15'000;
-// Lifetime, order window and drift margin.
+// Lifetime, order window and drift margin of the default settings.
 constexpr std::int64_t kTakeoverWaitMs = 15'000 + 3'000 + 500;
 
 Test(a_lease, is_acquired_by_the_first_host_that_asks) {
@@ -89,7 +89,7 @@
   first.lease.Tick();
   store.Settle();
   second.clock.Advance(kTakeoverWaitMs);
-  second.lease.Tick();  // without the renewal seen, its write conflicts
+  second.lease.Tick();  // has not seen the renewal, so its write conflicts
   store.Settle();
   cr_assert(!second.lease.Held() && first.lease.Held());
 }
