--- a/src/placement/ownership_view.h
+++ b/src/placement/ownership_view.h
@@ -27,10 +27,10 @@
 
 /// @brief Whether this host may start work of a workspace, or on an engine.
 enum class OwnershipVerdict {
-  kOurs,          ///< yes: this deployment owns it
-  kDraining,      ///< no: it is being moved to another deployment
-  kElsewhere,     ///< no: another deployment owns it
-  kUnreadable,    ///< no: its ownership object is invalid
+  kOurs,        ///< yes: this deployment owns it
+  kDraining,    ///< no: it is being moved to another deployment
+  kElsewhere,   ///< no: another deployment owns it
+  kUnreadable,  ///< no: its object is invalid, so no deployment may start work
   kUnregistered,  ///< not yet: this host's status object is not written
   kUnread,        ///< not yet: objects not read since registration
 };
--- a/src/placement/tests/planner_property_test.cc
+++ b/src/placement/tests/planner_property_test.cc
@@ -191,8 +191,8 @@
       fleet.Order(plan);
       fleet.AdvanceRound();
     }
-    // Each lost copy causes one load, and a second one if the model evicted for
-    // it then lacks a copy in a second zone.
+    // Each lost copy causes at most one load, and a second one if the model
+    // evicted for it then lacks a copy in a second zone.
     cr_assert(loads <= 2 * copies, "seed %u: %zu loads", seed, loads);
   }
 }
