--- a/src/gateway/caller_stream.cc
+++ b/src/gateway/caller_stream.cc
@@ -22,8 +22,9 @@
       mode(mode),
       limits(limits) {}
 
-// Buffered answers get no resume token: nothing is delivered before the answer
-// is complete, and until then a new generation may replace the current one.
+// Buffered answers get no resume token: until such an answer is complete,
+// nothing of it is delivered, and a new generation may replace the current one.
+// A resume token would rule that out, as it belongs to one generation.
 void CallerStream::SetResumeToken(std::string token) {
   if (this->mode != DeliveryMode::kStreamed) {
     return;
--- a/src/gateway/generation_session.cc
+++ b/src/gateway/generation_session.cc
@@ -11,7 +11,8 @@
 #include "gateway/recorded_answer.h"
 #include "quarantine/content_key.h"
 
-// Starting, claiming, placing and sending. The code for everything after an
+// The part of GenerationSession that starts a request, claims its idempotency
+// key, places it on an engine and sends it. The code for everything after an
 // engine's response is in generation_session_stream.cc.
 
 namespace meadowthread {
@@ -355,7 +356,8 @@
   }
   this->engine = *address;
   // Checked again in case this process was suspended after it got the claim:
-  // once the deadline has passed, the caller may have got another outcome.
+  // once the claim's deadline has passed, a retry by the caller may have got
+  // another outcome.
   if (this->grant.has_value() &&
       !this->grant->MaySend(this->deps.clock.WallMs())) {
     this->GiveUp(RefusalReason::kDeadlinePassed, 0);
--- a/src/gateway/generation_session.h
+++ b/src/gateway/generation_session.h
@@ -35,7 +35,7 @@
 
 /// @brief Inputs of a new session.
 struct SessionStart {
-  std::string request;  ///< its id
+  std::string request;  ///< id of the request
   std::string caller;   ///< CallerIdentity::caller
   std::string idempotency_key;
   Hash256 body_digest{};
@@ -175,7 +175,7 @@
   std::int64_t last_sent_ms = 0;     ///< time of the last output
   std::int64_t paused_since_ms = 0;  ///< 0: not paused
   bool tracked_in_fleet = false;
-  bool resumed = false;  ///< started by another session, which placed it
+  bool resumed = false;  ///< another session started and placed it
   bool caller_gone = false;
 };
 
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -6,8 +6,8 @@
 #include "gateway/generation_session.h"
 #include "gateway/prompt_estimate.h"
 
-// The part of GenerationSession that handles an engine's response: delivery,
-// failures and retries, ending.
+// The part of GenerationSession that handles an engine's response: it delivers
+// tokens, handles failures and retries, and ends the session.
 
 namespace meadowthread {
 namespace {
@@ -197,7 +197,7 @@
 // Failures and retries
 /////////////////////////////
 
-// For an attempt that failed before the engine named a generation.
+// Handles an attempt that failed before the engine named a generation.
 void GenerationSession::OnAttemptFailed(AttemptFailure failure,
                                         const absl::Status& cause,
                                         Outcome outcome) {
@@ -241,8 +241,8 @@
   }
   this->phase = SessionPhase::kQueued;
   this->deps.scheduler.After(answer.backoff_ms, this->life.Guarded([this] {
-    // Goes through the queue again: if no engine is available now, the request
-    // waits there until its deadline.
+    // The request goes through the queue again: if no engine is available now,
+    // it waits there until its deadline.
     if (this->phase == SessionPhase::kQueued) {
       this->SubmitToDispatcher();
     }
@@ -307,8 +307,8 @@
 
 // A streamed answer can be resumed at another host, so its generation keeps
 // running until the engine's orphan timeout. A generation that can't be resumed
-// is cancelled. One that must run at most once keeps running, so that a retry
-// gets its recorded answer.
+// is cancelled. A generation that must run at most once keeps running, so that
+// a retry gets its recorded answer.
 void GenerationSession::OnCallerGone() {
   if (this->phase == SessionPhase::kEnded) {
     return;
@@ -375,8 +375,8 @@
   this->Finish(detail.outcome, detail.id);
 }
 
-// "Not run" must hold for the whole request: an earlier attempt may have run
-// even if the last one did not.
+// The outcome "not run" must hold for the whole request: an earlier attempt may
+// have run even if the last one did not.
 absl::Status GenerationSession::WithEarlierOutcome(
     const absl::Status& status) const {
   const bool hides = DetailOf(status).outcome == Outcome::kNotRun &&
--- a/src/gateway/service_forwarder.cc
+++ b/src/gateway/service_forwarder.cc
@@ -15,11 +15,11 @@
 namespace meadowthread {
 namespace {
 
-// Longer answers are not recorded for retries, to keep the log of claims small:
-// it holds many answers.
+// Longer answers are not recorded for retries. The claim log holds many answers
+// and has to stay small.
 constexpr std::size_t kMaxRecordedBytes = std::size_t{512} * 1024;
-// Backend servers that one call may be sent to. Services currently have three
-// servers each.
+// Maximum number of backend servers that one call is sent to. Services
+// currently have three servers each.
 constexpr int kMaxAttempts = 3;
 
 // Methods that are idempotent by the HTTP specification.
@@ -234,7 +234,7 @@
   problem.request = call.id;
   call.writer->SendWhole(ProblemResponse(problem));
   if (call.session == nullptr) {
-    // Never sent, so no session has logged it.
+    // The call was never sent, so no session has logged its failure.
     const ErrorDetail detail = DetailOf(status);
     LogLine("refused")
         .Add("request", call.id)
--- a/src/gateway/session_dependencies.h
+++ b/src/gateway/session_dependencies.h
@@ -37,7 +37,7 @@
   Outcome outcome = Outcome::kNone;  ///< kNone: completed
   ErrorId error = ErrorId::kInternal;
   std::int64_t tokens = 0;
-  std::int64_t first_token_ms = -1;  ///< since arrival; -1: none came
+  std::int64_t first_token_ms = -1;  ///< since arrival; -1: no token came
   std::int64_t total_ms = 0;
   std::int64_t longest_gap_ms = 0;  ///< between tokens
   bool resumed = false;             ///< started by another session
@@ -92,7 +92,7 @@
   ServedModel model;
   Urgency urgency = Urgency::kNormal;
   std::int64_t max_output_tokens = 0;
-  std::int64_t deadline_ms = 0;  ///< from arrival to sending to an engine
+  std::int64_t deadline_ms = 0;  ///< maximum from arrival to sending
   bool whole_delivery = false;
   bool at_most_once = false;
   KeyForm key_form = KeyForm::kTimed;
--- a/src/serve/claim_forwarding.cc
+++ b/src/serve/claim_forwarding.cc
@@ -26,9 +26,10 @@
   return host == this->self ? "" : std::string(host);
 }
 
-// A call longer than the limit would only occupy a worker thread, as the claim
-// service writes the claim log itself after the limit. It does so as well if
-// the host is no longer in the host list.
+// A call that lasts longer than the limit would only occupy a worker thread:
+// after the limit, this host's claim service writes the operation to the claim
+// log itself. It also does so if the host is no longer in the host list; `done`
+// is not called then.
 void RpcClaimForwarder::Forward(std::string_view host, const ForwardedOp& op,
                                 const ForwardDone& done) {
   const HostEntry* entry = this->dependencies.hosts.Find(host);
--- a/src/serve/claim_forwarding.h
+++ b/src/serve/claim_forwarding.h
@@ -35,8 +35,9 @@
   RpcClaimForwarder(std::string_view self, std::int64_t limit_ms,
                     const ClaimForwardingDependencies& dependencies);
 
-  /// @brief Sets the hosts among which shards are distributed. Called at each
-  /// change, so that forwarding a claim need not check every host's mark.
+  /// @brief Sets the live hosts among which the shards of the claims are
+  /// distributed. Called at each change of these hosts, so that forwarding a
+  /// claim need not check every host's mark.
   void SetHosts(std::span<const std::string> names);
 
   std::string PreferredHost(std::uint32_t shard) const override;
--- a/src/serve/crash_record_store.cc
+++ b/src/serve/crash_record_store.cc
@@ -10,8 +10,8 @@
 namespace meadowthread {
 namespace {
 
-// Limits a host to ten writes per second, of the hundreds that all hosts
-// together may make, even if many different requests crash servers at once.
+// A host makes at most ten writes per second, even if many different requests
+// crash servers at once. All hosts together may make hundreds.
 constexpr std::int64_t kWritePeriodMs = 100;
 constexpr std::int64_t kRetryMs = 1'000;
 // The host that saw a crash writes its record. The other hosts write it only
@@ -158,8 +158,8 @@
   this->ReadBack(id);
 }
 
-// Called after a failed write: another host's object may be stored, or the
-// result of the write is unknown.
+// Called after a failed write: another host may have written the object first,
+// or it is unknown whether this host's write took effect.
 void CrashRecordStore::ReadBack(const CrashRecordId& id) {
   this->store.Get(
       this->kind, id.content,
@@ -184,8 +184,8 @@
   if (expired.empty()) {
     return;
   }
-  // One object at random each time: hosts that choose the same one only get a
-  // version conflict.
+  // Removes one expired object per period, chosen at random. If several hosts
+  // choose the same one, all but the first only get a version conflict.
   const StoredObject& chosen = expired[this->random() % expired.size()];
   this->store.Delete(
       this->kind, chosen.name, chosen.version,
--- a/src/serve/crash_record_store.h
+++ b/src/serve/crash_record_store.h
@@ -18,8 +18,10 @@
 
 /// @brief Which crash records a host writes to the store.
 enum class StoredRecords {
-  kSuspects,    ///< all with crashes: other hosts get them only from the store
-  kQuarantined  ///< only those once quarantined: gossip carries the others
+  /// All records with crashes, as other hosts get them only from the store.
+  kSuspects,
+  /// Only records that were quarantined at least once; gossip sends the others.
+  kQuarantined
 };
 
 /// @brief Writes the quarantine's crash records to the store, so that they
--- a/src/serve/dead_host_detector.cc
+++ b/src/serve/dead_host_detector.cc
@@ -45,8 +45,9 @@
     }
     zones_heard.insert(host.zone);
   }
-  // This host's own zone counts as heard only if it hears any host: otherwise
-  // it cannot tell which hosts are dead.
+  // This host's own zone counts as heard only if this host hears at least one
+  // other host. If it hears none, it may itself be disconnected and cannot tell
+  // which hosts are dead.
   const auto own = this->known.find(this->self);
   if (!zones_heard.empty() && own != this->known.end()) {
     zones_heard.insert(own->second.zone);
--- a/src/serve/dead_host_detector.h
+++ b/src/serve/dead_host_detector.h
@@ -15,11 +15,11 @@
 /// @brief Detects entry hosts that are permanently gone, so that their entries
 /// can be removed from the store.
 ///
-/// Every host reports its load to all others every three seconds. A host that
-/// was not heard for `kDeadAfterMs` counts as dead if others of its
-/// availability zone were heard recently. If a whole zone is silent, it may be
-/// partitioned off, and its entries stay. A host that was wrongly declared dead
-/// writes its entry again.
+/// Every host reports its load to all others every three seconds. A host from
+/// which nothing was heard for `kDeadAfterMs` counts as dead if other hosts of
+/// its availability zone were heard recently. If nothing is heard from a whole
+/// zone, a network partition may be the cause, so the entries of its hosts
+/// stay. A host that was wrongly declared dead writes its entry again.
 class DeadHostDetector {
  public:
   /// Twenty load report intervals: longer than restarts, freezes and link
@@ -46,8 +46,10 @@
  private:
   struct KnownHost {
     std::string zone;
-    std::int64_t heard_ms = 0;  ///< monotonic; at first when its entry was seen
-    bool heard = false;         ///< ever, since this host started
+    /// Monotonic time of its latest message; before the first one, the time
+    /// when its entry was first seen.
+    std::int64_t heard_ms = 0;
+    bool heard = false;  ///< at least once since this host started
   };
 
   bool WasHeardRecently(const KnownHost& host) const;
--- a/src/serve/detail/relay_host_impl.h
+++ b/src/serve/detail/relay_host_impl.h
@@ -141,8 +141,8 @@
   HttpServer metrics_server;
   std::optional<StopPlan> stop_plan;  ///< nullopt: not stopping
   bool exiting = false;
-  bool emptied_zones_known = false;  ///< the set was read since the start
-  bool rate_limits_divided = false;  ///< among the known hosts
+  bool emptied_zones_known = false;  ///< read since the start
+  bool rate_limits_divided = false;  ///< done among known hosts
 };
 
 }  // namespace meadowthread
--- a/src/serve/engine_monitor.cc
+++ b/src/serve/engine_monitor.cc
@@ -6,7 +6,8 @@
 namespace meadowthread {
 namespace {
 
-// A single lost report does not mean that the engine is dead.
+// Consecutive failed polls after which an engine counts as stalled. A single
+// lost report does not mean that the engine is dead.
 constexpr int kFailuresToStall = 2;
 constexpr std::int64_t kMaxPeriodFactor = 8;
 
--- a/src/serve/engine_monitor.h
+++ b/src/serve/engine_monitor.h
@@ -27,15 +27,15 @@
   EngineClient& client;
   FleetState& fleet;
   std::mt19937_64& random;
-  /// Whether new work may be sent to an engine, by the deployment that owns it
-  /// and by its mark.
+  /// Whether new work may be sent to an engine, according to its mark and to
+  /// which deployment owns it.
   std::function<bool(std::string_view engine)> may_use;
   std::int64_t period_ms = 500;
 };
 
-/// @brief Keeps the policy's view of the engines current: which exist and may
-/// be used, from the host list, marks and ownership, and their load, by polling
-/// their load reports.
+/// @brief Keeps the policy's view of the engines current. The host list, marks
+/// and ownership determine which engines exist and may be used; their load is
+/// read by polling their load reports.
 class EngineMonitor final : public EngineDirectory {
  public:
   explicit EngineMonitor(const EngineMonitorDependencies& dependencies);
--- a/src/serve/exchange_participant.cc
+++ b/src/serve/exchange_participant.cc
@@ -9,8 +9,8 @@
 namespace meadowthread {
 namespace {
 
-// Share of the bandwidth for pushing changes to every host at once; the rest is
-// for the full state that restarted hosts fetch.
+// Share of the exchange's bandwidth for pushing changes to all hosts
+// immediately. The rest is for the full state that restarted hosts fetch.
 constexpr double kNewsShare = 0.85;
 
 ExchangeSettings MakeExchangeSettings(const HostExchangeSettings& with) {
--- a/src/serve/exchange_participant.h
+++ b/src/serve/exchange_participant.h
@@ -45,7 +45,7 @@
     this->excluded_from_news.emplace_back(kind);
   }
 
-  /// @brief Whether a peer is not suspected to be unreachable.
+  /// @brief Whether a peer is considered reachable.
   bool IsReachable(std::string_view name) const {
     return !this->directory.IsSuspected(name);
   }
--- a/src/serve/feeder_options.cc
+++ b/src/serve/feeder_options.cc
@@ -22,22 +22,25 @@
   WatcherOptions options;
   options.host = std::string(host);
   options.seed = seed;
-  // A connection that hangs since a network failure is detected only after a
-  // watch's wait. The wait is short, as the configuration has to be in force
-  // soon after the network has recovered.
+  // A connection that hangs since a network failure is detected only when a
+  // watch on it gets no response within its wait time. The wait time is short,
+  // as the configuration has to be in force soon after the network has
+  // recovered.
   options.wait_ms = 1'500;
   options.answer_margin_ms = 1'000;
   options.overdue_ms = 200;
   options.pace_ms = 20;
   options.most_backoff_ms = 800;
   options.idle_ms = 300;
-  // A watch confirms the view at the latest when its wait is over.
+  // If no host has confirmed the view for this long, every host reads the store
+  // itself. A watch confirms the view when its wait time is over at the latest.
   options.self_watch_ms = 3'500;
   return options;
 }
 
-// Zones are emptied rarely, and a watch that times out costs as much as one
-// that returns a change, so these watches wait longer.
+// Zones are emptied rarely, so nearly all of these watches end without a
+// change. Such a watch costs as much as one that returns a change, so they have
+// a longer wait time.
 WatcherOptions EmptiedZonesFeederOptions(std::string_view host,
                                          std::uint64_t seed) {
   WatcherOptions options = RelayFeederOptions(host, seed);
--- a/src/serve/fleet_load_adapter.cc
+++ b/src/serve/fleet_load_adapter.cc
@@ -6,8 +6,10 @@
 namespace meadowthread {
 namespace {
 
-// Notes are cached and sent to all peers alike, as FleetState::OwnLoad reports
-// only once that the last stream at an engine has ended.
+// Load notes are cached for this long, and all peers are sent the same notes:
+// FleetState::OwnLoad reports only in one call that the last stream at an
+// engine has ended, so calling it for each peer would hide this from the
+// others.
 constexpr std::int64_t kRefreshMs = 20;
 // For this long, notes still include an engine that has no more streams of this
 // host, in case a message with that change was lost.
@@ -100,8 +102,8 @@
     load.kv_held = note.held_tokens;
     load.reading = note.prefill_backlog;
     load.copies = note.copies;
-    // For notes without an outlook, the reserved tokens serve as a flat
-    // forecast.
+    // A note without an encoded forecast (`outlook`) counts as a flat forecast
+    // of its reserved tokens.
     if (note.outlook.empty()) {
       load.forecast.AddFlat(static_cast<double>(note.reserved_tokens));
     } else if (!detail::DecodeForecast(note.outlook, &load.forecast)) {
--- a/src/serve/host_gate.cc
+++ b/src/serve/host_gate.cc
@@ -7,7 +7,8 @@
 namespace meadowthread {
 namespace {
 
-// The load balancer has removed this host from its rotation by then.
+// Callers are told to retry after this time, by which the load balancer has
+// removed this host from its rotation.
 constexpr std::int64_t kRetryAfterMs = 1000;
 // The exchange rounds reach every reachable peer within this time.
 constexpr std::int64_t kPeerCatchUpMs = 3000;
@@ -63,8 +64,8 @@
           (entry->leaving || this->IsInEmptiedZone(*entry)));
 }
 
-// Entry hosts of an emptied zone continue to serve, as engines in other zones
-// run the requests that they accept.
+// Entry hosts of an emptied zone continue to serve: the requests that they
+// accept run on engines in other zones.
 bool HostGate::IsInEmptiedZone(const HostEntry& entry) const {
   return entry.role != HostRole::kEntry &&
          this->zones.MarkOf(entry.zone).mark != HostMark::kLive;
@@ -104,11 +105,11 @@
   return oldest;
 }
 
-// A read of the platform made after this process started shows every change
-// accepted before. While the platform is down, the copies of peers may differ:
-// the first peer to answer may have an older configuration than the previous
-// process of this host had in force. So this host waits for further peers
-// before it serves.
+// A read of the platform made after this process started includes every change
+// accepted before the start. While the platform is down, this host has only the
+// copies of its peers, which may differ: the first peer to answer may have an
+// older configuration than the previous process of this host had in force. So
+// this host first waits for `kPeerCatchUpMs`, to hear from all reachable peers.
 bool HostGate::HasCurrentConfiguration() const {
   const std::int64_t age = this->ViewAgeMs();
   if (age < 0) {
@@ -120,10 +121,10 @@
 }
 
 // While peers answer, every accepted change reaches this host: no change is
-// accepted while the platform is down, and a change accepted just before is
-// passed on by the host or command line that saw it. A host that reaches
-// neither the platform nor a peer cannot know which changes it missed, and
-// other hosts can serve in its place.
+// accepted while the platform is down, and a change accepted just before the
+// outage is passed on by the host or command-line tool that saw it. A host that
+// reaches neither the platform nor a peer cannot know which changes it missed.
+// Other hosts can serve in its place.
 bool HostGate::IsIsolated() const {
   if (this->ViewAgeMs() <= this->dependencies.stale_limit_ms) {
     return false;
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -92,9 +92,9 @@
   return claims;
 }
 
-// Claims have an RPC client of their own: calls to a preferred host that is
-// frozen occupy their threads until they time out, and must not delay the
-// exchange.
+// Forwarded claim operations use a separate RPC client. If the host that they
+// are forwarded to is frozen, the calls occupy the client's threads until they
+// time out, which must not delay the exchange.
 RpcClientSettings MakeClaimChannelSettings() {
   RpcClientSettings settings;
   settings.threads = kClaimThreads;
@@ -380,8 +380,9 @@
   return lower_ranked < this->settings.platform.watchers;
 }
 
-// The entry hosts divide the workspace limits among themselves, and each engine
-// and each shard of the claims has a preferred entry host.
+// Applies a change of the live entry hosts. These divide the workspace limits
+// among themselves, and each engine and each shard of the claims is assigned to
+// a preferred one of them.
 void HostProcess::Impl::ApplyHosts() {
   const std::vector<std::string> names = this->gate.LiveEntryHosts();
   this->limits.SetHosts(
@@ -410,7 +411,8 @@
   this->LogStopWaits();
 }
 
-// A mark "stopping" stops the process in the same way as SIGTERM.
+// A mark "stopping" has the same effect as SIGTERM, or as a second SIGTERM if
+// it asks for a handover.
 void HostProcess::Impl::FollowMark() {
   const MarkDocument mark = this->gate.Mark();
   if (mark.mark != HostMark::kStopping || this->stopping) {
--- a/src/serve/host_process.h
+++ b/src/serve/host_process.h
@@ -18,7 +18,7 @@
 };
 
 /// @brief Reads the secrets. Without a key file, the host generates a random
-/// key, so that no other host can verify its resume tokens.
+/// key; other hosts then cannot verify its resume tokens.
 absl::StatusOr<SecretKeys> ReadSecretKeys(const Settings& settings);
 
 /// @brief The process of an entry host: creates and connects all its
--- a/src/serve/invalid_entry_reporter.h
+++ b/src/serve/invalid_entry_reporter.h
@@ -18,14 +18,15 @@
 /// the reason changes, and counts every read.
 ///
 /// Handles the load pattern "another writer rewrites its invalid entries at
-/// each heartbeat": the log lines per minute and the documents remembered are
-/// limited.
+/// each heartbeat" by limiting the log lines per minute and the number of
+/// remembered documents.
 class InvalidEntryReporter {
  public:
   /// Maximum log lines per minute; further reads are only counted.
   static constexpr int kLinesPerMinute = 30;
-  /// Maximum documents remembered; each read of a further invalid one is logged
-  /// again, within the limit of lines.
+  /// Maximum number of invalid documents remembered. Each read of an invalid
+  /// document beyond these is logged again, within the limit of lines per
+  /// minute.
   static constexpr std::size_t kMaxRemembered = 512;
 
   /// @brief Called for each read of an invalid document with its kind and the
--- a/src/serve/ownership_participant.cc
+++ b/src/serve/ownership_participant.cc
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::int64_t kTickMs = 500;
-// The status object is rewritten to detect that it was removed, as movers do
-// not wait for hosts without one. With 350 hosts, this makes 12 writes per
-// second.
+// The status object is rewritten at this interval to detect that it was
+// removed, as movers do not wait for hosts without a status object. With 350
+// hosts, this makes 12 writes per second.
 constexpr std::int64_t kRewriteMs = 30'000;
 
 OwnershipSettings MakeOwnershipSettings(const DeploymentSettings& half) {
@@ -72,17 +72,17 @@
   this->scheduler.After(kTickMs, this->life.Guarded([this] { this->Tick(); }));
 }
 
-// A read of the ownership objects counts only if it was made after the status
-// object was written: the read sees every mark that a mover made before it, and
-// a mover that makes a mark later finds the status object in its list and waits
-// for this host.
+// A read of the ownership objects counts only if it was made after this host's
+// status object was written. Such a read includes every mark that a mover made
+// before the write. A mover that makes a mark later finds the status object
+// when it lists them, and waits for this host.
 void OwnershipParticipant::ApplyConfirmation() {
   const Confirmation confirmed = this->view.Digest(kOwnershipKind).confirmed;
   if (confirmed.by.empty() || this->registered_wall_ms == 0) {
     return;
   }
-  // Another host's wall clock may be ahead by up to the skew that the view
-  // tolerates.
+  // If another host made the read, its wall clock may be ahead by up to the
+  // skew that the view tolerates.
   const std::int64_t skew = confirmed.by == this->host ? 0 : kMaxClockSkewMs;
   const std::int64_t read_wall_ms = confirmed.unix_ms - skew;
   if (read_wall_ms < this->registered_wall_ms) {
@@ -112,8 +112,8 @@
     const absl::StatusOr<std::int64_t>& version, const std::string& report) {
   this->writing = false;
   if (!version.ok()) {
-    // There is an object of an earlier process of this host, or of this one if
-    // the answer to its write was lost.
+    // The stored object was written by an earlier process of this host, or by
+    // this process if the answer to that write was lost.
     this->ReadOwnStatus();
     return;
   }
@@ -137,8 +137,8 @@
 }
 
 // If the status object was removed, or written by another process of this host,
-// movers may not wait for this one. So it starts no new work until its own
-// object is written again.
+// movers may not wait for this process. So it starts no new work until it has
+// written its status object again.
 void OwnershipParticipant::OnOwnStatusRead(
     const absl::StatusOr<StoredObject>& object) {
   if (!object.ok()) {
--- a/src/serve/ownership_participant.h
+++ b/src/serve/ownership_participant.h
@@ -18,8 +18,8 @@
 namespace meadowthread {
 
 /// @brief Restricts this host to the workspaces and engines that its deployment
-/// owns while ownership moves between two deployments, and reports to the
-/// movers through its status object what it has drained.
+/// owns while ownership moves between two deployments. Reports what this host
+/// has drained in a status object, which the movers (OwnershipMover) read.
 ///
 /// If the settings name no other deployment, this one owns everything.
 class OwnershipParticipant {
--- a/src/serve/propagation_delays.cc
+++ b/src/serve/propagation_delays.cc
@@ -14,8 +14,8 @@
   return feeder.most_backoff_ms + feeder.most_backoff_ms / 2;
 }
 
-// Time until a hanging connection is detected: the wait of the unanswered
-// watch, and the delay until the read over another connection.
+// Time until a host stops relying on a hanging connection: the wait time of the
+// unanswered watch, plus the delay until it reads over another connection.
 std::int64_t SilentConnectionMs(const WatcherOptions& feeder) {
   return feeder.wait_ms + feeder.overdue_ms;
 }
--- a/src/serve/propagation_delays.h
+++ b/src/serve/propagation_delays.h
@@ -14,8 +14,8 @@
 struct PropagationPath {
   WatcherOptions feeder;        ///< of the hosts that read the store
   std::int64_t stagger_ms = 0;  ///< maximum additional pause between watches
-  std::int64_t round_ms = 0;    ///< maximum interval between a host's exchanges
-  std::int64_t connect_ms = 0;  ///< maximum from the choice of a server to the
+  std::int64_t round_ms = 0;  ///< maximum interval of a host's exchange rounds
+  std::int64_t connect_ms = 0;  ///< maximum time from choosing a server to the
                                 ///< request's arrival there
 };
 
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -22,29 +22,30 @@
 
 constexpr std::string_view kMetricsPath = "/metrics";
 constexpr std::int64_t kRotatePeriodMs = 60'000;
-// What the exchange's calls leave of a node's 29 KB per second for control
-// traffic.
+// The part of a host's 29 KB per second for control traffic that the calls of
+// the exchange leave for datagrams.
 constexpr std::int64_t kDatagramBytesPerSecond = 18'000;
 // Peers report all of their load every three seconds; two reports may be lost.
 constexpr std::int64_t kPeerLoadExpiryMs = 7'000;
-// While the store cannot report changes, the engines themselves are polled. An
-// engine that leaves stays for about two seconds, and the state that it reports
-// is up to half a second old.
+// Interval at which the engines themselves are polled while the store cannot
+// report changes. It is short, as a leaving engine stays for only about two
+// seconds, and the state that it reports is up to half a second old.
 constexpr std::int64_t kStallPollPeriodMs = 150;
 constexpr std::int64_t kDrainPeriodMs = 20;
 // The load balancer checks readiness every second and removes a host after two
 // failed checks. Until then, a stopping host still gets new connections.
 constexpr std::int64_t kBalancerNoticeMs = 2'400;
-// From the exit of a process to the first request of the next one, which reads
-// the store and serves 0.2 to 0.3 s after its start.
+// Time from the exit of a process until its successor gets its first request.
+// The successor reads the store and serves 0.2 to 0.3 s after its start.
 constexpr std::int64_t kRestartMs = 400;
 constexpr std::int64_t kMsPerSecond = 1'000;
 // Other hosts' entries only improve performance, so their changes may be
-// delayed, and the entries of a whole fleet that starts come in a single read.
+// delayed. With the delay, the entries of a whole fleet that starts arrive in a
+// single read.
 WatcherOptions HostEntriesFeederOptions(WatcherOptions options) {
   options.wait_ms = 10'000;
   options.pace_ms = 500;
-  // Two watches, each with its wait and answer margin.
+  // The duration of two watches, each with its wait time and answer margin.
   options.self_watch_ms = 22'000;
   return options;
 }
@@ -54,7 +55,7 @@
 WatcherOptions QuarantineFeederOptions(WatcherOptions options) {
   options.wait_ms = 25'000;
   options.pace_ms = 500;
-  // Two watches, each with its wait and answer margin.
+  // The duration of two watches, each with its wait time and answer margin.
   options.self_watch_ms = 52'000;
   return options;
 }
@@ -132,8 +133,8 @@
                       [this](std::string_view kind, std::string_view field) {
                         this->metrics.OnEntryRefused(kind, field);
                       }),
-      // No general slow start: an engine announces in its entry how long it is
-      // cold, and engines live for minutes only.
+      // No slow start that is the same for all engines: an engine announces in
+      // its entry for how long it is cold, and engines live for minutes only.
       fleet(this->lengths, FleetOptions{0, kPeerLoadExpiryMs}),
       dead_hosts(with.host.name, this->clock),
       load_adapter(with.host.name, this->clock, this->fleet),
--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -19,8 +19,8 @@
 // All requests at a removed engine have ended after this time, as none may last
 // longer.
 constexpr std::int64_t kLastRequestsEndMs = 60'000;
-// How many of the hosts that watch the store also watch the emptied zones;
-// those whose reads fail are replaced.
+// How many of the hosts that watch the store also watch the emptied zones.
+// Hosts whose reads fail do not count, and others take their place.
 constexpr int kZoneWatchers = 3;
 
 }  // namespace
@@ -44,8 +44,8 @@
   return !this->view.Digest(kind).confirmed.by.empty();
 }
 
-// The configuration waits until the emptied zones are known: a host that serves
-// before would send requests to them.
+// The configuration is applied only once the emptied zones are known: a host
+// that served earlier would send requests to emptied zones.
 void RelayHost::Impl::ApplyPendingConfig() {
   const RelayObjectKinds& names = this->platform.Kinds();
   if (this->emptied_zones_known || !this->IsLoaded(names.emptied_zones)) {
@@ -106,9 +106,10 @@
   }
 }
 
-// An entry may arrive before the configuration that has its service, so it is
-// valid and kept. But an engine in use must not change to a service that is not
-// configured, as its runs are tracked under the previous one.
+// An entry that names an unknown service is valid and kept, as it may arrive
+// before the configuration that has the service. But an engine in use must not
+// change to a service that is not configured, as its runs are tracked under the
+// previous one.
 bool RelayHost::Impl::ChangesToUnknownService(const BackendEntry& entry) const {
   const Backend* const known = this->backends.FindById(entry.id);
   return known != nullptr && known->entry.service != entry.service &&
@@ -143,8 +144,9 @@
     this->fleet.RemoveEngine(backend.key);
     this->rate_limiter.Remove(backend.key);
     this->health.Forget(backend.key);
-    // Requests that still end there create the health record again, so it is
-    // removed once more after the last of them.
+    // Requests that are still running at the server create its health record
+    // again when they end, so the record is removed once more after the last of
+    // them.
     this->scheduler.After(kLastRequestsEndMs, [this, key = backend.key] {
       this->health.Forget(key);
     });
@@ -168,9 +170,10 @@
   }
 }
 
-// Engines normally get fewer requests per second than a cold one tolerates, so
-// they are limited also while warm. Plain servers get more, and are limited
-// only while they are known to be cold.
+// Engines normally get fewer requests per second than even a cold one
+// tolerates, so a limit while they are warm does not affect normal operation.
+// Plain servers get more than that, so they are limited only while they are
+// known to be cold.
 ServerRateLimit RelayHost::Impl::RateLimitOf(const Backend& backend) const {
   const ServiceRule* const service =
       this->routing_config.FindService(backend.entry.service);
--- a/src/serve/relay_limits.cc
+++ b/src/serve/relay_limits.cc
@@ -6,8 +6,8 @@
 namespace meadowthread {
 namespace {
 
-// File descriptors reserved for listeners, the store, peers and files. Of
-// the others, each connection counts for two.
+// File descriptors reserved for listeners, the store, peers and files. Each
+// connection is assumed to need two of the remaining ones.
 constexpr int kReservedDescriptors = 400;
 // Lower bound of connections if file descriptors are scarce.
 constexpr int kMinConnections = 16;
--- a/src/serve/store_stall_detector.cc
+++ b/src/serve/store_stall_detector.cc
@@ -6,15 +6,15 @@
 namespace {
 
 constexpr char kTopic[] = "silence";
-// The store counts as stalled if no host confirmed the view of the engines for
-// this long: watches end after at most 1.5 s, and the result reaches the other
-// hosts within one more second.
+// The store counts as stalled if no host has confirmed for this long that the
+// view of the engines is complete. Normally, a watch confirms it after at most
+// 1.5 s, and the confirmation reaches the other hosts within one more second.
 constexpr std::int64_t kMaxUnconfirmedMs = 3'000;
 // While its watch fails, a host repeats the notification at this interval, as
 // datagrams get lost.
 constexpr std::int64_t kRepeatMs = 2'000;
-// A notification expires after this: either two repetitions were lost, or the
-// host is gone.
+// A peer's notification that was not repeated for this long expires: either two
+// repetitions were lost, or the peer is gone.
 constexpr std::int64_t kPeerStallExpiryMs = 5'000;
 
 }  // namespace
@@ -60,8 +60,8 @@
          this->clock.MonotonicMs() - found->second < kPeerStallExpiryMs;
 }
 
-// A peer's notification counts only until some host has read the store later
-// than that, as the store may fail for that peer alone.
+// A peer's notification is ignored once any host has read the store at a later
+// time, as the store may fail for that peer alone.
 bool StoreStallDetector::IsStalled(std::int64_t confirmed_unix_ms) const {
   const bool peer_is_newer = this->peer_stalled_unix_ms > confirmed_unix_ms;
   const std::int64_t age_ms = this->clock.WallMs() - confirmed_unix_ms;
--- a/src/serve/store_stall_detector.h
+++ b/src/serve/store_stall_detector.h
@@ -12,12 +12,12 @@
 namespace meadowthread {
 
 /// @brief Detects when the store cannot currently report changes of the
-/// engines, and tracks for which hosts its reads fail.
+/// engines, and tracks which hosts cannot read the store.
 ///
-/// Handles the load pattern "engines leave during a store outage": engines stay
-/// for two seconds after they announce that they leave. So the first host whose
-/// watch fails notifies the others, as their own watches may run for more than
-/// another second.
+/// Handles the load pattern "engines leave during a store outage". Engines stay
+/// for only two seconds after they announce that they leave, and a host's own
+/// watch may take more than one of these seconds to fail. So the first host
+/// whose watch fails notifies the others.
 class StoreStallDetector {
  public:
   /// @param[in] hub,clock outlive this
--- a/src/serve/store_uptime_exchange.cc
+++ b/src/serve/store_uptime_exchange.cc
@@ -13,13 +13,13 @@
 
 constexpr char kQueryTopic[] = "store-asked";
 constexpr char kReplyTopic[] = "store-answers";
-// Hosts asked at first: if all were asked, every host would ask every watcher
-// whenever a server leaves.
+// Number of watchers asked first. If all of them were asked at once, every host
+// would ask every watcher whenever a server leaves.
 constexpr std::size_t kInitialQueries = 2;
 // Delay until all watchers are asked; replies arrive within a few milliseconds.
 constexpr std::int64_t kSecondQueryMs = 60;
-// Upper bound for ages in datagrams: longer ago than any store outage that
-// still matters.
+// Upper bound for the ages in datagrams. A store outage that was longer ago has
+// no effect any more.
 constexpr std::int64_t kMaxAgeMs = 3'600'000;
 
 }  // namespace
--- a/src/serve/store_uptime_exchange.h
+++ b/src/serve/store_uptime_exchange.h
@@ -19,9 +19,9 @@
 /// @brief Exchanges between hosts for how long the store has answered each of
 /// them without an outage.
 ///
-/// A host asks its peers if an entry was removed and it cannot tell on its own
-/// whether the entry expired in an outage. If the replies are lost, it decides
-/// from what it knows.
+/// A host asks its peers if an entry was removed and the host cannot tell on
+/// its own whether the entry only expired because of a store outage. If the
+/// replies are lost, the host decides from what it knows.
 class StoreUptimeExchange {
  public:
   /// @brief Returns the hosts that watch the store, as far as known here.
@@ -35,11 +35,12 @@
   StoreUptimeExchange(const StoreUptimeExchange&) = delete;
   StoreUptimeExchange& operator=(const StoreUptimeExchange&) = delete;
 
-  /// @brief Returns whether it is still unknown for some entry if it expired.
+  /// @brief Returns whether there is still a removed entry of which it is
+  /// unknown whether it only expired because of a store outage.
   using IsUndecided = std::function<bool()>;
 
-  /// @brief Asks two hosts, and shortly after all that watch the store if it is
-  /// then still unknown.
+  /// @brief Asks two of the hosts that watch the store. If `is_undecided` is
+  /// still true shortly after, asks all of them.
   void AskPeers(const IsUndecided& is_undecided);
 
   /// @brief Sets a callback for after each reply was recorded.
--- a/src/serve/tests/crash_record_store_test.cc
+++ b/src/serve/tests/crash_record_store_test.cc
@@ -1,5 +1,5 @@
-// The crash records of the quarantine in the store, from which restarted hosts
-// read them again.
+// Storage of the quarantine's crash records, from which restarted hosts restore
+// them.
 #include "serve/crash_record_store.h"
 
 #include <criterion/criterion.h>
@@ -116,7 +116,8 @@
   cr_assert(CountObjects(shared) == 1);
 }
 
-// Otherwise, each crash of a server would cost a write for every run on it.
+// If hosts with gossip wrote suspects as well, each crash of a server would
+// cost a write for every run on it.
 Test(suspects, are_written_only_by_hosts_without_gossip) {
   SharedState shared;
   Host talking(shared, StoredRecords::kQuarantined, 1);
--- a/src/serve/tests/watcher_selection_test.cc
+++ b/src/serve/tests/watcher_selection_test.cc
@@ -17,7 +17,8 @@
   return names;
 }
 
-// Number of hosts that watch if each reaches all others.
+// Number of hosts that watch the store if each host reaches all others and the
+// reads of the `failed` hosts fail.
 int WatchersOf(int hosts, const std::set<std::string_view>& failed = {}) {
   const std::vector<std::string> names = NamesOf(hosts);
   int watchers = 0;
@@ -38,17 +39,17 @@
   cr_assert(WatchersOf(4) == 4);
 }
 
-// Each event costs a call by each watcher, so their number must not grow with
-// the fleet.
+// Each change in the store costs a call by each watcher, so their number must
+// not grow with the fleet.
 Test(store_watchers, are_one_host_in_seventeen_at_least_four_at_most_eight) {
   cr_assert(WatchersOf(15) == 4 && WatchersOf(66) == 4);
   cr_assert(WatchersOf(100) == 6);
   cr_assert(WatchersOf(350) == 8);
 }
 
-// Guards against superfluous calls while engines come and go several times a
-// second: if all watchers started their next watch at once, each event would
-// answer all of them.
+// Guards against superfluous calls to the store while engines come and go
+// several times a second: if all watchers started their next watch at once,
+// each change would end all of these watches.
 Test(store_watchers, start_their_next_watches_one_after_the_other) {
   cr_assert(WatchStaggerMs(0) == 0);
   for (int place = 1; place < 4; ++place) {
@@ -63,7 +64,8 @@
 }
 
 // Guards against missed changes when the store rejects some hosts, among them
-// all watchers: the others, which it would answer, got no changes for seconds.
+// all watchers. Without replacements, the hosts that the store still answers
+// would get no changes for seconds.
 Test(store_watchers, are_replaced_if_their_reads_fail) {
   const std::vector<std::string> names = NamesOf(9);
   std::vector<WatchPeer> peers;
--- a/src/serve/unreported_stream_estimator.cc
+++ b/src/serve/unreported_stream_estimator.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// Assumes that every peer begins streams at this host's rate; unreported are
-// those begun within the delay of a note. Notes that would exceed the bandwidth
-// limit are delayed further.
+// Assumes that every peer begins streams at the same rate as this host. The
+// streams that began within the delay of a load note are not reported yet. The
+// delay is longer if the notes would exceed the bandwidth limit.
 double UnreportedStreamEstimator::EstimateUnreported(std::int64_t streams_begun,
                                                      std::size_t peers) {
   const double decay =
--- a/src/serve/watcher_selection.cc
+++ b/src/serve/watcher_selection.cc
@@ -9,13 +9,15 @@
 namespace {
 
 // Number of hosts that watch the store: one in seventeen, within these bounds.
-// A third of the hosts may lose contact with the store at once; the number is
-// chosen so that some watchers still reach it then. With eight watchers, none
-// does in one of 6,000 such cases. Each event costs a call by each watcher.
+// A third of the hosts may lose contact with the store at once, and some
+// watchers should still reach it then. With eight watchers, all of them lose
+// contact in about one of 6,000 such cases. More watchers would cost more
+// calls, as each change in the store costs a call by each watcher.
 constexpr std::ptrdiff_t kMinWatchers = 4;
 constexpr std::ptrdiff_t kMaxWatchers = 8;
 constexpr double kWatcherShare = 0.06;
-// Spreads four watches of 1.5 s each over time.
+// Distributes the starts of four watches of 1.5 s each about evenly over that
+// time.
 constexpr std::int64_t kStaggerMs = 350;
 constexpr int kStaggerSlots = 4;
 
@@ -71,9 +73,9 @@
   return readers;
 }
 
-// Watchers beyond the first four are spares for when these lose contact with
-// the store. Their own watches seldom bring a change that is not known yet, so
-// they share the last slot.
+// The watchers after the first four are spares in case those lose contact with
+// the store. The spares' own watches seldom bring a change that they have not
+// yet got from the first four, so they share the last slot.
 std::int64_t WatchStaggerMs(int index) {
   return kStaggerMs * std::min(index, kStaggerSlots - 1);
 }
--- a/src/serve/watcher_selection.h
+++ b/src/serve/watcher_selection.h
@@ -22,7 +22,8 @@
 /// others.
 ///
 /// Watchers whose reads fail keep trying, and are replaced by at most as many
-/// other hosts: if the reads of these fail as well, the store itself is down.
+/// other hosts. If the reads of the replacements fail as well, the store itself
+/// is down.
 /// @param[in] self this host's name
 /// @param[in] answering the peers that answer, without this host
 /// @param[in] known number of all known entry hosts
@@ -40,9 +41,10 @@
 
 /// @brief How long a watcher waits after an answer before its next watch.
 ///
-/// An event answers all open watches at once. With the stagger, the first
-/// watcher watches again immediately and passes on changes, and the watches of
-/// the others end one after the other.
+/// A change in the store ends all open watches at once. With a delay that
+/// depends on the index, the first watcher watches again immediately and passes
+/// on changes, and the watches of the others start, and so end, one after the
+/// other.
 /// @param[in] index as WatcherIndex gives it
 std::int64_t WatchStaggerMs(int index);
 
