--- a/src/serve/crash_record_store.cc
+++ b/src/serve/crash_record_store.cc
@@ -14,9 +14,9 @@
 // crash servers at once. All hosts together may make hundreds.
 constexpr std::int64_t kWritePeriodMs = 100;
 constexpr std::int64_t kRetryMs = 1'000;
-// The host that saw a crash writes its record. The other hosts write it only
-// after a random delay within these bounds, so that if the first host could not
-// write, usually a single other one does.
+// The host that saw a crash writes its record at once. The other hosts write it
+// only after a random delay within these bounds, so that if the first host
+// could not write, usually a single other one does.
 constexpr std::int64_t kMinPeerWriteDelayMs = 5'000;
 constexpr std::int64_t kMaxPeerWriteDelayMs = 60'000;
 // Expired objects are removed at this interval; see RemoveExpired.
--- a/src/serve/dead_host_detector.h
+++ b/src/serve/dead_host_detector.h
@@ -39,7 +39,7 @@
   void NoteHeard(std::string_view host);
 
   /// @brief The dead hosts whose entries this host is to remove now; empty
-  /// unless its name comes first among the hosts heard recently.
+  /// unless this host's name comes first among the hosts heard recently.
   /// @complexity O(hosts)
   std::vector<std::string> HostsToRemove() const;
 
--- a/src/serve/fleet_load_adapter.cc
+++ b/src/serve/fleet_load_adapter.cc
@@ -7,9 +7,8 @@
 namespace {
 
 // Load notes are cached for this long, and all peers are sent the same notes:
-// FleetState::OwnLoad reports only in one call that the last stream at an
-// engine has ended, so calling it for each peer would hide this from the
-// others.
+// FleetState::OwnLoad reports only once that the last stream at an engine has
+// ended, so if it were called for each peer, only one peer would learn of it.
 constexpr std::int64_t kRefreshMs = 20;
 // For this long, notes still include an engine that has no more streams of this
 // host, in case a message with that change was lost.
--- a/src/serve/policy_setup.cc
+++ b/src/serve/policy_setup.cc
@@ -32,7 +32,8 @@
 void ApplyLimits(const ServiceCatalog& catalog, WorkspaceLimits* limits) {
   for (const std::string& workspace : catalog.Workspaces()) {
     // If several templates serve a workspace, the highest value of each limit
-    // applies, as it was promised to the workspace as a whole.
+    // applies: limits are promised to the workspace as a whole, not for each
+    // template.
     WorkspaceLimit widest;
     bool first = true;
     for (const ServiceCatalog::ServicePtr& service :
--- a/src/serve/unreported_stream_estimator.cc
+++ b/src/serve/unreported_stream_estimator.cc
@@ -12,8 +12,8 @@
 // Each stream changes its host's load three times: when it begins, at its first
 // event and when it ends.
 constexpr double kNotesPerStream = 3.0;
-// From a load change to its arrival at a peer: one period of the send timer and
-// the network latency.
+// Time from a load change to its arrival at a peer: one period of the send
+// timer and the network latency.
 constexpr double kNoteDelayMs = 30.0;
 // Streams begin in bursts, so notes are assumed to be delayed as soon as their
 // average rate exceeds a quarter of the bandwidth limit.
--- a/src/serve/watcher_selection.h
+++ b/src/serve/watcher_selection.h
@@ -34,8 +34,9 @@
                                 std::span<const WatchPeer> answering,
                                 std::size_t known);
 
-/// @brief Names of the peers that read the store: the watchers, and those that
-/// they replaced because their reads fail.
+/// @brief Names of the peers that read the store: the watchers, and the hosts
+/// that were replaced as watchers because their reads fail but that keep
+/// trying.
 /// @complexity O(peers log peers)
 std::vector<std::string> StoreReaders(std::vector<WatchPeer> peers);
 
