--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -25,7 +25,7 @@
 // The part of a host's 29 KB per second for control traffic that the calls of
 // the exchange leave for datagrams.
 constexpr std::int64_t kDatagramBytesPerSecond = 18'000;
-// A peer's load is forgotten if it was not reported for this long. Peers report
+// A peer's load is ignored if it was not reported for this long. Peers report
 // all of their load every three seconds; two reports may be lost.
 constexpr std::int64_t kPeerLoadExpiryMs = 7'000;
 // Interval at which the engines themselves are polled while the store cannot
