--- a/src/serve/relay_host_view.cc
+++ b/src/serve/relay_host_view.cc
@@ -170,10 +170,10 @@
   }
 }
 
-// Engines normally get fewer requests per second than even a cold one
-// tolerates, so a limit while they are warm does not affect normal operation.
-// Plain servers get more than that, so they are limited only while they are
-// known to be cold.
+// Engines are limited also while they are warm, as they may become cold before
+// this host learns of it. They normally get fewer requests per second than a
+// cold engine tolerates, so the limit does not affect normal operation. Plain
+// servers get more, so they are limited only while they are known to be cold.
 ServerRateLimit RelayHost::Impl::RateLimitOf(const Backend& backend) const {
   const ServiceRule* const service =
       this->routing_config.FindService(backend.entry.service);
