--- a/src/serve/unreported_stream_estimator.cc
+++ b/src/serve/unreported_stream_estimator.cc
@@ -12,8 +12,8 @@
 // Each stream changes its host's load three times: when it begins, at its first
 // event and when it ends.
 constexpr double kNotesPerStream = 3.0;
-// From a load change to its arrival at a peer: one period of the send timer and
-// the network latency.
+// Time from a load change to its arrival at a peer: one period of the send
+// timer and the network latency.
 constexpr double kNoteDelayMs = 30.0;
 // Streams begin in bursts, so notes are assumed to be delayed as soon as their
 // average rate exceeds a quarter of the bandwidth limit.
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// Assumes that every peer begins streams at this host's rate; unreported are
-// those begun within the delay of a note. Notes that would exceed the bandwidth
-// limit are delayed further.
+// Assumes that every peer begins streams at the same rate as this host. The
+// streams that began within the delay of a load note are not reported yet. The
+// delay is longer if the notes would exceed the bandwidth limit.
 double UnreportedStreamEstimator::EstimateUnreported(std::int64_t streams_begun,
                                                      std::size_t peers) {
   const double decay =
