--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -58,7 +58,7 @@
 /* Sets state to the newest revision up to `upto` that wrote `object`, else 0. */
 #define as_of(object, upto) state = newest[(upto) * 2 + object]
 
-/* KindView::Take */
+/* KindView::Apply */
 inline take(h, object, version) {
   if
 #ifdef NO_FLOOR
@@ -92,7 +92,7 @@
   fi
 }
 
-/* KindView::TakeWhole; given0 and given1: versions of the items, 0: none. */
+/* KindView::ApplyRange; given0 and given1: versions of the items, 0: none. */
 inline take_whole(h, since, revision, whole, given0, given1) {
   if
   :: given0 != 0 -> take(h, 0, given0)
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -60,7 +60,7 @@
 #define MAY_ORDER(h, t) HELD(h, t)
 #endif
 
-/* Lease::WaitedOut, counted from `t`, when the version was first seen. */
+/* Lease::WaitElapsed, counted from `t`, when the version was first seen. */
 #if !defined(TIMED) || defined(NO_WAIT)
 #define WAITED_OUT(h, t) true
 #elif defined(NO_WINDOW_WAIT)
