--- a/model/lease.pml
+++ b/model/lease.pml
@@ -11,7 +11,7 @@
  *                     delay between the holder's check and the order's arrival
  *                     are bounded (BOUNDED_PAUSE).
  *
- * HANDOVER: a workspace (or engine) moves from one deployment ("half") to the
+ * HANDOVER: a workspace (or engine) moves from one deployment to the
  * other through versions of its ownership object, which hosts read late. A host
  * starts work only after its status object is written and it has read the
  * platform since; the mover lists the status objects only after it has written
@@ -214,11 +214,11 @@
 byte drained[OLD_HOSTS];       /* status objects: 0 none, 1 not drained,
                                   else the draining version confirmed */
 byte in_flight[OLD_HOSTS];
-byte started_by[3];            /* for assertions, by epoch: 1 old, 2 new half */
+byte started_by[3];            /* for assertions, by epoch: 1 old, 2 new deployment */
 bit new_works;
 
 inline start(epoch, half) {
-  /* H1: only one half starts work in an epoch. */
+  /* H1: only one deployment starts work in an epoch. */
   assert(started_by[epoch] == 0 || started_by[epoch] == half);
   started_by[epoch] = half
 }
@@ -296,7 +296,7 @@
   /* DrainTracker::Begin checks and counts in one step. */
   :: atomic { starts > 0 && OURS(view) && IS_REGISTERED && HAS_READ ->
       starts--; in_flight[me]++;
-      assert(!new_works);              /* H2: the new half hasn't begun */
+      assert(!new_works);              /* H2: the new deployment hasn't begun */
       start(EPOCH(view), 1) }
 #ifdef DRAINING_TAKES_WORK
   :: atomic { starts > 0 && DRAINS(view) && registered_at != 0 ->
@@ -337,7 +337,7 @@
   atomic { DRAINS(version) -> version = MOVED }
 }
 
-/* A host of the new half; its view may be arbitrarily stale. */
+/* A host of the new deployment; its view may be arbitrarily stale. */
 proctype NewHost() {
   atomic { version == MOVED ->
     new_works = 1;
