--- a/src/allocation/allocation_participant.cc
+++ b/src/allocation/allocation_participant.cc
@@ -17,7 +17,7 @@
 constexpr std::int64_t kStallMs = 500;
 // Time in which the other hosts, once asked, report all of their loads: one
 // datagram in each direction and one period of their report timer.
-constexpr std::int64_t kSyncMs = 200;
+constexpr std::int64_t kLoadReportWaitMs = 200;
 // A group's pressure is sent to at most this many groups per tick, drawn at
 // random, so that the cost does not grow with the number of groups.
 constexpr std::size_t kMaxPressureGroups = 8;
@@ -83,7 +83,7 @@
         .Add("hosts", hosts.size())
         .Add("shared", is_shared ? "yes" : "no")
         .WriteImportant();
-    this->client.SetShared(is_shared);
+    this->client.SetUsesAllocators(is_shared);
   }
 }
 
@@ -104,7 +104,8 @@
   if (this->own_groups.empty() || (!has_new && !was_stalled)) {
     return;
   }
-  this->allocator.SetReadyFrom(this->dependencies.clock.WallMs() + kSyncMs);
+  this->allocator.SetReadyFrom(this->dependencies.clock.WallMs() +
+                               kLoadReportWaitMs);
   this->channel.RequestLoadReports();
   LogLine("allocates")
       .Add("groups", this->own_groups.size())
@@ -184,7 +185,7 @@
   // After a stall, datagrams that have piled up are handled before the overdue
   // tick, which would detect the stall.
   if (this->WasStalled()) {
-    this->allocator.SetReadyFrom(now_ms + kSyncMs);
+    this->allocator.SetReadyFrom(now_ms + kLoadReportWaitMs);
   }
   AllocatorResult result =
       this->allocator.Allocate(request, now_ms, this->dependencies.random());
--- a/src/allocation/allocator.cc
+++ b/src/allocation/allocator.cc
@@ -111,7 +111,7 @@
     group_options.busy_link_cost = kBusyLinkCost;
   }
   PressureChooser chooser(group_options);
-  chooser.SetWithin([this, &request](const EngineView& view) {
+  chooser.SetEngineFilter([this, &request](const EngineView& view) {
     const bool is_avoided =
         std::find(request.avoid.begin(), request.avoid.end(), view.engine) !=
         request.avoid.end();
--- a/src/allocation/allocator_client.h
+++ b/src/allocation/allocator_client.h
@@ -45,7 +45,7 @@
 
   /// @brief Sets whether allocators are asked to choose engines; if not, this
   /// host chooses locally.
-  void SetShared(bool is_shared) { this->is_shared = is_shared; }
+  void SetUsesAllocators(bool is_shared) { this->is_shared = is_shared; }
 
   /// @brief Records that a message came from the host, which therefore is asked
   /// again if it had not responded before.
--- a/src/allocation/tests/allocator_client_test.cc
+++ b/src/allocation/tests/allocator_client_test.cc
@@ -49,7 +49,7 @@
     this->groups.SetHosts(std::vector<AllocatorHost>{
         {"h0", "z"}, {"h1", "z"}, {"h2", "z"}, {"h3", "z"}});
     this->groups.CountEngines(this->fleet.state);
-    this->client.SetShared(true);
+    this->client.SetUsesAllocators(true);
   }
   void Choose() {
     this->client.Choose(testing::Work("r"), [this](const Decision& decision) {
@@ -197,7 +197,7 @@
 
 Test(a_small_fleet, asks_no_allocator) {
   Fixture fixture;
-  fixture.client.SetShared(false);
+  fixture.client.SetUsesAllocators(false);
   fixture.Choose();
   cr_assert(fixture.chosen == std::vector<std::string>{"alone"});
   cr_assert(fixture.channel.requests.empty());
--- a/src/answer/stream_assembler.cc
+++ b/src/answer/stream_assembler.cc
@@ -39,12 +39,12 @@
   }
   this->ready.push_back(token);
   ++this->next_index;
-  this->MoveConsecutiveHeld();
+  this->MoveConsecutiveTokens();
   return this->IsComplete() ? AssemblerAction::kComplete
                             : AssemblerAction::kDeliver;
 }
 
-void StreamAssembler::MoveConsecutiveHeld() {
+void StreamAssembler::MoveConsecutiveTokens() {
   auto first = this->out_of_order.begin();
   while (first != this->out_of_order.end() &&
          first->first <= this->next_index) {
--- a/src/answer/stream_assembler.h
+++ b/src/answer/stream_assembler.h
@@ -52,7 +52,7 @@
   const std::string& FinishReason() const { return this->finish_reason; }
 
  private:
-  void MoveConsecutiveHeld();
+  void MoveConsecutiveTokens();
   AssemblerAction RequestResume();
 
   std::string generation;
--- a/src/gateway/generation_session.h
+++ b/src/gateway/generation_session.h
@@ -154,7 +154,7 @@
 
   SessionDependencies deps;
   SessionStart start;
-  GuardedRun guarded;
+  RequestQuarantine guarded;
   std::unique_ptr<CallerStream> caller;
   SessionPhase phase = SessionPhase::kClaiming;
   std::optional<ClaimGrant> grant;
--- a/src/gateway/generation_session_stream.cc
+++ b/src/gateway/generation_session_stream.cc
@@ -89,8 +89,8 @@
                        : "the stream closed before the generation finished");
   }
   if (close.may_have_left && !close.rejected) {
-    this->guarded.NoteCut(this->EngineIfNotLeaving(),
-                          this->assembler.NextIndex() == 0);
+    this->guarded.NoteInterrupted(this->EngineIfNotLeaving(),
+                                  this->assembler.NextIndex() == 0);
   }
   const AttemptFailure failure = ClassifyFailure(close);
   if (IsEngineFault(failure)) {
--- a/src/placement/group_assignment.cc
+++ b/src/placement/group_assignment.cc
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t kRankDelayMs = 1'000;
 constexpr int kPreferredHosts = 3;
-constexpr double kOthersJitterMs = 10'000;
+constexpr double kNonPreferredJitterMs = 10'000;
 constexpr double kHashRange = 18446744073709551616.0;  // 2^64
 
 std::uint64_t Hash(std::string_view text) {
@@ -49,7 +49,7 @@
   const double jitter =
       HashFraction(absl::StrCat(std::string(lease), "\n", own));
   return kPreferredHosts * kRankDelayMs +
-         static_cast<std::int64_t>(jitter * kOthersJitterMs);
+         static_cast<std::int64_t>(jitter * kNonPreferredJitterMs);
 }
 
 double HashFraction(std::string_view name) {
--- a/src/placement/group_controller.cc
+++ b/src/placement/group_controller.cc
@@ -9,7 +9,8 @@
 
 // Divides the load rate evenly among the groups. A group cannot use what
 // another group leaves unused, but the lease holders need not coordinate.
-LoadBudgetSettings GroupShare(const PlacementControllerSettings& settings) {
+LoadBudgetSettings GroupLoadBudget(
+    const PlacementControllerSettings& settings) {
   LoadBudgetSettings share = settings.budget;
   share.loads_per_second /= settings.groups;
   return share;
@@ -38,7 +39,7 @@
       order_sender(context.http, this->lease, context.ownership, context.clock),
       engine_client(context.http, EngineTimeouts{}),
       table(settings.engines, context.clock),
-      budget(GroupShare(settings), context.clock) {}
+      budget(GroupLoadBudget(settings), context.clock) {}
 
 void GroupController::Tick() {
   this->lease.Tick();
--- a/src/policy/dispatcher.h
+++ b/src/policy/dispatcher.h
@@ -21,7 +21,7 @@
 
 /// @brief Default limit on the orders returned by one call of
 /// Dispatcher::Drain.
-inline constexpr int kMaxOrdersPerDrain = 64;
+inline constexpr int kMaxDispatchedPerCall = 64;
 
 /// @brief Result of Dispatcher::Offer.
 struct DispatchResult {
@@ -49,7 +49,7 @@
   /// @param[in] max_orders limit for this call, so that a host with a wrong
   /// view of the engines does not send them its whole queue at once
   std::vector<SendOrder> Drain(std::int64_t now_ms, std::uint64_t random,
-                               int max_orders = kMaxOrdersPerDrain);
+                               int max_orders = kMaxDispatchedPerCall);
 
   /// @brief Removes and returns queued work that has waited too long or whose
   /// deadline has passed.
--- a/src/policy/first_attempt_estimator.cc
+++ b/src/policy/first_attempt_estimator.cc
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-std::int64_t FirstAttemptEstimator::Elapsed(std::string_view route,
-                                            std::int64_t allowed_ms) {
+std::int64_t FirstAttemptTimeEstimator::Elapsed(std::string_view route,
+                                                std::int64_t allowed_ms) {
   if (allowed_ms <= 0) {
     return 0;
   }
--- a/src/policy/first_attempt_estimator.h
+++ b/src/policy/first_attempt_estimator.h
@@ -15,7 +15,7 @@
 /// long its caller still waits. If most callers of a route start with the same
 /// time limit, the difference between that limit and the remaining time is the
 /// time since the first attempt.
-class FirstAttemptEstimator {
+class FirstAttemptTimeEstimator {
  public:
   /// @brief Records a request's time limit and estimates its caller's elapsed
   /// time.
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -85,7 +85,7 @@
   /// @brief Records that an engine refused a KV-cache copy, because it has no
   /// memory for it or because it is leaving and has not yet announced that. For
   /// a short time, the engine is used only if no other is available.
-  void NoteNoRoom(std::string_view engine, std::int64_t now_ms);
+  void NoteCopyRefused(std::string_view engine, std::int64_t now_ms);
 
   /// @brief Sets the hosts that share the engines. Each engine is preferred by
   /// exactly one host, and all hosts agree on which one. Choosers can reserve
--- a/src/policy/fleet_state_peers.cc
+++ b/src/policy/fleet_state_peers.cc
@@ -37,7 +37,7 @@
   }
 }
 
-void FleetState::NoteNoRoom(std::string_view engine, std::int64_t now_ms) {
+void FleetState::NoteCopyRefused(std::string_view engine, std::int64_t now_ms) {
   if (Engine* const found = this->FindEngine(engine)) {
     found->view.no_room_until_ms = now_ms + kCopyRefusedMs;
   }
--- a/src/policy/memory_forecast.cc
+++ b/src/policy/memory_forecast.cc
@@ -80,10 +80,10 @@
   if (!lasts) {
     return this->mean[0] <= limit_now;
   }
-  return this->PeakMean() <= limit;
+  return this->MaxExpectedTokens() <= limit;
 }
 
-double MemoryForecast::PeakMean() const {
+double MemoryForecast::MaxExpectedTokens() const {
   return *std::max_element(this->mean.begin(), this->mean.end());
 }
 
--- a/src/policy/memory_forecast.h
+++ b/src/policy/memory_forecast.h
@@ -62,7 +62,7 @@
                   double limit_now) const;
 
   /// @brief The maximum over the horizons of the mean, in tokens.
-  double PeakMean() const;
+  double MaxExpectedTokens() const;
 };
 
 }  // namespace meadowthread
--- a/src/policy/pressure_chooser.cc
+++ b/src/policy/pressure_chooser.cc
@@ -64,7 +64,7 @@
   const auto capacity = std::max(1.0, static_cast<double>(view.kv_capacity));
   ScoredEngine scored;
   scored.engine = engine;
-  scored.memory_share = forecast.PeakMean() / capacity;
+  scored.memory_share = forecast.MaxExpectedTokens() / capacity;
   scored.in_flight = fleet.InFlight(engine, now_ms);
   const std::int64_t prefill_tokens = fleet.PrefillBacklog(engine, now_ms);
   scored.cost = scored.memory_share +
--- a/src/policy/pressure_chooser.h
+++ b/src/policy/pressure_chooser.h
@@ -80,14 +80,14 @@
   /// @brief Sets the average number of requests that other hosts have sent and
   /// of which this host does not know yet when it chooses. The choice is made
   /// among that many more of the best engines.
-  void SetUnseen(double requests) { this->unseen_requests = requests; }
+  void SetUnseenRequests(double requests) { this->unseen_requests = requests; }
 
   /// @brief Adds the cost of degraded paths from other zones.
   /// @param[in] quality must outlive the chooser; null: all paths count as good
   void SetLinks(const LinkQuality* quality) { this->links = quality; }
 
   /// @brief Restricts the choice to engines for which the predicate is true.
-  void SetWithin(std::function<bool(const EngineView& view)> predicate) {
+  void SetEngineFilter(std::function<bool(const EngineView& view)> predicate) {
     this->filter = std::move(predicate);
   }
 
--- a/src/policy/stop_plan.cc
+++ b/src/policy/stop_plan.cc
@@ -42,7 +42,7 @@
 // Waits for requests and callers alike: a request ends once its last bytes are
 // written, but its caller may take several more seconds to read them.
 StopStep StopPlan::Next(std::int64_t now_ms, const StopWork& work) const {
-  const std::int64_t left_ms = this->ForcedMs() - now_ms;
+  const std::int64_t left_ms = this->KillTimeMs() - now_ms;
   if (left_ms <= kExitBeforeKillMs) {
     return StopStep::kExitBeforeKill;
   }
@@ -62,8 +62,8 @@
   return !callers && !claims && !peers;
 }
 
-std::int64_t StopPlan::LastEndMs() const {
-  return this->ForcedMs() - kCompletionMarginMs;
+std::int64_t StopPlan::LatestAllowedEndMs() const {
+  return this->KillTimeMs() - kCompletionMarginMs;
 }
 
 }  // namespace meadowthread
--- a/src/policy/stop_plan.h
+++ b/src/policy/stop_plan.h
@@ -66,7 +66,7 @@
 
   /// @brief Monotonic time by which requests must be expected to end; others
   /// are refused.
-  std::int64_t LastEndMs() const;
+  std::int64_t LatestAllowedEndMs() const;
 
   /// @brief Monotonic time by which the load balancer has noticed the stop.
   std::int64_t NoticedMs() const {
@@ -74,7 +74,7 @@
   }
 
   /// @brief Monotonic time at which the process is killed.
-  std::int64_t ForcedMs() const {
+  std::int64_t KillTimeMs() const {
     return this->begun_ms + this->bounds.grace_ms;
   }
 
--- a/src/policy/stop_retry_after.cc
+++ b/src/policy/stop_retry_after.cc
@@ -14,7 +14,7 @@
 
 // The time until at least half of the hosts accept requests; 0 if there are no
 // hosts.
-std::int64_t HalfServingInMs(std::vector<std::int64_t> back_in_ms) {
+std::int64_t TimeUntilHalfServingMs(std::vector<std::int64_t> back_in_ms) {
   if (back_in_ms.empty()) {
     return 0;
   }
@@ -38,12 +38,12 @@
   };
   const bool none_in_zone =
       std::none_of(same_zone.begin(), same_zone.end(), is_serving);
-  const std::int64_t zone_ms = HalfServingInMs(same_zone);
+  const std::int64_t zone_ms = TimeUntilHalfServingMs(same_zone);
   if (zone_ms == 0) {
     return kOtherHostRetryMs;
   }
   if (none_in_zone && !other_zones.empty() &&
-      HalfServingInMs(other_zones) == 0) {
+      TimeUntilHalfServingMs(other_zones) == 0) {
     return std::max(kOtherHostRetryMs, noticed_in_ms);
   }
   return zone_ms + kReturnNoticedMs;
--- a/src/policy/stream_admission.cc
+++ b/src/policy/stream_admission.cc
@@ -16,10 +16,11 @@
 // only capacity that other streams leave free.
 constexpr double kLateFraction = 0.5;
 // How long a late stream may wait: this multiple of its target, but at least
-// kMinPatienceMs. Callers abandon a stream without events after four times its
-// target, but not before two seconds; the refusal has to reach them earlier.
-constexpr double kPatienceInTargets = 3.5;
-constexpr std::int64_t kMinPatienceMs = 1'900;
+// kMinCallerPatienceMs. Callers abandon a stream without events after four
+// times its target, but not before two seconds; the refusal has to reach them
+// earlier.
+constexpr double kCallerPatienceTargetMultiple = 3.5;
+constexpr std::int64_t kMinCallerPatienceMs = 1'900;
 // Callers honor a Retry-After time of up to a third of the time that they still
 // wait.
 constexpr double kHonoredFraction = 0.32;
@@ -51,8 +52,9 @@
   plan.is_late = true;
   plan.first_event_within_ms = FractionOf(arrival.target_ms, kLateFraction);
   if (this->options.lets_returned_wait) {
-    const std::int64_t patience_ms = std::max(
-        kMinPatienceMs, FractionOf(arrival.target_ms, kPatienceInTargets));
+    const std::int64_t patience_ms =
+        std::max(kMinCallerPatienceMs,
+                 FractionOf(arrival.target_ms, kCallerPatienceTargetMultiple));
     plan.may_wait_ms =
         std::min(patience_ms, arrival.left_ms - plan.first_event_within_ms);
   }
--- a/src/policy/tests/first_attempt_estimator_test.cc
+++ b/src/policy/tests/first_attempt_estimator_test.cc
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kAllowedMs = 6'000;
 
-void FirstAttempts(FirstAttemptEstimator& estimator, int count,
+void FirstAttempts(FirstAttemptTimeEstimator& estimator, int count,
                    std::int64_t allowed_ms) {
   for (int i = 0; i < count; ++i) {
     cr_assert(estimator.Elapsed("route", allowed_ms) == 0);
@@ -18,7 +18,7 @@
 }
 
 Test(a_retry, is_recognized_by_its_shorter_time_limit) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   FirstAttempts(estimator, 10, kAllowedMs);
   cr_assert(estimator.Elapsed("route", 4'200) == 1'800);
   cr_assert(estimator.Elapsed("other", 4'200) == 0,
@@ -26,7 +26,7 @@
 }
 
 Test(a_retry, is_recognized_while_half_of_the_requests_are_retries) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   FirstAttempts(estimator, 10, kAllowedMs);
   for (int i = 0; i < 200; ++i) {
     cr_assert(estimator.Elapsed("route", kAllowedMs) == 0);
@@ -35,19 +35,19 @@
 }
 
 Test(the_first_requests_of_a_route, give_no_estimate) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   cr_assert(estimator.Elapsed("route", kAllowedMs) == 0);
   cr_assert(estimator.Elapsed("route", 4'000) == 0);
 }
 
 Test(requests_without_a_time_limit, count_as_first_attempts) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   FirstAttempts(estimator, 10, kAllowedMs);
   cr_assert(estimator.Elapsed("route", 0) == 0);
 }
 
 Test(callers_without_a_common_time_limit, are_not_mistaken_for_retries) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   int retries = 0;
   for (std::int64_t i = 0; i < 2'000; ++i) {
     retries +=
@@ -59,7 +59,7 @@
 
 Test(one_caller_with_a_longer_time_limit,
      does_not_make_all_others_retries_for_good) {
-  FirstAttemptEstimator estimator;
+  FirstAttemptTimeEstimator estimator;
   FirstAttempts(estimator, 50, kAllowedMs);
   estimator.Elapsed("route", 60'000);
   for (int i = 0; i < 200; ++i) {
--- a/src/policy/tests/fleet_state_test.cc
+++ b/src/policy/tests/fleet_state_test.cc
@@ -44,7 +44,7 @@
   fleet.state.NoteSent(work, "e0", 10);
   fleet.state.SetFailureShare("e0", 0.9);
   fleet.state.MarkUnreachable("e0", 99'000);
-  fleet.state.NoteNoRoom("e0", 10);
+  fleet.state.NoteCopyRefused("e0", 10);
   fleet.state.SetCopies("e0", 1);
   PeerLoad peer{"h", "e0", 10, 3, 500, 100, 1, {}};
   fleet.state.NotePeerLoad(peer, 10);
@@ -175,10 +175,10 @@
   report.running = 2;
   report.kv_used = 2'000;
   fleet.state.ApplyReport(report, 60);
-  const double before = fleet.state.Forecast(0, 60).PeakMean();
+  const double before = fleet.state.Forecast(0, 60).MaxExpectedTokens();
   fleet.state.NoteSent(Work("a"), "e0", 70);
   cr_assert(fleet.state.InFlight(0, 70) == 3);
-  cr_assert(fleet.state.Forecast(0, 70).PeakMean() > before);
+  cr_assert(fleet.state.Forecast(0, 70).MaxExpectedTokens() > before);
 }
 
 Test(a_fleet_state, uses_peer_loads_until_they_are_outdated) {
@@ -189,9 +189,9 @@
   cr_assert(reported.size() == 1);
   fleet.state.NotePeerLoad(reported[0], 25);
   cr_assert(fleet.state.InFlight(0, 30) == 1);
-  cr_assert(fleet.state.Forecast(0, 30).PeakMean() > 100);
+  cr_assert(fleet.state.Forecast(0, 30).MaxExpectedTokens() > 100);
   cr_assert(fleet.state.InFlight(0, 60'000) == 0);
-  cr_assert(fleet.state.Forecast(0, 60'000).PeakMean() < 1);
+  cr_assert(fleet.state.Forecast(0, 60'000).MaxExpectedTokens() < 1);
 }
 
 Test(a_fleet_state, reports_once_to_peers_that_its_work_ended) {
--- a/src/policy/tests/pressure_chooser_test.cc
+++ b/src/policy/tests/pressure_chooser_test.cc
@@ -253,7 +253,7 @@
   copy.is_copy = true;
   copy.forced = true;
   cr_assert(fixture.Choose(copy) == "e0");
-  fixture.fleet.state.NoteNoRoom("e0", 1);
+  fixture.fleet.state.NoteCopyRefused("e0", 1);
   cr_assert(fixture.Choose(copy) == "e1");
   cr_assert(*fixture.chooser.Choose(copy, fixture.fleet.state, 401, 0).engine ==
             "e0");
@@ -264,7 +264,7 @@
 Test(unseen_requests_of_other_hosts, spread_the_choices) {
   PressureChooserFixture fixture;
   fixture.ReportPeerLoad("e0", kCapacity / 5);
-  fixture.chooser.SetUnseen(1.0);
+  fixture.chooser.SetUnseenRequests(1.0);
   std::set<std::string> chosen;
   for (std::uint64_t random = 0; random < 8; ++random) {
     chosen.insert(
--- a/src/policy/tests/stop_plan_test.cc
+++ b/src/policy/tests/stop_plan_test.cc
@@ -44,7 +44,7 @@
 }
 
 Test(a_stopping_host, accepts_only_requests_that_end_well_before_it_is_killed) {
-  cr_assert(StopPlan(kBegunMs, kBounds).LastEndMs() == 8'400);
+  cr_assert(StopPlan(kBegunMs, kBounds).LatestAllowedEndMs() == 8'400);
 }
 
 Test(a_host_that_is_not_killed, waits_for_each_kind_of_work_up_to_a_limit) {
--- a/src/quarantine/crash_messages.cc
+++ b/src/quarantine/crash_messages.cc
@@ -16,12 +16,12 @@
 constexpr char kContent[] = "content";
 constexpr char kRoute[] = "route";
 constexpr char kRequest[] = "request";
-constexpr char kCrashes[] = "ends";
+constexpr char kCrashesField[] = "ends";
 constexpr char kCleared[] = "cleared_unix_ms";
 constexpr char kKept[] = "kept_unix_ms";
 constexpr char kServer[] = "server";
 constexpr char kBeforeAnyAnswer[] = "before_any_answer";
-constexpr char kAt[] = "at_unix_ms";
+constexpr char kCrashTimeField[] = "at_unix_ms";
 // Limit on each text of a received record: longer than any id or route that a
 // host writes.
 constexpr std::size_t kMaxTextBytes = 1'024;
@@ -69,11 +69,11 @@
   }
   crash->before_any_answer = before->get<bool>();
   return ReadText(value, kServer, &crash->server) &&
-         ReadTime(value, kAt, &crash->unix_ms);
+         ReadTime(value, kCrashTimeField, &crash->unix_ms);
 }
 
 bool ReadCrashes(const json& value, std::vector<ServerCrash>* crashes) {
-  const auto found = value.find(kCrashes);
+  const auto found = value.find(kCrashesField);
   if (found == value.end() || !found->is_array() ||
       found->size() > kMaxCrashes) {
     return false;
@@ -91,13 +91,13 @@
   for (const ServerCrash& crash : record.crashes) {
     crashes.push_back({{kServer, crash.server},
                        {kBeforeAnyAnswer, crash.before_any_answer},
-                       {kAt, crash.unix_ms}});
+                       {kCrashTimeField, crash.unix_ms}});
   }
   return {{kWorkspace, record.id.workspace},
           {kContent, record.id.content},
           {kRoute, record.route},
           {kRequest, record.request},
-          {kCrashes, crashes},
+          {kCrashesField, crashes},
           {kCleared, record.cleared_ms},
           {kKept, record.kept_ms}};
 }
@@ -121,7 +121,7 @@
     return MalformedField(kRequest);
   }
   if (!ReadCrashes(value, &record.crashes)) {
-    return MalformedField(kCrashes);
+    return MalformedField(kCrashesField);
   }
   if (!ReadTime(value, kCleared, &record.cleared_ms)) {
     return MalformedField(kCleared);
--- a/src/quarantine/guarded_run.cc
+++ b/src/quarantine/guarded_run.cc
@@ -2,30 +2,31 @@
 
 namespace meadowthread {
 
-const std::string& GuardedRun::Content() {
+const std::string& RequestQuarantine::Content() {
   if (this->content.empty()) {
     this->content = this->make_key();
   }
   return this->content;
 }
 
-CrashRecordId GuardedRun::Id() {
+CrashRecordId RequestQuarantine::Id() {
   return {this->identity.workspace, this->Content()};
 }
 
-std::optional<std::int64_t> GuardedRun::QuarantinedForMs() {
+std::optional<std::int64_t> RequestQuarantine::QuarantinedForMs() {
   if (!this->quarantine.HasSuspects(this->identity.workspace)) {
     return std::nullopt;
   }
   return this->quarantine.RemainingQuarantineMs(this->Id());
 }
 
-bool GuardedRun::HasContent(const CrashRecordId& other) {
+bool RequestQuarantine::HasContent(const CrashRecordId& other) {
   return this->identity.workspace == other.workspace &&
          this->Content() == other.content;
 }
 
-InterruptedRun GuardedRun::InterruptedRunAt(const ServerInstance& server) {
+InterruptedRun RequestQuarantine::InterruptedRunAt(
+    const ServerInstance& server) {
   InterruptedRun run;
   run.id = this->Id();
   run.route = this->identity.route;
@@ -35,25 +36,26 @@
   return run;
 }
 
-void GuardedRun::NoteCut(const std::optional<ServerInstance>& server,
-                         bool before_any_answer) {
+void RequestQuarantine::NoteInterrupted(
+    const std::optional<ServerInstance>& server, bool before_any_answer) {
   if (server.has_value()) {
     InterruptedRun run = this->InterruptedRunAt(*server);
     run.before_any_answer = before_any_answer;
-    this->quarantine.NoteCut(run);
+    this->quarantine.NoteInterrupted(run);
   }
 }
 
-void GuardedRun::NoteSilent(const std::optional<ServerInstance>& server) {
+void RequestQuarantine::NoteTimedOut(
+    const std::optional<ServerInstance>& server) {
   if (server.has_value()) {
     InterruptedRun run = this->InterruptedRunAt(*server);
     run.before_any_answer = true;
     run.timed_out = true;
-    this->quarantine.NoteCut(run);
+    this->quarantine.NoteInterrupted(run);
   }
 }
 
-void GuardedRun::NoteCompleted() {
+void RequestQuarantine::NoteCompleted() {
   if (this->quarantine.HasSuspects(this->identity.workspace)) {
     this->quarantine.NoteCompleted(this->Id());
   }
--- a/src/quarantine/guarded_run.h
+++ b/src/quarantine/guarded_run.h
@@ -30,18 +30,19 @@
 ///
 /// The content key is computed when it is first needed. Most requests never
 /// need it, and computing it takes time linear in the body.
-class GuardedRun {
+class RequestQuarantine {
  public:
   using KeyFunction = std::function<std::string()>;
 
   /// @param[in] quarantine must outlive this
   /// @param[in] make_key computes the content key, see ContentKeyOf
-  GuardedRun(Quarantine& quarantine, RunIdentity identity, KeyFunction make_key)
+  RequestQuarantine(Quarantine& quarantine, RunIdentity identity,
+                    KeyFunction make_key)
       : quarantine(quarantine),
         identity(std::move(identity)),
         make_key(std::move(make_key)) {}
-  GuardedRun(const GuardedRun&) = delete;
-  GuardedRun& operator=(const GuardedRun&) = delete;
+  RequestQuarantine(const RequestQuarantine&) = delete;
+  RequestQuarantine& operator=(const RequestQuarantine&) = delete;
 
   /// @brief For how many milliseconds more the request is in quarantine;
   /// nullopt if it may be sent.
@@ -55,12 +56,12 @@
   /// @param[in] server nullopt if the server had announced that it would stop,
   /// so that the request is not the cause
   /// @param[in] before_any_answer whether the run had produced no output yet
-  void NoteCut(const std::optional<ServerInstance>& server,
-               bool before_any_answer);
+  void NoteInterrupted(const std::optional<ServerInstance>& server,
+                       bool before_any_answer);
 
   /// @brief Called when the request timed out before any part of the answer was
   /// forwarded to the caller. The run counts as one without output.
-  void NoteSilent(const std::optional<ServerInstance>& server);
+  void NoteTimedOut(const std::optional<ServerInstance>& server);
 
   /// @brief Called when a server has completed the request.
   void NoteCompleted();
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -56,7 +56,7 @@
 
   /// @brief Called when a run was interrupted at a server that had not
   /// announced a stop.
-  void NoteCut(const InterruptedRun& run) { this->detector.Add(run); }
+  void NoteInterrupted(const InterruptedRun& run) { this->detector.Add(run); }
 
   /// @brief Called when a server has gone without having announced a stop.
   void NoteGone(std::string_view server) { this->detector.NoteGone(server); }
--- a/src/relay/active_routing_config.cc
+++ b/src/relay/active_routing_config.cc
@@ -11,7 +11,7 @@
 
 // Retry delay for callers while this host has no configuration. It usually gets
 // one within this time, as the store answers within milliseconds.
-constexpr std::int64_t kNoPlanRetryMs = 500;
+constexpr std::int64_t kNoConfigRetryMs = 500;
 
 absl::Status Refused(ErrorId id, absl::StatusCode code, std::string_view step,
                      std::string_view what) {
@@ -21,7 +21,7 @@
   detail.step = std::string(step);
   detail.peer = "caller";
   if (id == ErrorId::kHostNotReady) {
-    detail.retry_after_ms = kNoPlanRetryMs;
+    detail.retry_after_ms = kNoConfigRetryMs;
   }
   return MakeError(code, detail, what);
 }
--- a/src/relay/call_session.cc
+++ b/src/relay/call_session.cc
@@ -29,11 +29,11 @@
 constexpr std::int64_t kReuseIdleAtMostOnceMs = 1'000;
 // Weights in the cost by which a server is chosen. A server's cost rises by 1
 // for each request in progress there.
-constexpr double kFailureCost = 12.0;
-constexpr double kSlowCost = 1.0;
+constexpr double kFailureRateWeight = 12.0;
+constexpr double kColdCost = 1.0;
 // High enough that servers being avoided after failures are used only if there
 // are no others.
-constexpr double kAsideCost = 1'000.0;
+constexpr double kBackoffCost = 1'000.0;
 // Costs that differ by less count as equal.
 constexpr double kEqualCostMargin = 0.25;
 
@@ -80,12 +80,12 @@
 double CallSession::CostOf(const Backend& backend, std::int64_t now_ms) const {
   const std::string& id = backend.key;
   double cost = this->deps.health.InProgress(id) +
-                kFailureCost * this->deps.health.FailureRate(id, now_ms);
+                kFailureRateWeight * this->deps.health.FailureRate(id, now_ms);
   if (!this->deps.health.IsUsable(id, now_ms)) {
-    cost += kAsideCost;
+    cost += kBackoffCost;
   }
   if (backend.warm_at_ms > now_ms) {
-    cost += kSlowCost;
+    cost += kColdCost;
   }
   return cost;
 }
@@ -300,7 +300,7 @@
       .Add("why", std::string{end.status.message()})
       .WriteImportant();
   if (may_have_left) {
-    this->guarded.NoteCut(
+    this->guarded.NoteInterrupted(
         ServerUnlessLeaving(this->deps.backends, attempt.BackendId()), true);
   }
   this->may_have_run = this->may_have_run || may_have_left;
--- a/src/relay/call_session.h
+++ b/src/relay/call_session.h
@@ -91,7 +91,7 @@
   const RelayDependencies& deps;
   RelayRequest request;
   RelayTerms terms;
-  GuardedRun guarded;
+  RequestQuarantine guarded;
   CallDone done;
   std::int64_t deadline_ms;
   std::vector<std::unique_ptr<Attempt>> attempts;  ///< in progress
--- a/src/relay/call_session_end.cc
+++ b/src/relay/call_session_end.cc
@@ -32,7 +32,7 @@
 
 void CallSession::OnDeadline() {
   for (const auto& attempt : this->attempts) {
-    this->guarded.NoteSilent(
+    this->guarded.NoteTimedOut(
         ServerUnlessLeaving(this->deps.backends, attempt->BackendId()));
   }
   this->End(this->MakeProblem(ErrorId::kDeadlinePassed, this->OutcomeSoFar(),
--- a/src/relay/engine_drainer.cc
+++ b/src/relay/engine_drainer.cc
@@ -262,7 +262,7 @@
   options.zone_cost = kCrossZoneCost;
   options.busy_link_cost = kBusyLinkCost;
   PressureChooser chooser(options);
-  chooser.SetWithin([this](const EngineView& view) {
+  chooser.SetEngineFilter([this](const EngineView& view) {
     return this->deps.arrivals.May(view.engine, this->deps.clock.MonotonicMs());
   });
   const Decision decision =
--- a/src/relay/relay_dependencies.h
+++ b/src/relay/relay_dependencies.h
@@ -65,7 +65,7 @@
   EngineAllocation& allocation;
   Dispatcher& dispatcher;
   FleetState& fleet;
-  FirstAttemptEstimator& first_tries;
+  FirstAttemptTimeEstimator& first_tries;
   const StreamAdmission& admission;
   LinkQuality& links;
 };
--- a/src/relay/run_move.cc
+++ b/src/relay/run_move.cc
@@ -115,7 +115,7 @@
         // There is no run left to stop at the restarted source; only the end of
         // its stream is awaited.
         this->step = MoveStep::kStopped;
-        this->ReportWhenReady();
+        this->FinishIfStreamEnded();
         return;
       }
       this->Order(true);
@@ -140,20 +140,20 @@
   switch (answer.result) {
     case MoveResult::kCopied:
       this->step = MoveStep::kStopped;
-      this->ReportWhenReady();
+      this->FinishIfStreamEnded();
       return;
     case MoveResult::kNoRoom:
       // The run has stopped, and the source keeps its KV cache.
       this->target_has_copy = false;
       this->step = MoveStep::kStopped;
-      this->ReportWhenReady();
+      this->FinishIfStreamEnded();
       return;
     case MoveResult::kNoRun:
       if (this->source_restarted) {
         // The run was lost in the restart of the source; only the copy at the
         // target is left.
         this->step = MoveStep::kStopped;
-        this->ReportWhenReady();
+        this->FinishIfStreamEnded();
         return;
       }
       this->EndWith(MoveEnd::kRunEnded);
@@ -165,19 +165,19 @@
       // The result of the stop is unknown; if the run was stopped, its stream
       // ends. Then the first copy is the best state available.
       this->step = MoveStep::kStopped;
-      this->ReportWhenReady();
+      this->FinishIfStreamEnded();
       return;
   }
 }
 
 void RunMove::NoteStreamEnded() {
   this->stream_ended = true;
-  this->ReportWhenReady();
+  this->FinishIfStreamEnded();
 }
 
 // Two engines must never work on the same run, so the source's stream has to
 // end first.
-void RunMove::ReportWhenReady() {
+void RunMove::FinishIfStreamEnded() {
   if (this->step != MoveStep::kStopped || !this->stream_ended) {
     return;
   }
--- a/src/relay/run_move.h
+++ b/src/relay/run_move.h
@@ -104,7 +104,7 @@
   void FreeCopy();
   void OnCopied(const MoveAnswer& answer);
   void OnStopped(const MoveAnswer& answer);
-  void ReportWhenReady();
+  void FinishIfStreamEnded();
   void EndWith(MoveEnd end);
 
   EngineControl& control;
--- a/src/relay/stream_session.cc
+++ b/src/relay/stream_session.cc
@@ -264,7 +264,7 @@
       .Add("why", std::string{end.status.message()})
       .WriteImportant();
   if (may_have_left) {
-    this->guarded.NoteCut(
+    this->guarded.NoteInterrupted(
         ServerUnlessLeaving(this->deps.backends, this->engine),
         this->events == this->events_before);
   }
@@ -365,7 +365,7 @@
     this->Interrupt("the deadline passed");
     return;
   }
-  this->guarded.NoteSilent(
+  this->guarded.NoteTimedOut(
       ServerUnlessLeaving(this->deps.backends, this->engine));
   this->Refuse(ErrorId::kDeadlinePassed, Outcome::kUnknown, "wait",
                "the engine did not begin in time", -1);
--- a/src/relay/stream_session.h
+++ b/src/relay/stream_session.h
@@ -127,8 +127,8 @@
   void OnRejected();
   void OnConnectionLost(const HttpCallResult& end);
   void OnResumeFailed(const HttpCallResult& end, AnswerMeaning meaning);
-  const Backend* FindMemoryHolder(const Continuation& from,
-                                  std::string_view target) const;
+  const Backend* FindKvCacheHolder(const Continuation& from,
+                                   std::string_view target) const;
   bool ResumeAtSource();
   void ResumeWhenPermitted(const std::string& holder, const Continuation& from,
                            std::int64_t until_ms);
@@ -155,7 +155,7 @@
   const CallerProtocol& callers;
   RelayRequest request;
   RelayTerms terms;
-  GuardedRun guarded;
+  RequestQuarantine guarded;
   std::int64_t tokens_per_event;
   std::unique_ptr<ResponseWriter> writer;
   std::function<void()> ended;
--- a/src/relay/stream_session_move.cc
+++ b/src/relay/stream_session_move.cc
@@ -64,8 +64,8 @@
 
 // Returns the engine that holds the run's KV cache: the target, or the source,
 // which keeps it for some more seconds.
-const Backend* StreamSession::FindMemoryHolder(const Continuation& from,
-                                               std::string_view target) const {
+const Backend* StreamSession::FindKvCacheHolder(const Continuation& from,
+                                                std::string_view target) const {
   const std::int64_t now_ms = this->deps.clock.MonotonicMs();
   const std::string_view own = this->engine;
   const std::array<std::string_view, 2> holders = {
@@ -84,7 +84,7 @@
   Continuation from = continuation;
   from.last_event = this->last_id;
   ++this->resumes;
-  const Backend* const holder = this->FindMemoryHolder(from, target);
+  const Backend* const holder = this->FindKvCacheHolder(from, target);
   this->ReleaseMoveReservations();
   this->old_moves.push_back(std::move(this->move));
   if (holder == nullptr) {
@@ -147,8 +147,8 @@
 void StreamSession::OnMoveOver(MoveEnd end) {
   this->ReleaseMoveReservations();
   if (end == MoveEnd::kNoRoom) {
-    this->stream_deps.fleet.NoteNoRoom(this->move->Plan().target,
-                                       this->deps.clock.WallMs());
+    this->stream_deps.fleet.NoteCopyRefused(this->move->Plan().target,
+                                            this->deps.clock.WallMs());
   }
   this->old_moves.push_back(std::move(this->move));
   if (this->deferred_end.has_value()) {
@@ -232,7 +232,7 @@
     return;
   }
   if (end.request_may_have_left && !not_run) {
-    this->guarded.NoteCut(
+    this->guarded.NoteInterrupted(
         ServerUnlessLeaving(this->deps.backends, this->engine), true);
   }
   this->RecordAttemptEnd(AttemptResult::kFailed);
--- a/src/relay/tests/relay_fixture.h
+++ b/src/relay/tests/relay_fixture.h
@@ -248,7 +248,7 @@
   FleetState fleet{this->lengths, FleetOptions{0, 7'000}};
   PressureChooser chooser{PressureOptions{}};
   Dispatcher dispatcher{this->fleet, this->chooser};
-  FirstAttemptEstimator first_tries;
+  FirstAttemptTimeEstimator first_tries;
   StreamAdmission admission;
   LinkQuality links{"z"};
   LocalAllocation allocation{this->chooser, this->fleet, this->clock,
--- a/src/serve/detail/relay_host_impl.h
+++ b/src/serve/detail/relay_host_impl.h
@@ -129,7 +129,7 @@
   AllocationParticipant allocation;
   LoadDatagrams load_datagrams;
   Dispatcher dispatcher;
-  FirstAttemptEstimator first_attempts;
+  FirstAttemptTimeEstimator first_attempts;
   StreamAdmission admission;
   LinkQuality links;
   std::unique_ptr<EngineControl> control;
--- a/src/serve/entry_host_registry.h
+++ b/src/serve/entry_host_registry.h
@@ -43,7 +43,7 @@
  public:
   using Listener = std::function<void(const std::vector<EntryHost>&)>;
   /// Called for each entry that changed, with the result of decoding it.
-  using ReadingListener =
+  using EntryReadListener =
       std::function<void(const StoredObject&, const absl::Status&)>;
 
   /// @param[in] kind object kind of the entries
@@ -56,7 +56,7 @@
 
   /// @brief Sets the listener that gets all valid entries at each change.
   void SetListener(const Listener& callback) { this->listener = callback; }
-  void OnRead(const ReadingListener& callback) {
+  void OnRead(const EntryReadListener& callback) {
     this->read_listener = callback;
   }
 
@@ -81,7 +81,7 @@
   ReplicatedView& view;
   Scheduler& scheduler;
   Listener listener;
-  ReadingListener read_listener;
+  EntryReadListener read_listener;
   std::int64_t version = 0;
   Lifetime life;
 };
--- a/src/serve/exchange_participant.cc
+++ b/src/serve/exchange_participant.cc
@@ -11,7 +11,7 @@
 
 // Share of the exchange's bandwidth for pushing changes to all hosts
 // immediately. The rest is for the full state that restarted hosts fetch.
-constexpr double kNewsShare = 0.85;
+constexpr double kImmediatePushShare = 0.85;
 
 ExchangeSettings MakeExchangeSettings(const HostExchangeSettings& with) {
   ExchangeSettings settings;
@@ -19,9 +19,9 @@
   settings.push_fanout = with.fanout;
   const auto bytes = static_cast<double>(with.bytes_per_second);
   settings.regular_bytes_per_second =
-      static_cast<std::int64_t>(bytes * kNewsShare);
+      static_cast<std::int64_t>(bytes * kImmediatePushShare);
   settings.bulk_bytes_per_second =
-      static_cast<std::int64_t>(bytes * (1.0 - kNewsShare));
+      static_cast<std::int64_t>(bytes * (1.0 - kImmediatePushShare));
   return settings;
 }
 
--- a/src/serve/exchange_participant.h
+++ b/src/serve/exchange_participant.h
@@ -41,7 +41,7 @@
 
   /// @brief Excludes a kind from immediate pushes, as its changes reach peers
   /// by other means; the regular rounds still exchange it.
-  void ExcludeFromNews(std::string_view kind) {
+  void ExcludeFromImmediatePush(std::string_view kind) {
     this->excluded_from_news.emplace_back(kind);
   }
 
--- a/src/serve/fleet_load_adapter.cc
+++ b/src/serve/fleet_load_adapter.cc
@@ -56,7 +56,7 @@
     note.engine = load.engine;
     note.host = this->host;
     note.in_flight = load.in_flight;
-    note.reserved_tokens = std::lround(load.forecast.PeakMean());
+    note.reserved_tokens = std::lround(load.forecast.MaxExpectedTokens());
     note.as_of_unix_ms = load.as_of_unix_ms;
     note.held_tokens = load.kv_held;
     note.prefill_backlog = load.reading;
--- a/src/serve/host_process.cc
+++ b/src/serve/host_process.cc
@@ -131,11 +131,11 @@
   bool IsWatcher() const;
   void ApplyHosts();
   void ApplyEmptiedZones(const ViewChange& change);
-  void FollowMark();
+  void StopIfMarked();
   std::size_t Running() const;
   RemainingWork Unfinished() const;
   void ExitIfDrained();
-  void LogStopWaits() const;
+  void LogRemainingWork() const;
   std::string StatusJson() const;
   void SetGauges();
 
@@ -303,7 +303,7 @@
     }
     if (change.kind == kMarksKind) {
       this->ApplyHosts();
-      this->FollowMark();
+      this->StopIfMarked();
     }
   });
   this->catalog.AddListener(
@@ -349,8 +349,8 @@
   });
   RunEvery(this->scheduler, kTickPeriodMs, [this] {
     this->gateway->TickSessions();
-    this->FollowMark();
-    this->LogStopWaits();
+    this->StopIfMarked();
+    this->LogRemainingWork();
   });
   RunEvery(this->scheduler, kRotatePeriodMs, [this] {
     this->metrics.Rotate();
@@ -408,12 +408,12 @@
     const int cut = this->gateway->DisconnectResumableStreams();
     LogLine("hand-over").Add("streams", cut).Write();
   }
-  this->LogStopWaits();
+  this->LogRemainingWork();
 }
 
 // A mark "stopping" has the same effect as SIGTERM, or as a second SIGTERM if
 // it asks for a handover.
-void HostProcess::Impl::FollowMark() {
+void HostProcess::Impl::StopIfMarked() {
   const MarkDocument mark = this->gate.Mark();
   if (mark.mark != HostMark::kStopping || this->stopping) {
     return;
@@ -458,7 +458,7 @@
   });
 }
 
-void HostProcess::Impl::LogStopWaits() const {
+void HostProcess::Impl::LogRemainingWork() const {
   if (!this->stopping || this->exiting) {
     return;
   }
--- a/src/serve/invalid_entry_reporter.cc
+++ b/src/serve/invalid_entry_reporter.cc
@@ -11,7 +11,7 @@
 // Names and reasons may come from another writer and be of any length; a log
 // line holds only this many bytes of them.
 constexpr std::size_t kNameBytes = 64;
-constexpr std::size_t kWhyBytes = 128;
+constexpr std::size_t kReasonBytes = 128;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   this->on_invalid_read(kind, field);
   const std::string message =
       std::string(why.message().data(), why.message().size())
-          .substr(0, kWhyBytes);
+          .substr(0, kReasonBytes);
   const Key key = {std::string(kind), std::string(name)};
   const auto found = this->invalid.find(key);
   if (found != this->invalid.end() && found->second == message) {
--- a/src/serve/relay_host.cc
+++ b/src/serve/relay_host.cc
@@ -35,7 +35,7 @@
 constexpr std::int64_t kDrainPeriodMs = 20;
 // The load balancer checks readiness every second and removes a host after two
 // failed checks. Until then, a stopping host still gets new connections.
-constexpr std::int64_t kBalancerNoticeMs = 2'400;
+constexpr std::int64_t kBalancerRemovalMs = 2'400;
 // Time from the exit of a process until its successor gets its first request.
 // The successor reads the store and serves 0.2 to 0.3 s after its start.
 constexpr std::int64_t kRestartMs = 400;
@@ -132,7 +132,7 @@
       budgets(RetryLimitsOf(with)),
       invalid_entries(this->clock,
                       [this](std::string_view kind, std::string_view field) {
-                        this->metrics.OnEntryRefused(kind, field);
+                        this->metrics.OnInvalidDocumentRead(kind, field);
                       }),
       // No slow start that is the same for all engines: an engine announces in
       // its entry for how long it is cold, and engines live for minutes only.
@@ -191,7 +191,7 @@
   if (with.policy.avoids_bad_links) {
     this->chooser.SetLinks(&this->links);
   }
-  this->chooser.SetWithin([this](const EngineView& view) {
+  this->chooser.SetEngineFilter([this](const EngineView& view) {
     return this->rate_limiter.May(view.engine, this->clock.MonotonicMs());
   });
   this->backends.SetRegions(with.regions);
@@ -239,7 +239,7 @@
   this->quarantine.AddListener([this](const CrashRecordId& quarantined) {
     this->relay.EndQuarantined(quarantined);
   });
-  this->exchange.ExcludeFromNews(on.Kinds().backends);
+  this->exchange.ExcludeFromImmediatePush(on.Kinds().backends);
   this->feeder.OnAnswered(
       [this] { this->store_outages.RecordAnswer(this->clock.MonotonicMs()); });
   this->store_uptimes.OnPeerUptime(
@@ -388,7 +388,7 @@
 }
 
 void RelayHost::Impl::UpdateUnreportedStreams() {
-  this->chooser.SetUnseen(this->unreported_streams.EstimateUnreported(
+  this->chooser.SetUnseenRequests(this->unreported_streams.EstimateUnreported(
       this->relay.Stats().streams, this->hub.Peers()));
 }
 
@@ -430,9 +430,9 @@
   const auto grace_ms = static_cast<std::int64_t>(
       this->settings.bounds.grace_s * static_cast<double>(kMsPerSecond));
   this->stop_plan.emplace(this->clock.MonotonicMs(),
-                          StopBounds{kBalancerNoticeMs, grace_ms});
-  this->relay.BeginStop(this->stop_plan->LastEndMs(), *this);
-  this->stop_datagrams.Begin(this->stop_plan->ForcedMs() + kRestartMs);
+                          StopBounds{kBalancerRemovalMs, grace_ms});
+  this->relay.BeginStop(this->stop_plan->LatestAllowedEndMs(), *this);
+  this->stop_datagrams.Begin(this->stop_plan->KillTimeMs() + kRestartMs);
   this->server.CloseConnections();
   LogLine("stop-asked")
       .Add("host", this->settings.host.name)
@@ -478,7 +478,7 @@
     }
   }
   const std::int64_t back_in_ms =
-      this->stop_plan->ForcedMs() + kRestartMs - now_ms;
+      this->stop_plan->KillTimeMs() + kRestartMs - now_ms;
   known.push_back(
       {this->settings.host.zone, std::max<std::int64_t>(1, back_in_ms)});
   return RetryAfterStopMs(this->settings.host.zone, known,
--- a/src/serve/relay_limits.cc
+++ b/src/serve/relay_limits.cc
@@ -12,7 +12,7 @@
 // Lower bound of connections if file descriptors are scarce.
 constexpr int kMinConnections = 16;
 // A fifth of the memory is for requests that are not fully received yet.
-constexpr std::int64_t kHeldMemoryDivisor = 5;
+constexpr std::int64_t kRequestMemoryDivisor = 5;
 constexpr std::int64_t kMebibyte = std::int64_t{1} << 20;
 
 void OverrideIfSet(std::int64_t from, std::int64_t* to) {
@@ -28,7 +28,7 @@
   ServerLimits limits;
   limits.max_connections = static_cast<std::size_t>(std::max(
       kMinConnections, (bounds.descriptors - kReservedDescriptors) / 2));
-  limits.max_held_bytes = bounds.memory_mb * kMebibyte / kHeldMemoryDivisor;
+  limits.max_held_bytes = bounds.memory_mb * kMebibyte / kRequestMemoryDivisor;
   if (config != nullptr) {
     OverrideIfSet(config->bounds.max_header_bytes, &limits.max_header_bytes);
     OverrideIfSet(config->bounds.max_body_bytes, &limits.max_body_bytes);
--- a/src/serve/relay_metrics.cc
+++ b/src/serve/relay_metrics.cc
@@ -62,8 +62,8 @@
   }
 }
 
-void RelayMetrics::OnEntryRefused(std::string_view kind,
-                                  std::string_view field) {
+void RelayMetrics::OnInvalidDocumentRead(std::string_view kind,
+                                         std::string_view field) {
   const std::array<std::string, 2> where = {std::string(kind),
                                             std::string(field)};
   this->refused.With(where).Add();
--- a/src/serve/relay_metrics.h
+++ b/src/serve/relay_metrics.h
@@ -19,7 +19,7 @@
   /// @brief Counts a read of an invalid document in the store.
   /// @param[in] kind object kind of the document
   /// @param[in] field invalid field; empty if the document cannot be parsed
-  void OnEntryRefused(std::string_view kind, std::string_view field);
+  void OnInvalidDocumentRead(std::string_view kind, std::string_view field);
 
   /// @brief Sets a gauge of the host's own state.
   void SetState(std::string_view what, double value);
--- a/src/serve/tests/crash_record_store_test.cc
+++ b/src/serve/tests/crash_record_store_test.cc
@@ -54,7 +54,7 @@
     run.request = "r";
     run.server = server;
     run.before_any_answer = true;
-    this->quarantine.NoteCut(run);
+    this->quarantine.NoteInterrupted(run);
     this->check.Answer(ListenProbeResult::kRefused);
   }
 
--- a/src/serve/tests/fleet_load_adapter_test.cc
+++ b/src/serve/tests/fleet_load_adapter_test.cc
@@ -43,10 +43,10 @@
   one.fleet.NoteSent(Work(), "e1", kNow);
   const auto notes = one.notes.NotesFor("entry-2", 16);
   cr_assert(notes.size() == 1);
-  cr_assert(two.fleet.Forecast(0, kNow).PeakMean() < 1.0);
+  cr_assert(two.fleet.Forecast(0, kNow).MaxExpectedTokens() < 1.0);
   two.notes.OnNotes("entry-1", notes);
-  const double seen = two.fleet.Forecast(0, kNow).PeakMean();
-  const double own = one.fleet.Forecast(0, kNow).PeakMean();
+  const double seen = two.fleet.Forecast(0, kNow).MaxExpectedTokens();
+  const double own = one.fleet.Forecast(0, kNow).MaxExpectedTokens();
   cr_assert(own > 100.0);
   cr_assert(seen > own - 2.0 && seen < own + 2.0);
   cr_assert(two.fleet.InFlight(0, kNow) == 1);
