--- a/src/gateway/generation_session.h
+++ b/src/gateway/generation_session.h
@@ -12,7 +12,7 @@
 #include "gateway/caller_request.h"
 #include "gateway/caller_stream.h"
 #include "gateway/session_dependencies.h"
-#include "quarantine/guarded_run.h"
+#include "quarantine/request_quarantine.h"
 #include "relay/attempt_outcome.h"
 
 namespace meadowthread {
--- a/src/policy/first_attempt_estimator.cc
+++ b/src/policy/first_attempt_time_estimator.cc
@@ -1,4 +1,4 @@
-#include "policy/first_attempt_estimator.h"
+#include "policy/first_attempt_time_estimator.h"
 
 #include <algorithm>
 
--- a/src/policy/tests/first_attempt_estimator_test.cc
+++ b/src/policy/tests/first_attempt_time_estimator_test.cc
@@ -1,5 +1,5 @@
 // Estimating how long ago a caller made its first attempt.
-#include "policy/first_attempt_estimator.h"
+#include "policy/first_attempt_time_estimator.h"
 
 #include <criterion/criterion.h>
 
--- a/src/quarantine/guarded_run.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -1,4 +1,4 @@
-#include "quarantine/guarded_run.h"
+#include "quarantine/request_quarantine.h"
 
 namespace meadowthread {
 
--- a/src/relay/call_session.h
+++ b/src/relay/call_session.h
@@ -12,7 +12,7 @@
 #include "absl/status/statusor.h"
 #include "base/lifetime.h"
 #include "net/http_client.h"
-#include "quarantine/guarded_run.h"
+#include "quarantine/request_quarantine.h"
 #include "relay/relay_dependencies.h"
 #include "relay/relay_request.h"
 
--- a/src/relay/stream_session.h
+++ b/src/relay/stream_session.h
@@ -12,7 +12,7 @@
 #include "base/lifetime.h"
 #include "net/response_writer.h"
 #include "policy/work_item.h"
-#include "quarantine/guarded_run.h"
+#include "quarantine/request_quarantine.h"
 #include "relay/relay_dependencies.h"
 #include "relay/relay_request.h"
 #include "relay/run_move.h"
--- a/src/relay/tests/guarded_run_test.cc
+++ b/src/relay/tests/guarded_run_test.cc
@@ -1,6 +1,6 @@
 // What a host's sessions send and report for requests that crash their servers,
 // and for other requests that run on the same servers.
-#include "quarantine/guarded_run.h"
+#include "quarantine/request_quarantine.h"
 
 // Criterion's macros break Abseil's headers if those are included after it.
 // clang-format off
